--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,11 +1,11 @@
-//! The replicated log: elections, quorum commit, durable storage and snapshots.
+//! Replicated log: leader election, quorum commit, durable storage and snapshots.
 //!
-//! Layers, each knowing only those above it in this list:
+//! The layers, each depending only on those listed before it:
 //!
-//! - [`message`]: what replicas say to each other, and what a log holds;
-//! - [`raft`]: the protocol of one group as a state machine without I/O;
-//! - [`storage`]: one checksummed log for all groups of a machine;
-//! - [`node`]: all groups of a machine, with group commit and state machines.
+//! - [`message`]: messages between replicas, and log entries;
+//! - [`raft`]: the protocol of one group, as a state machine without I/O;
+//! - [`storage`]: a checksummed log file shared by all groups of a machine;
+//! - [`node`]: all groups of a machine, with group commit and their state machines.
 //!
 //! The protocol is Raft with pre-vote, check-quorum, leader leases for reads,
 //! learners and single-step membership changes (Ongaro, *Consensus: Bridging
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other, and what a log holds.
+//! Messages between replicas, log entries and snapshots.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A replicated group. 0 is the group of resources; the others hold programs.
+/// Identifies a replicated group. Group 0 holds resources, the others hold programs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,17 +20,17 @@
     }
 }
 
-/// A replica: a machine together with the disk that holds its promises.
+/// Identifies a replica: a machine and the disk that stores its votes and log.
 ///
-/// A machine that lost its disk comes back under another `disk`, so that it can
-/// never vote as the replica that made the lost promises.
+/// A machine that lost its disk restarts with another `disk`. It is then a new replica, since the
+/// votes and acknowledgements of the old one are lost.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReplicaId {
-    /// Number of the machine in the settings.
+    /// Machine number from the settings.
     pub machine: u32,
-    /// Identity of its data folder; 0 for a disk of the first start.
+    /// Identity of the data folder; 0 for a folder created when the group was bootstrapped.
     pub disk: u32,
 }
 
@@ -42,11 +42,11 @@
 
 /// Election term.
 pub type Term = u64;
-/// Position in a group's log; the first entry has 1.
+/// Position in a group's log, starting at 1.
 pub type Index = u64;
 
-/// A segment: an immutable file with values of a group's state that are too many for
-/// memory. The state numbers its segments in the order of its log, so that all replicas
+/// Identifies a segment: an immutable file with the part of a group's state that is not kept in
+/// memory. Segments are numbered deterministically by the state machine, so that all replicas
 /// write the same segments under the same numbers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -55,7 +55,7 @@
 pub struct SegmentId(pub u64);
 
 impl SegmentId {
-    /// The one that is sealed after this one.
+    /// Returns the id of the segment sealed after this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -67,29 +67,28 @@
     }
 }
 
-/// Who takes part in a group.
+/// Members of a group.
 ///
-/// While one voter is exchanged for another, the membership is *joint*: decisions need
-/// a majority of the voters and a majority of the outgoing voters (Ongaro 2014, section
-/// 4.3). Changing the two one after the other would leave a smaller or a larger group
-/// in between, which a second loss at that moment stops for good.
+/// While a voter is being replaced, the membership is *joint*: decisions need a majority of the
+/// voters and a majority of the outgoing voters (Ongaro 2014, section 4.3). Removing and adding
+/// in two separate steps would leave an intermediate group that tolerates fewer failures.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Replicas whose acknowledgement counts.
+    /// Replicas that vote and count towards the quorum.
     pub voters: BTreeSet<ReplicaId>,
-    /// The voters before an exchange that is not finished; else empty.
+    /// Previous voters while the membership is joint; otherwise empty.
     pub outgoing: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log but do not count yet.
+    /// Replicas that receive the log but do not count towards the quorum.
     pub learners: BTreeSet<ReplicaId>,
 }
 
 impl Membership {
-    /// Whether an exchange of voters is not finished.
+    /// Whether a voter is being replaced.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether `granted` holds a majority of every set that counts.
+    /// Whether `granted` contains a majority of every voter set.
     pub fn has_quorum(&self, granted: &BTreeSet<ReplicaId>) -> bool {
         let is_majority = |voters: &BTreeSet<ReplicaId>| {
             voters.is_empty() || voters.intersection(granted).count() > voters.len() / 2
@@ -102,12 +101,12 @@
         self.voters.contains(&replica) || self.outgoing.contains(&replica)
     }
 
-    /// Everybody with a vote.
+    /// All replicas with a vote, including outgoing voters.
     pub fn all_voters(&self) -> BTreeSet<ReplicaId> {
         self.voters.union(&self.outgoing).copied().collect()
     }
 
-    /// Voters and learners.
+    /// All voters and learners.
     pub fn all(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         let leaving = self.outgoing.difference(&self.voters);
         self.voters.iter().chain(leaving).chain(&self.learners).copied()
@@ -119,29 +118,29 @@
     }
 }
 
-/// What an entry of a log carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryKind {
-    /// Nothing: a new leader commits one to learn what is committed.
+    /// No-op that a new leader commits to establish the commit index.
     Empty,
-    /// An encoded command for the state machine. Followers, disk and state machine share one copy.
+    /// Encoded command for the state machine. Cloning shares the buffer.
     Command(Bytes),
-    /// The membership from this entry on.
+    /// Membership that takes effect with this entry.
     Membership(Membership),
 }
 
-/// One entry of a log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Term of the leader that proposed it.
     pub term: Term,
-    /// Its position.
+    /// Position in the log.
     pub index: Index,
-    /// What it carries.
+    /// Content.
     pub kind: EntryKind,
 }
 
-/// What a replica must remember across restarts besides its log.
+/// State that a replica persists in addition to its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term seen.
@@ -150,18 +149,18 @@
     pub vote: Option<ReplicaId>,
 }
 
-/// The state machine's state after all entries up to `index`.
+/// State of the state machine after applying all entries up to `index`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry the state includes.
+    /// Index of the last entry included.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
     /// Membership at that entry.
     pub membership: Membership,
-    /// Segments that the state refers to; it counts only where all of them are held.
+    /// Segments referenced by the state. A replica needs all of them to install the snapshot.
     pub segments: BTreeSet<SegmentId>,
-    /// The encoded state.
+    /// Encoded state.
     #[serde(with = "serde_bytes")]
     pub data: Vec<u8>,
 }
@@ -169,98 +168,98 @@
 /// A message between two replicas of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a vote, or whether one would be given (`pre`).
+    /// Requests a vote or, with `pre`, a pre-vote.
     Vote {
-        /// Term the candidate has, or would have.
+        /// Term of the election.
         term: Term,
-        /// Index of its last entry.
+        /// Index of the candidate's last entry.
         last_index: Index,
-        /// Term of its last entry.
+        /// Term of the candidate's last entry.
         last_term: Term,
-        /// Only asks; the voter changes nothing.
+        /// Whether this is a pre-vote, which does not change the state of the voter.
         pre: bool,
-        /// The leader itself asked for this election.
+        /// Whether the leader initiated the election to transfer its leadership.
         transfer: bool,
     },
     /// Answers [`Message::Vote`].
     VoteReply {
-        /// Term of the voter, or the asked term when a pre-vote is granted.
+        /// Term of the voter, or the requested term if a pre-vote is granted.
         term: Term,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
-        /// Answers a pre-vote.
+        /// Whether this answers a pre-vote.
         pre: bool,
     },
-    /// Heartbeat, and entries after `previous_index`.
+    /// Heartbeat with the entries after `previous_index`, if any.
     Append {
         /// Term of the leader.
         term: Term,
-        /// Index before the first entry.
+        /// Index of the entry preceding `entries`.
         previous_index: Index,
-        /// Term at that index.
+        /// Term of the entry preceding `entries`.
         previous_term: Term,
-        /// Entries to append.
+        /// Entries to append; empty in a pure heartbeat.
         entries: Vec<Entry>,
         /// Highest committed index.
         commit: Index,
-        /// Numbers the leader's heartbeats; the lease counts from its sending.
+        /// Heartbeat round of the leader. The lease is counted from the send time of a round.
         round: u64,
     },
     /// Answers [`Message::Append`] and [`Message::Install`].
     AppendReply {
         /// Term of the follower.
         term: Term,
-        /// Highest index known equal to the leader's, when accepted.
+        /// Highest index at which the logs are known to match; 0 if rejected.
         matched: Index,
-        /// Set when refused.
-        refused: Option<Refused>,
-        /// Round of the message this answers.
+        /// Set if the entries were rejected.
+        refused: Option<AppendRejection>,
+        /// Heartbeat round of the message that this answers.
         round: u64,
     },
-    /// Replaces a far-behind follower's state.
+    /// Replaces the state of a follower whose missing entries were compacted.
     Install {
         /// Term of the leader.
         term: Term,
-        /// The state.
+        /// Snapshot to install.
         snapshot: Arc<Snapshot>,
-        /// Round, as in [`Message::Append`].
+        /// Heartbeat round, as in [`Message::Append`].
         round: u64,
     },
-    /// Asks for a part of a segment that a snapshot refers to.
+    /// Requests a chunk of a segment referenced by a snapshot.
     FetchSegment {
         /// The segment.
         segment: SegmentId,
-        /// First byte that is wanted.
+        /// Offset of the first requested byte.
         offset: u64,
     },
     /// Answers [`Message::FetchSegment`].
     SegmentChunk {
         /// The segment.
         segment: SegmentId,
-        /// Where `bytes` begin.
+        /// Offset of `bytes` in the segment.
         offset: u64,
-        /// Length of the whole segment; `None` when it is not held.
+        /// Length of the whole segment; `None` if the sender does not store it.
         total: Option<u64>,
-        /// The part.
+        /// Bytes of the chunk.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
     },
-    /// The leader asks the receiver to start an election at once.
+    /// Tells the receiver to start an election immediately, to transfer the leadership.
     Campaign {
         /// Term of the leader.
         term: Term,
     },
-    /// A new replica asks the leader to let it join in place of its machine's old disk.
+    /// Requests membership. The new replica supersedes older disks of its machine.
     Join,
-    /// Answers a replica that is no member: this one leads, ask it to join.
+    /// Tells a non-member which replica leads, so that it can send its join request there.
     LeaderHint {
         /// The leader.
         leader: ReplicaId,
     },
-    /// The leader's answer to [`Message::Join`] when the group has replicas enough: the
-    /// asker holds nothing, and asks again after a while.
+    /// Answers [`Message::Join`] when the group needs no further replica. The receiver stores no
+    /// data and renews its request periodically.
     Standby {
-        /// Term of the leader. It raises no term of the asker, who has no part in the group.
+        /// Term of the leader. The receiver does not adopt it, since it is not a member.
         leader_term: Term,
         /// Machines of the group.
         machines: Vec<u32>,
@@ -268,7 +267,7 @@
 }
 
 impl Message {
-    /// Tells a follower that its leader lives, and nothing of the log.
+    /// Returns a heartbeat that carries no information about the log.
     pub fn bare_heartbeat(term: Term, round: u64) -> Self {
         Self::Append {
             term,
@@ -280,7 +279,7 @@
         }
     }
 
-    /// The sender's term; `None` for messages outside any term.
+    /// Term of the sender; `None` for messages that carry no term.
     pub fn term(&self) -> Option<Term> {
         match self {
             Self::Vote { term, .. }
@@ -298,16 +297,16 @@
     }
 }
 
-/// Why entries were not appended: the follower's log differs before them.
+/// Rejection of entries because the logs do not match at the preceding index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
-    /// Index before the refused entries, so that the leader knows a late refusal.
+pub struct AppendRejection {
+    /// Index preceding the rejected entries, by which the leader recognizes stale rejections.
     pub previous_index: Index,
-    /// Where the leader should try next.
+    /// Index from which the leader should retry.
     pub retry_from: Index,
 }
 
-/// A message with the group it belongs to.
+/// A message and the group that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMessage {
     /// The group.
--- a/crates/replication/src/node/group.rs
+++ b/crates/replication/src/node/group.rs
@@ -1,4 +1,4 @@
-//! One group of a machine: its protocol state, its state machine and who waits.
+//! One group of a node: protocol state, state machine, and pending proposals and reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use calicohoist_types::Moment;
 
 use super::outbox::Outbox;
-use super::transfer::{CHUNK_BYTES, ChunkOutcome, Incoming};
+use super::transfer::{CHUNK_BYTES, ChunkOutcome, IncomingSnapshot};
 use super::{NodeEvent, SealedSegment, SegmentPiece, StateMachine, Ticket};
 use crate::message::{
     Entry, EntryKind, GroupId, GroupMessage, Index, Message, ReplicaId, SegmentId, Snapshot, Term,
@@ -15,10 +15,10 @@
 use crate::raft::{Effects, Raft, ReadReadiness};
 use crate::storage::{Disk, DiskError, DiskLog, Write};
 
-/// A chunk that is asked for by another replica, or came from one.
-enum Parcel {
-    Wanted { by: ReplicaId, segment: SegmentId, offset: u64 },
-    Arrived { segment: SegmentId, bytes: Vec<u8> },
+/// Segment I/O to perform in the next flush.
+enum SegmentIo {
+    ReadChunk { to: ReplicaId, segment: SegmentId, offset: u64 },
+    Store { segment: SegmentId, bytes: Vec<u8> },
 }
 
 pub(super) struct Group<S> {
@@ -28,18 +28,24 @@
     applied: Index,
     proposals: BTreeMap<Index, (Term, Ticket)>,
     pub(super) reads: BTreeSet<Ticket>,
-    /// Segments on this machine's disk.
-    held: BTreeSet<SegmentId>,
-    /// A snapshot that waits for segments.
-    incoming: Option<Incoming>,
-    /// What has to go through the disk at the next flush.
-    parcels: Vec<Parcel>,
-    /// What of the log could not be read, and its index. Nothing is applied from there on.
+    /// Segments stored on the local disk.
+    stored_segments: BTreeSet<SegmentId>,
+    /// Received snapshot whose segments are still being fetched.
+    incoming: Option<IncomingSnapshot>,
+    /// Segment reads and writes to perform in the next flush.
+    segment_io: Vec<SegmentIo>,
+    /// Kind and index of the entry or snapshot that could not be decoded. Nothing is applied
+    /// from there on.
     unreadable: Option<(&'static str, Index)>,
 }
 
 impl<S: StateMachine> Group<S> {
-    pub(super) fn new(id: GroupId, raft: Raft, machine: S, held: BTreeSet<SegmentId>) -> Self {
+    pub(super) fn new(
+        id: GroupId,
+        raft: Raft,
+        machine: S,
+        stored_segments: BTreeSet<SegmentId>,
+    ) -> Self {
         Self {
             id,
             applied: raft.snapshot_index(),
@@ -47,26 +53,26 @@
             machine,
             proposals: BTreeMap::new(),
             reads: BTreeSet::new(),
-            held,
+            stored_segments,
             incoming: None,
-            parcels: Vec::new(),
+            segment_io: Vec::new(),
             unreadable: None,
         }
     }
 
-    pub(super) fn expect(&mut self, index: Index, term: Term, ticket: Ticket) {
+    pub(super) fn track_proposal(&mut self, index: Index, term: Term, ticket: Ticket) {
         self.proposals.insert(index, (term, ticket));
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub(super) fn receive(&mut self, now: Moment, from: ReplicaId, message: Message) {
         match message {
             Message::Install { term, snapshot, round } => {
                 self.on_install(now, from, (term, round), snapshot);
             }
             Message::FetchSegment { segment, offset } => {
-                self.raft.note_installing(now, from);
-                self.parcels.push(Parcel::Wanted { by: from, segment, offset });
+                self.raft.prolong_snapshot_transfer(now, from);
+                self.segment_io.push(SegmentIo::ReadChunk { to: from, segment, offset });
             }
             Message::SegmentChunk { segment, offset, total, bytes } => {
                 self.on_chunk(from, segment, offset, total, &bytes);
@@ -82,16 +88,16 @@
         (term, round): (Term, u64),
         snapshot: Arc<Snapshot>,
     ) {
-        let is_whole = snapshot.segments.is_subset(&self.held);
+        let has_all_segments = snapshot.segments.is_subset(&self.stored_segments);
         let is_stale = term < self.raft.term();
-        if is_stale || is_whole || !self.raft.needs_snapshot(&snapshot) {
+        if is_stale || has_all_segments || !self.raft.needs_snapshot(&snapshot) {
             return self.raft.step(now, from, Message::Install { term, snapshot, round });
         }
         match &mut self.incoming {
-            Some(incoming) => incoming.renew(from, term, round, snapshot),
-            None => self.incoming = Some(Incoming::new(from, term, round, snapshot)),
+            Some(incoming) => incoming.update(from, term, round, snapshot),
+            None => self.incoming = Some(IncomingSnapshot::new(from, term, round, snapshot)),
         }
-        // Until the segments are here it is no more than a heartbeat.
+        // Counts only as a heartbeat until all segments are stored.
         self.raft.step(now, from, Message::bare_heartbeat(term, round));
     }
 
@@ -108,64 +114,66 @@
         };
         match incoming.take_chunk(segment, offset, total, bytes) {
             ChunkOutcome::Ignored | ChunkOutcome::Partial => {}
-            ChunkOutcome::Whole(segment, bytes) => {
-                self.parcels.push(Parcel::Arrived { segment, bytes });
+            ChunkOutcome::Complete(segment, bytes) => {
+                self.segment_io.push(SegmentIo::Store { segment, bytes });
             }
-            ChunkOutcome::Gone => self.incoming = None,
+            ChunkOutcome::Unavailable => self.incoming = None,
         }
     }
 
-    /// Moves segments from and to the disk, asks for what is missing, and hands a
-    /// snapshot on once all of its segments are held.
-    pub(super) fn move_segments<D: Disk>(
+    /// Serves requested chunks, stores received segments, requests missing ones, and passes the
+    /// snapshot to the protocol once all of its segments are stored.
+    pub(super) fn transfer_segments<D: Disk>(
         &mut self,
         now: Moment,
         log: &mut DiskLog<D>,
         outbox: &mut Outbox<S::Output>,
     ) -> Result<(), DiskError> {
-        for parcel in std::mem::take(&mut self.parcels) {
-            match parcel {
-                Parcel::Wanted { by, segment, offset } => {
+        for io in std::mem::take(&mut self.segment_io) {
+            match io {
+                SegmentIo::ReadChunk { to, segment, offset } => {
                     let total = log.segment_length(self.id, segment)?;
                     let bytes = log.read_segment(self.id, segment, offset, CHUNK_BYTES)?;
                     let message = Message::SegmentChunk { segment, offset, total, bytes };
-                    outbox.message(by, GroupMessage { group: self.id, message });
+                    outbox.push_message(to, GroupMessage { group: self.id, message });
                 }
-                Parcel::Arrived { segment, bytes } => {
+                SegmentIo::Store { segment, bytes } => {
                     log.store_segment(self.id, segment, &bytes)?;
-                    self.held.insert(segment);
+                    self.stored_segments.insert(segment);
                 }
             }
         }
         let Some(mut incoming) = self.incoming.take() else {
             return Ok(());
         };
-        if incoming.snapshot.segments.is_subset(&self.held) {
-            let Incoming { from, term, round, snapshot, .. } = incoming;
+        if incoming.snapshot.segments.is_subset(&self.stored_segments) {
+            let IncomingSnapshot { from, term, round, snapshot, .. } = incoming;
             self.raft.step(now, from, Message::Install { term, snapshot, round });
             return Ok(());
         }
-        if let Some(message) = incoming.next_request(now, |known| self.held.contains(&known)) {
-            outbox.message(incoming.from, GroupMessage { group: self.id, message });
+        if let Some(message) =
+            incoming.next_request(now, |segment| self.stored_segments.contains(&segment))
+        {
+            outbox.push_message(incoming.from, GroupMessage { group: self.id, message });
         }
         self.incoming = Some(incoming);
         Ok(())
     }
 
-    pub(super) fn take(&mut self, effects: Effects, outbox: &mut Outbox<S::Output>) {
+    pub(super) fn apply_effects(&mut self, effects: Effects, outbox: &mut Outbox<S::Output>) {
         if let Some(snapshot) = &effects.install {
             self.install(snapshot);
         }
         let group = self.id;
         for (to, message) in effects.messages {
-            outbox.message(to, GroupMessage { group, message });
+            outbox.push_message(to, GroupMessage { group, message });
         }
         for entry in effects.committed {
             self.apply(entry, outbox);
         }
         if let Some(is_leader) = effects.leadership {
             if !is_leader {
-                self.lose_pending(outbox);
+                self.fail_pending(outbox);
             }
             outbox.events.push(NodeEvent::Leadership { group, is_leader });
         }
@@ -176,18 +184,18 @@
         if self.machine.restore(&snapshot.data) {
             emit!(Event::SnapshotInstalled, "group {group} at {}", snapshot.index);
         } else {
-            self.stop_at("snapshot", snapshot.index);
+            self.mark_unreadable("snapshot", snapshot.index);
         }
         self.applied = snapshot.index;
     }
 
-    /// Notes that something in the log cannot be read. Nothing after it is applied.
-    pub(super) fn stop_at(&mut self, what: &'static str, index: Index) {
+    /// Records that an entry or snapshot cannot be decoded. Nothing is applied from there on.
+    pub(super) fn mark_unreadable(&mut self, what: &'static str, index: Index) {
         emit!(Event::LogUnreadable; group = self.id, what = what, index = index);
         self.unreadable = Some((what, index));
     }
 
-    /// Whether everything was read so far.
+    /// Fails if an entry or snapshot could not be decoded.
     ///
     /// # Errors
     /// [`DiskError::Unreadable`].
@@ -203,18 +211,18 @@
             return;
         }
         self.applied = entry.index;
-        let waiting = self.proposals.remove(&entry.index);
+        let proposal = self.proposals.remove(&entry.index);
         let EntryKind::Command(command) = &entry.kind else {
-            if let Some((_, ticket)) = waiting {
+            if let Some((_, ticket)) = proposal {
                 outbox.events.push(NodeEvent::Lost { ticket });
             }
             return;
         };
         let output = self.machine.apply(command);
         if S::is_unreadable(&output) {
-            return self.stop_at("entry", entry.index);
+            return self.mark_unreadable("entry", entry.index);
         }
-        match waiting {
+        match proposal {
             Some((term, ticket)) if term == entry.term => {
                 outbox.events.push(NodeEvent::Applied { ticket, output });
             }
@@ -223,7 +231,7 @@
         }
     }
 
-    fn lose_pending(&mut self, outbox: &mut Outbox<S::Output>) {
+    fn fail_pending(&mut self, outbox: &mut Outbox<S::Output>) {
         let proposals = std::mem::take(&mut self.proposals);
         let reads = std::mem::take(&mut self.reads);
         let tickets = proposals.into_values().map(|(_, ticket)| ticket).chain(reads);
@@ -250,8 +258,8 @@
         }
     }
 
-    /// Stores what the state has sealed, and a snapshot after that or when many entries
-    /// have gathered. Returns the write that makes the snapshot count.
+    /// Stores newly sealed segments. Writes a snapshot if there were any, or if enough entries
+    /// were applied since the last one, and returns the write that puts it into effect.
     pub(super) fn compact<D: Disk>(
         &mut self,
         log: &mut DiskLog<D>,
@@ -262,8 +270,8 @@
         for segment in sealed {
             self.store_sealed(log, segment)?;
         }
-        let since = self.applied.saturating_sub(self.raft.snapshot_index());
-        if !has_sealed && since < entries_per_snapshot {
+        let applied_since = self.applied.saturating_sub(self.raft.snapshot_index());
+        if !has_sealed && applied_since < entries_per_snapshot {
             return Ok(None);
         }
         let segments = self.machine.segments();
@@ -291,28 +299,28 @@
             }
         }
         log.store_segment(self.id, sealed.id, &bytes)?;
-        self.held.insert(sealed.id);
+        self.stored_segments.insert(sealed.id);
         Ok(())
     }
 
-    /// Drops the files that neither the state nor a snapshot under way refers to. The
-    /// snapshot `before` may still be on its way to a follower, and is what a restart
-    /// finds when power fails before the newest one counts.
-    pub(super) fn drop_unused<D: Disk>(
+    /// Removes unreferenced segment and snapshot files. The snapshot `previous` is kept: it may
+    /// still be in transfer to a follower, and a restart needs it if the newest snapshot did not
+    /// take effect before a crash.
+    pub(super) fn remove_unused_files<D: Disk>(
         &mut self,
         log: &mut DiskLog<D>,
-        before: &Snapshot,
+        previous: &Snapshot,
     ) -> Result<(), DiskError> {
         let mut used = self.machine.segments();
-        used.extend(&before.segments);
+        used.extend(&previous.segments);
         if let Some(incoming) = &self.incoming {
             used.extend(&incoming.snapshot.segments);
         }
-        let unused: Vec<SegmentId> = self.held.difference(&used).copied().collect();
+        let unused: Vec<SegmentId> = self.stored_segments.difference(&used).copied().collect();
         for segment in unused {
             log.remove_segment(self.id, segment)?;
-            self.held.remove(&segment);
+            self.stored_segments.remove(&segment);
         }
-        log.remove_snapshots_but(self.id, &[self.raft.snapshot_index(), before.index])
+        log.remove_snapshots_except(self.id, &[self.raft.snapshot_index(), previous.index])
     }
 }
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -1,9 +1,8 @@
 //! All groups of one machine, with group commit and their state machines.
 //!
-//! A [`Node`] performs no I/O but through the [`DiskLog`] it is handed. Its
-//! driver feeds it messages, proposals and ticks, and calls [`Node::flush`],
-//! which makes all their writes durable with one sync and only then returns the
-//! messages and answers that depend on them.
+//! A [`Node`] performs I/O only through the [`DiskLog`] passed to it. The driver feeds it
+//! messages, proposals and ticks, and calls [`Node::flush`], which makes all resulting writes
+//! durable with one sync before it returns the messages and results that depend on them.
 
 mod group;
 mod outbox;
@@ -24,73 +23,73 @@
 use group::Group;
 use outbox::Outbox;
 
-/// What a group replicates. Applying must depend on nothing but state and command.
+/// Replicated state machine of a group. Applying a command must be deterministic.
 pub trait StateMachine {
     /// Result of a command.
     type Output;
 
-    /// A machine in its first state.
+    /// Creates a state machine in its initial state.
     fn new(group: GroupId) -> Self;
 
     /// Applies one committed command.
     fn apply(&mut self, command: &[u8]) -> Self::Output;
 
-    /// Whether an output says that the command could not be read. The replica stops then: had it gone
-    /// on without the command, its state would differ from the others' for good.
+    /// Whether an output reports that the command could not be decoded. The replica then stops,
+    /// since skipping the command would make its state diverge from the other replicas.
     fn is_unreadable(_output: &Self::Output) -> bool {
         false
     }
 
-    /// The whole state, encoded, without what its segments hold.
+    /// Encodes the state, except for the data stored in segments.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// The segments that the state refers to.
+    /// Segments referenced by the state.
     fn segments(&self) -> BTreeSet<SegmentId> {
         BTreeSet::new()
     }
 
-    /// The segments that commands have sealed since the last call, to be stored now.
-    /// Only then does a snapshot refer to them.
+    /// Returns the segments sealed since the last call. They are stored before a snapshot
+    /// refers to them.
     fn take_sealed(&mut self) -> Vec<SealedSegment> {
         Vec::new()
     }
 
-    /// Replaces the state; `false` when `data` cannot be read.
+    /// Replaces the state. Returns `false` if `data` cannot be decoded.
     fn restore(&mut self, data: &[u8]) -> bool;
 }
 
-/// A segment that is to be stored.
+/// A sealed segment to be written to disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SealedSegment {
-    /// Its number.
+    /// Segment id.
     pub id: SegmentId,
-    /// What it is made of, in order.
+    /// Pieces to concatenate, in order.
     pub pieces: Vec<SegmentPiece>,
 }
 
-/// Part of a segment that is to be stored.
+/// Part of a sealed segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SegmentPiece {
-    /// These bytes.
+    /// Literal bytes.
     Bytes(Vec<u8>),
-    /// Bytes of an earlier segment.
+    /// Bytes copied from an earlier segment.
     Stored {
         /// The earlier segment.
         segment: SegmentId,
-        /// Where they begin there.
+        /// Offset in the earlier segment.
         offset: u64,
-        /// How many they are.
+        /// Number of bytes.
         length: usize,
     },
 }
 
-/// Names a proposal or read towards the driver.
+/// Identifies a proposal or read of the driver.
 pub type Ticket = u64;
 
-/// What the driver must do after a flush.
+/// Result of a flush that the driver must handle.
 #[derive(Debug)]
 pub enum NodeEvent<O> {
-    /// Send these messages in one frame.
+    /// Messages to send in one frame.
     Send {
         /// Receiver.
         to: ReplicaId,
@@ -104,23 +103,23 @@
         /// Result of the command.
         output: O,
     },
-    /// The group's state may be read for this ticket now.
+    /// The group's state can now be read for this ticket.
     ReadReady {
         /// The read.
         ticket: Ticket,
         /// Its group.
         group: GroupId,
     },
-    /// A proposal may or may not be applied in the end; a read was not answered.
+    /// The outcome of a proposal is unknown, or a read was not served.
     Lost {
         /// The proposal or read.
         ticket: Ticket,
     },
-    /// This replica won or lost the leadership of a group.
+    /// This replica gained or lost the leadership of a group.
     Leadership {
         /// The group.
         group: GroupId,
-        /// Won.
+        /// Whether it was gained.
         is_leader: bool,
     },
 }
@@ -128,15 +127,15 @@
 /// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Timing of its groups.
+    /// Protocol settings of the groups.
     pub raft: RaftSettings,
-    /// Entries after which a group writes a snapshot.
+    /// Number of applied entries after which a group writes a snapshot.
     pub entries_per_snapshot: u64,
-    /// Size of the log file, in bytes, from which it is rewritten.
+    /// Minimum size of the log file, in bytes, before it is rewritten.
     pub log_rewrite_bytes: usize,
     /// Seed of the election timeouts.
     pub seed: u64,
-    /// Machines to ask for membership, beside those that are known.
+    /// Additional machines to send join requests to.
     pub contacts: Vec<u32>,
 }
 
@@ -159,15 +158,15 @@
     machines: Vec<u32>,
     groups: BTreeMap<GroupId, Group<S>>,
     next_join: Moment,
-    /// Machines that may belong to no group and know of none.
+    /// Machines outside the groups to which leaders are announced.
     known_machines: BTreeSet<u32>,
-    /// Size of the log file after it was rewritten last.
-    rewritten_bytes: usize,
+    /// Size of the log file after its last rewrite, in bytes.
+    bytes_after_rewrite: usize,
 }
 
 impl<S: StateMachine> Node<S> {
-    /// Starts from what was recovered. A folder without groups gets `groups` with
-    /// the first membership of `machines`, if its identity is that of a first start.
+    /// Creates a node from recovered state. Groups without stored state are bootstrapped with the
+    /// replicas on `machines` as voters, unless the data folder belongs to a later disk.
     pub fn new(
         id: ReplicaId,
         settings: NodeSettings,
@@ -183,42 +182,44 @@
             groups: BTreeMap::new(),
             next_join: now,
             known_machines: BTreeSet::new(),
-            rewritten_bytes: 0,
+            bytes_after_rewrite: 0,
             settings,
         };
         for group in groups {
             let seed = seeds.random();
-            let found = recovered.groups.remove(group);
-            let hard_state = found.as_ref().map(|found| found.hard_state).unwrap_or_default();
-            let (entries, stored) = found.map(|found| (found.entries, found.snapshot)).unzip();
+            let recovered_group = recovered.groups.remove(group);
+            let hard_state =
+                recovered_group.as_ref().map(|found| found.hard_state).unwrap_or_default();
+            let (entries, snapshot) =
+                recovered_group.map(|found| (found.entries, found.snapshot)).unzip();
             let entries = entries.unwrap_or_default();
-            let stored = stored.filter(|stored| stored.index > 0);
-            let snapshot = stored.unwrap_or_else(|| node.first_snapshot());
-            let of_group = recovered.segments.iter().filter(|(owner, _)| owner == group);
-            let held = of_group.map(|(_, segment)| *segment).collect();
+            let snapshot = snapshot.filter(|snapshot| snapshot.index > 0);
+            let snapshot = snapshot.unwrap_or_else(|| node.initial_snapshot());
+            let group_segments = recovered.segments.iter().filter(|(owner, _)| owner == group);
+            let stored_segments = group_segments.map(|(_, segment)| *segment).collect();
             let raft_settings = node.settings.raft;
             let mut machine = S::new(*group);
-            let is_read = snapshot.data.is_empty() || machine.restore(&snapshot.data);
+            let is_restored = snapshot.data.is_empty() || machine.restore(&snapshot.data);
             let raft = Raft::new(id, raft_settings, seed, hard_state, snapshot, entries, now);
-            let mut state = Group::new(*group, raft, machine, held);
-            if !is_read {
-                state.stop_at("snapshot", state.raft.snapshot_index());
+            let mut state = Group::new(*group, raft, machine, stored_segments);
+            if !is_restored {
+                state.mark_unreadable("snapshot", state.raft.snapshot_index());
             }
             node.groups.insert(*group, state);
         }
         node
     }
 
-    /// The state before the first entry. Only disks of the first start know and belong
-    /// to the first membership; a later disk has to join, and learns it from the log.
-    fn first_snapshot(&self) -> Arc<Snapshot> {
-        let first_disk = |machine: &u32| ReplicaId { machine: *machine, disk: 0 };
-        let founders: &[u32] = if self.id.disk == 0 { &self.machines } else { &[] };
+    /// Returns the state before the first entry. Only disks of the bootstrap belong to the
+    /// initial membership. A later disk must join, and learns the membership from the log.
+    fn initial_snapshot(&self) -> Arc<Snapshot> {
+        let initial_replica = |machine: &u32| ReplicaId { machine: *machine, disk: 0 };
+        let initial_machines: &[u32] = if self.id.disk == 0 { &self.machines } else { &[] };
         Arc::new(Snapshot {
             index: 0,
             term: 0,
             membership: Membership {
-                voters: founders.iter().map(first_disk).collect(),
+                voters: initial_machines.iter().map(initial_replica).collect(),
                 ..Membership::default()
             },
             segments: BTreeSet::new(),
@@ -226,39 +227,39 @@
         })
     }
 
-    /// This replica.
+    /// Identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The groups hosted here.
+    /// Groups hosted by this node.
     pub fn groups(&self) -> impl Iterator<Item = GroupId> + '_ {
         self.groups.keys().copied()
     }
 
-    /// The protocol state of a group.
+    /// Protocol state of a group.
     pub fn raft(&self, group: GroupId) -> Option<&Raft> {
         self.groups.get(&group).map(|state| &state.raft)
     }
 
-    /// The state machine of a group, for reads that [`NodeEvent::ReadReady`] allowed.
+    /// State machine of a group, for reads permitted by [`NodeEvent::ReadReady`].
     pub fn machine(&self, group: GroupId) -> Option<&S> {
         self.groups.get(&group).map(|state| &state.machine)
     }
 
-    /// The machine that is believed to lead `group`.
+    /// Machine of the known leader of `group`.
     pub fn leader_machine(&self, group: GroupId) -> Option<u32> {
         let leader = self.groups.get(&group)?.raft.leader()?;
         Some(leader.machine)
     }
 
-    /// Whether this replica leads `group` under a lease and may answer reads.
+    /// Whether this replica leads `group` with a valid lease and can serve reads.
     pub fn may_read(&self, now: Moment, group: GroupId) -> bool {
         let readiness = self.groups.get(&group).map(|state| state.raft.read_readiness(now));
         readiness == Some(ReadReadiness::Ready)
     }
 
-    /// Lets time pass in every group.
+    /// Advances time in all groups.
     pub fn tick(&mut self, now: Moment) {
         for state in self.groups.values_mut() {
             state.raft.tick(now);
@@ -266,20 +267,20 @@
         if now >= self.next_join {
             self.next_join = now + self.settings.raft.election_min;
             self.ask_to_join(now);
-            self.call_outsiders(now);
+            self.announce_leader(now);
         }
     }
 
-    /// Names machines that a leader of any group may have to be shown to, beside the contacts.
+    /// Sets the machines, besides the contacts, to which leaders are announced.
     pub fn set_known_machines(&mut self, machines: BTreeSet<u32>) {
         self.known_machines = machines;
     }
 
-    fn call_outsiders(&mut self, now: Moment) {
+    fn announce_leader(&mut self, now: Moment) {
         let mut known = self.known_machines.clone();
         known.extend(&self.settings.contacts);
         for state in self.groups.values_mut() {
-            state.raft.call_outsiders(now, &known);
+            state.raft.announce_leader(now, &known);
         }
     }
 
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Takes one frame from another replica.
+    /// Handles the messages of one frame from another replica.
     pub fn receive(&mut self, now: Moment, from: ReplicaId, messages: Vec<GroupMessage>) {
         for GroupMessage { group, message } in messages {
             if let Some(state) = self.groups.get_mut(&group) {
@@ -305,7 +306,7 @@
     /// Proposes a command to a group.
     ///
     /// # Errors
-    /// When this replica does not lead; the command will certainly not be applied.
+    /// When the proposal is rejected, in which case the command is never applied.
     pub fn propose(
         &mut self,
         group: GroupId,
@@ -316,14 +317,15 @@
             return Err(ProposeError::NotLeader(None));
         };
         let (term, index) = state.raft.propose(EntryKind::Command(command.into()))?;
-        state.expect(index, term, ticket);
+        state.track_proposal(index, term, ticket);
         Ok(())
     }
 
-    /// Asks to read a group's state; answered by an event of a later flush.
+    /// Requests a read of a group's state. A later flush returns [`NodeEvent::ReadReady`] or
+    /// [`NodeEvent::Lost`].
     ///
     /// # Errors
-    /// When this replica does not lead.
+    /// When this replica is not the leader.
     pub fn read(&mut self, group: GroupId, ticket: Ticket) -> Result<(), ProposeError> {
         let Some(state) = self.groups.get_mut(&group) else {
             return Err(ProposeError::NotLeader(None));
@@ -335,22 +337,22 @@
         Ok(())
     }
 
-    /// Hands the leadership of a group to the voter on this machine, if this replica leads and
-    /// there is one.
+    /// Transfers the leadership of a group to the voter on `machine`, if this replica leads and
+    /// there is such a voter.
     pub fn transfer_leadership_to(&mut self, now: Moment, group: GroupId, machine: u32) {
         if let Some(state) = self.groups.get_mut(&group) {
             state.raft.transfer_leadership_to(now, machine);
         }
     }
 
-    /// Gives the leadership of every group to another replica.
+    /// Transfers the leadership of every group led by this replica.
     pub fn transfer_leadership(&mut self, now: Moment) {
         for state in self.groups.values_mut() {
             state.raft.transfer_leadership(now);
         }
     }
 
-    /// Names the machines whose replicas every group is to move elsewhere.
+    /// Sets the machines whose replicas all groups must move to other machines.
     pub fn set_evicted(&mut self, machines: &BTreeSet<u32>) {
         for state in self.groups.values_mut() {
             state.raft.set_evicted(machines.clone());
@@ -362,29 +364,29 @@
         self.groups.values().any(|state| state.raft.is_leader())
     }
 
-    /// Makes everything durable with one sync, then applies what is committed.
+    /// Makes all pending writes durable with one sync, then applies committed entries.
     ///
     /// # Errors
-    /// When the disk fails: this replica must stop taking part.
+    /// When the disk fails; the replica must then stop.
     pub fn flush<D: Disk>(
         &mut self,
         now: Moment,
         log: &mut DiskLog<D>,
     ) -> Result<Vec<NodeEvent<S::Output>>, DiskError> {
         let mut events = Vec::new();
-        let later = self.flush_with(now, log, |to, messages| {
+        let remaining = self.flush_with(now, log, |to, messages| {
             events.push(NodeEvent::Send { to, messages });
         })?;
-        events.extend(later);
+        events.extend(remaining);
         Ok(events)
     }
 
-    /// Like [`Node::flush`], but hands out what a leader may send to its followers
-    /// before its own sync, so that all disks sync at the same time (Ongaro 2014,
-    /// section 10.2.1). The leader counts itself only after its own sync.
+    /// Like [`Node::flush`], but passes the append messages of a leader to `send_early` before the
+    /// local sync, so that all disks sync in parallel (Ongaro 2014, section 10.2.1). The leader
+    /// counts itself towards the quorum only after its own sync.
     ///
     /// # Errors
-    /// When the disk fails: this replica must stop taking part.
+    /// When the disk fails; the replica must then stop.
     pub fn flush_with<D: Disk>(
         &mut self,
         now: Moment,
@@ -398,12 +400,12 @@
         let mut outbox = Outbox::default();
         let mut writes = Vec::new();
         for (group, state) in &mut self.groups {
-            state.move_segments(now, log, &mut outbox)?;
+            state.transfer_segments(now, log, &mut outbox)?;
             state.raft.replicate(now);
             let mut effects = state.raft.take_effects();
             store_effects(*group, &effects, log, &mut writes)?;
-            take_early_messages(*group, &mut effects, &mut early);
-            state.take(effects, &mut outbox);
+            split_early_messages(*group, &mut effects, &mut early);
+            state.apply_effects(effects, &mut outbox);
         }
         for (to, messages) in early.messages {
             send_early(to, messages);
@@ -413,9 +415,9 @@
         }
         for state in self.groups.values_mut() {
             let last = state.raft.last_index();
-            state.raft.persisted(last);
+            state.raft.mark_persisted(last);
             let effects = state.raft.take_effects();
-            state.take(effects, &mut outbox);
+            state.apply_effects(effects, &mut outbox);
             state.check_readable()?;
             state.answer_reads(now, &mut outbox);
         }
@@ -427,31 +429,31 @@
         let mut writes = Vec::new();
         let mut replaced = Vec::new();
         for (group, state) in &mut self.groups {
-            let before = state.raft.snapshot().clone();
+            let previous = state.raft.snapshot().clone();
             if let Some(write) = state.compact(log, self.settings.entries_per_snapshot)? {
                 writes.push(write);
-                replaced.push((*group, before));
+                replaced.push((*group, previous));
             }
         }
-        // Entries that no snapshot covers yet stay in the file, so it must have
-        // doubled, or every flush would rewrite it.
-        let limit = self.settings.log_rewrite_bytes.max(self.rewritten_bytes * 2);
+        // Entries not covered by a snapshot remain in a rewritten file. The file must double in
+        // size before the next rewrite, or every flush could rewrite it.
+        let limit = self.settings.log_rewrite_bytes.max(self.bytes_after_rewrite * 2);
         if log.bytes() > limit {
-            log.rewrite(&self.whole_state())?;
-            self.rewritten_bytes = log.bytes();
+            log.rewrite(&self.current_state_writes())?;
+            self.bytes_after_rewrite = log.bytes();
         } else if !writes.is_empty() {
             log.commit(&writes)?;
         }
-        for (group, before) in replaced {
+        for (group, previous) in replaced {
             if let Some(state) = self.groups.get_mut(&group) {
-                state.drop_unused(log, &before)?;
+                state.remove_unused_files(log, &previous)?;
             }
         }
         Ok(())
     }
 
-    /// The writes that bring an empty log to the present state.
-    fn whole_state(&self) -> Vec<Write> {
+    /// Returns the writes that reproduce the current state in an empty log.
+    fn current_state_writes(&self) -> Vec<Write> {
         let mut writes = Vec::new();
         for (group, state) in &self.groups {
             writes.push(Write::HardState(*group, state.raft.hard_state()));
@@ -469,18 +471,18 @@
     }
 }
 
-/// Moves the messages that promise nothing about this replica's own disk.
-fn take_early_messages<O>(group: GroupId, effects: &mut Effects, early: &mut Outbox<O>) {
-    let changes_promise = effects.hard_state.is_some()
+/// Moves the messages that do not depend on pending local writes to `early`.
+fn split_early_messages<O>(group: GroupId, effects: &mut Effects, early: &mut Outbox<O>) {
+    let has_dependent_writes = effects.hard_state.is_some()
         || effects.truncate_from.is_some()
         || effects.install.is_some();
-    if changes_promise {
+    if has_dependent_writes {
         return;
     }
     let messages = std::mem::take(&mut effects.messages);
     for (to, message) in messages {
         if matches!(message, Message::Append { .. }) {
-            early.message(to, GroupMessage { group, message });
+            early.push_message(to, GroupMessage { group, message });
         } else {
             effects.messages.push((to, message));
         }
@@ -509,8 +511,8 @@
     Ok(())
 }
 
-/// Whether a message is meant for a machine, whatever its disk: one that asks to join, or that
-/// tells whom to ask. No other one from a stranger counts.
+/// Whether a message is addressed to a machine regardless of its disk id. This holds for the
+/// messages that a replica exchanges with the group before it joins.
 pub fn is_for_machine(message: &GroupMessage) -> bool {
     matches!(message.message, Message::Join | Message::LeaderHint { .. })
 }
--- a/crates/replication/src/node/outbox.rs
+++ b/crates/replication/src/node/outbox.rs
@@ -1,11 +1,11 @@
-//! What a flush hands out.
+//! Messages and events produced by a flush.
 
 use std::collections::BTreeMap;
 
 use super::NodeEvent;
 use crate::message::{GroupMessage, ReplicaId};
 
-/// Gathers the messages of all groups to one replica into one frame.
+/// Collects events, and the messages of all groups by receiver.
 pub(super) struct Outbox<O> {
     pub(super) messages: BTreeMap<ReplicaId, Vec<GroupMessage>>,
     pub(super) events: Vec<NodeEvent<O>>,
@@ -18,7 +18,7 @@
 }
 
 impl<O> Outbox<O> {
-    pub(super) fn message(&mut self, to: ReplicaId, message: GroupMessage) {
+    pub(super) fn push_message(&mut self, to: ReplicaId, message: GroupMessage) {
         self.messages.entry(to).or_default().push(message);
     }
 
--- a/crates/replication/src/node/transfer.rs
+++ b/crates/replication/src/node/transfer.rs
@@ -1,9 +1,8 @@
-//! Segments that a snapshot refers to, fetched before the snapshot counts.
+//! Transfer of the segments referenced by a received snapshot.
 //!
-//! A follower that is sent a snapshot asks its sender for the segments that it lacks,
-//! a chunk at a time, and hands the snapshot on only when it holds all of them. Until
-//! then it acknowledges nothing of it: a replica that acknowledges a state can serve
-//! all of that state.
+//! A follower fetches the missing segments from the sender of the snapshot, one chunk at a time.
+//! It installs and acknowledges the snapshot only once all segments are stored, so that every
+//! replica that acknowledged a state can serve all of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,78 +11,79 @@
 
 use crate::message::{Message, ReplicaId, SegmentId, Snapshot, Term};
 
-/// Bytes in one chunk: small beside what a link carries between two heartbeats.
+/// Maximum size of a chunk, in bytes.
 pub(super) const CHUNK_BYTES: usize = 256 << 10;
-/// Silence after which a chunk is asked for again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(300);
+/// Time without a reply after which a chunk is requested again.
+const CHUNK_RETRY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A snapshot that waits for segments.
+/// A received snapshot whose segments are still being fetched.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     pub(super) from: ReplicaId,
     pub(super) term: Term,
     pub(super) round: u64,
     pub(super) snapshot: Arc<Snapshot>,
-    /// The segment that is being received, and what there is of it.
+    /// Segment being received, with the bytes received so far.
     current: Option<(SegmentId, Vec<u8>)>,
-    asked_at: Option<Moment>,
+    requested_at: Option<Moment>,
 }
 
-/// What a chunk led to.
+/// Result of processing a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ChunkOutcome {
-    /// Nothing that matters here.
+    /// The chunk was not the expected one.
     Ignored,
-    /// More of the segment is wanted.
+    /// The segment is incomplete.
     Partial,
-    /// The segment is whole.
-    Whole(SegmentId, Vec<u8>),
-    /// The sender does not hold it: it has gone on to a newer snapshot.
-    Gone,
+    /// The segment is complete.
+    Complete(SegmentId, Vec<u8>),
+    /// The sender no longer stores the segment because it has a newer snapshot.
+    Unavailable,
 }
 
-impl Incoming {
+impl IncomingSnapshot {
     pub(super) fn new(from: ReplicaId, term: Term, round: u64, snapshot: Arc<Snapshot>) -> Self {
-        Self { from, term, round, snapshot, current: None, asked_at: None }
+        Self { from, term, round, snapshot, current: None, requested_at: None }
     }
 
-    /// The sender sent its newest snapshot again, perhaps a newer one.
-    pub(super) fn renew(
+    /// Replaces the snapshot with the one sent last. Keeps a partial segment if it is still
+    /// needed and comes from the same sender.
+    pub(super) fn update(
         &mut self,
         from: ReplicaId,
         term: Term,
         round: u64,
         snapshot: Arc<Snapshot>,
     ) {
-        let is_wanted = |segment: &SegmentId| snapshot.segments.contains(segment);
-        self.current.take_if(|(segment, _)| from != self.from || !is_wanted(segment));
+        let is_needed = |segment: &SegmentId| snapshot.segments.contains(segment);
+        self.current.take_if(|(segment, _)| from != self.from || !is_needed(segment));
         self.from = from;
         self.term = term;
         self.round = round;
         self.snapshot = snapshot;
     }
 
-    /// What to ask for now, if anything: the next chunk of the segments that `is_held`
-    /// does not know.
+    /// Returns the request for the next missing chunk, unless one is outstanding.
     pub(super) fn next_request(
         &mut self,
         now: Moment,
-        is_held: impl Fn(SegmentId) -> bool,
+        is_stored: impl Fn(SegmentId) -> bool,
     ) -> Option<Message> {
-        let is_waiting = self.asked_at.is_some_and(|at| now < at + ASK_AGAIN_AFTER);
-        if is_waiting {
+        let is_outstanding = self.requested_at.is_some_and(|at| now < at + CHUNK_RETRY_TIMEOUT);
+        if is_outstanding {
             return None;
         }
         if self.current.is_none() {
-            let missing = self.snapshot.segments.iter().copied().find(|known| !is_held(*known))?;
+            let missing =
+                self.snapshot.segments.iter().copied().find(|segment| !is_stored(*segment))?;
             self.current = Some((missing, Vec::new()));
         }
         let (segment, received) = self.current.as_ref()?;
-        self.asked_at = Some(now);
+        self.requested_at = Some(now);
         Some(Message::FetchSegment { segment: *segment, offset: received.len() as u64 })
     }
 
-    /// Takes a chunk.
+    /// Processes a received chunk.
     pub(super) fn take_chunk(
         &mut self,
         segment: SegmentId,
@@ -98,15 +98,15 @@
             return ChunkOutcome::Ignored;
         }
         let Some(total) = total else {
-            return ChunkOutcome::Gone;
+            return ChunkOutcome::Unavailable;
         };
         received.extend_from_slice(bytes);
-        self.asked_at = None;
+        self.requested_at = None;
         if (received.len() as u64) < total {
             return ChunkOutcome::Partial;
         }
-        let whole = std::mem::take(received);
+        let segment_bytes = std::mem::take(received);
         self.current = None;
-        ChunkOutcome::Whole(segment, whole)
+        ChunkOutcome::Complete(segment, segment_bytes)
     }
 }
--- a/crates/replication/src/raft/election.rs
+++ b/crates/replication/src/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, and the refusal that makes leases safe.
+//! Leader election with pre-votes. Votes are refused while a leader may hold a lease.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 use crate::message::{HardState, Message, ReplicaId, Term};
 
 impl Raft {
-    /// Starts an election, or with `pre` asks first whether one would be won.
+    /// Starts an election, or a pre-vote if `pre` is set.
     pub(super) fn campaign(&mut self, now: Moment, pre: bool, transfer: bool) {
         let is_voter = self.membership().is_voter(self.id);
         self.reset_election_deadline(now);
-        // Also without a vote: a leader that is silent for so long is none to be named.
+        // Non-voters forget a silent leader as well, so that it is not reported any longer.
         self.leader = None;
         if !is_voter {
             return;
@@ -24,12 +24,12 @@
         }
         self.role = Role::Candidate { pre, granted: BTreeSet::from([self.id]) };
         if self.membership().has_quorum(&BTreeSet::from([self.id])) {
-            return self.win(now, pre, transfer);
+            return self.on_quorum_granted(now, pre, transfer);
         }
-        self.ask_for_votes(term, pre, transfer);
+        self.request_votes(term, pre, transfer);
     }
 
-    fn ask_for_votes(&mut self, term: Term, pre: bool, transfer: bool) {
+    fn request_votes(&mut self, term: Term, pre: bool, transfer: bool) {
         let last_index = self.log.last_index();
         let last_term = self.log.last_term();
         let mut voters = self.membership().all_voters();
@@ -40,7 +40,7 @@
         }
     }
 
-    fn win(&mut self, now: Moment, pre: bool, transfer: bool) {
+    fn on_quorum_granted(&mut self, now: Moment, pre: bool, transfer: bool) {
         if pre {
             self.campaign(now, false, transfer);
         } else {
@@ -48,11 +48,11 @@
         }
     }
 
-    /// While a leader may hold a lease, no vote may be given, or two replicas
-    /// could answer reads. A transfer is exempt: the leader gave its lease up.
-    pub(super) fn must_ignore_vote(&self, now: Moment, message: &Message) -> bool {
+    /// Whether a vote request must be refused because a leader may still hold a lease; otherwise
+    /// two replicas could serve reads. During a transfer the leader has given up its lease.
+    pub(super) fn must_refuse_vote(&self, now: Moment, message: &Message) -> bool {
         match message {
-            Message::Vote { transfer, .. } => !transfer && now < self.votes_from,
+            Message::Vote { transfer, .. } => !transfer && now < self.votes_allowed_from,
             _ => false,
         }
     }
@@ -78,8 +78,8 @@
             let reply_term = if granted { *term } else { self.hard_state.term };
             return self.reply_to_vote(from, reply_term, granted, true);
         }
-        let is_free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted = is_free && is_up_to_date && matches!(self.role, Role::Follower);
+        let can_vote_for = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = can_vote_for && is_up_to_date && matches!(self.role, Role::Follower);
         if granted && self.hard_state.vote.is_none() {
             self.hard_state.vote = Some(from);
             self.effects.hard_state = Some(self.hard_state);
@@ -98,29 +98,29 @@
         was_granted: bool,
         was_pre: bool,
     ) {
-        let wanted = self.hard_state.term + u64::from(was_pre);
+        let expected_term = self.hard_state.term + u64::from(was_pre);
         let membership = self.membership().clone();
         let is_voter = membership.is_voter(from);
         let Role::Candidate { pre, granted } = &mut self.role else {
             return;
         };
-        if *pre != was_pre || term != wanted || !was_granted || !is_voter {
+        if *pre != was_pre || term != expected_term || !was_granted || !is_voter {
             return;
         }
         granted.insert(from);
         if membership.has_quorum(granted) {
-            self.win(now, was_pre, false);
+            self.on_quorum_granted(now, was_pre, false);
         }
     }
 
-    /// A valid leader was heard.
+    /// Handles a sign of life from the leader of the current term.
     pub(super) fn follow(&mut self, now: Moment, leader: ReplicaId) {
         self.standby = None;
         let term = self.hard_state.term;
         if !matches!(self.role, Role::Follower) || self.leader != Some(leader) {
             self.become_follower(now, term, Some(leader));
         }
-        self.votes_from = now + self.settings.election_min;
+        self.votes_allowed_from = now + self.settings.election_min;
         self.reset_election_deadline(now);
     }
 }
--- a/crates/replication/src/raft/follower.rs
+++ b/crates/replication/src/raft/follower.rs
@@ -1,9 +1,9 @@
-//! Taking entries and snapshots from a leader.
+//! Follower side of replication: appends entries and installs snapshots.
 
 use std::sync::Arc;
 
 use super::Raft;
-use crate::message::{Entry, Index, Message, Refused, ReplicaId, Snapshot, Term};
+use crate::message::{AppendRejection, Entry, Index, Message, ReplicaId, Snapshot, Term};
 
 impl Raft {
     pub(super) fn on_append(
@@ -14,28 +14,30 @@
         commit: Index,
         round: u64,
     ) {
-        let known = self.log.snapshot().index;
-        if previous_index >= known && self.log.term_at(previous_index) != Some(previous_term) {
+        let snapshot_index = self.log.snapshot().index;
+        if previous_index >= snapshot_index
+            && self.log.term_at(previous_index) != Some(previous_term)
+        {
             let last = self.log.last_index();
             let retry_from = if previous_index > last {
                 last + 1
             } else {
-                self.log.first_of_term_at(previous_index)
+                self.log.first_index_of_term_at(previous_index)
             };
-            let refused = Refused { previous_index, retry_from };
-            return self.reply_to_append(from, 0, Some(refused), round);
+            let rejection = AppendRejection { previous_index, retry_from };
+            return self.reply_to_append(from, 0, Some(rejection), round);
         }
         let matched = entries.last().map_or(previous_index, |entry| entry.index);
         for entry in entries {
-            self.take_entry(entry);
+            self.append_or_replace(entry);
         }
-        // Only what the leader showed to be equal may be called committed.
+        // Local entries beyond `matched` may differ from those of the leader.
         self.commit = self.commit.max(commit.min(matched));
-        self.deliver();
+        self.deliver_committed();
         self.reply_to_append(from, matched, None, round);
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn append_or_replace(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot().index {
             return;
         }
@@ -43,21 +45,21 @@
             Some(term) if term == entry.term => {}
             Some(_) => {
                 debug_assert!(entry.index > self.commit, "a committed entry conflicts");
-                self.drop_from(entry.index);
-                self.add(entry);
+                self.truncate_from_index(entry.index);
+                self.append(entry);
             }
-            None => self.add(entry),
+            None => self.append(entry),
         }
     }
 
-    fn add(&mut self, entry: Entry) {
+    fn append(&mut self, entry: Entry) {
         self.log.push(entry.clone());
         self.effects.append.push(entry);
     }
 
-    fn drop_from(&mut self, index: Index) {
+    fn truncate_from_index(&mut self, index: Index) {
         self.log.truncate_from(index);
-        self.persisted = self.persisted.min(index - 1);
+        self.persisted_index = self.persisted_index.min(index - 1);
         self.effects.append.retain(|entry| entry.index < index);
         let earlier = self.effects.truncate_from.unwrap_or(index);
         self.effects.truncate_from = Some(earlier.min(index));
@@ -67,7 +69,7 @@
         &mut self,
         to: ReplicaId,
         matched: Index,
-        refused: Option<Refused>,
+        refused: Option<AppendRejection>,
         round: u64,
     ) {
         let term = self.hard_state.term;
@@ -78,14 +80,15 @@
     pub(super) fn on_install(&mut self, from: ReplicaId, snapshot: Arc<Snapshot>, round: u64) {
         let index = snapshot.index;
         if index > self.commit && !self.needs_snapshot(&snapshot) {
-            // Entries after the snapshot may be acknowledged: they must stay.
+            // The log already contains the snapshot's last entry. Later entries may have been
+            // acknowledged and must be kept.
             self.commit = index;
-            self.deliver();
+            self.deliver_committed();
         } else if index > self.commit {
             self.log.reset(snapshot.clone());
             self.commit = index;
-            self.delivered = index;
-            self.persisted = index;
+            self.delivered_index = index;
+            self.persisted_index = index;
             self.effects.append.clear();
             self.effects.truncate_from = None;
             self.effects.committed.clear();
--- a/crates/replication/src/raft/leader.rs
+++ b/crates/replication/src/raft/leader.rs
@@ -1,77 +1,77 @@
-//! Leading: replication, commit, the read lease, membership changes, hand-over.
+//! Leader side of the protocol: replication, commit, read lease and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use calicohoist_types::Moment;
 
 use super::{Raft, ReadReadiness, Role, peers, quorum_value};
-use crate::message::{EntryKind, Index, Message, Refused, ReplicaId};
+use crate::message::{AppendRejection, EntryKind, Index, Message, ReplicaId};
 
-/// Rounds remembered while their answers are out.
+/// Maximum number of heartbeat rounds tracked while awaiting replies.
 const MAX_ROUNDS: usize = 256;
-/// Snapshots on their way at a time: each is encoded whole for its receiver.
-const MAX_INSTALLS: usize = 2;
-/// A learner that no vote waits for is sent entries with the heartbeats, or when it
-/// lacks this many.
-const LEARNER_BATCH: u64 = 128;
+/// Maximum number of concurrent snapshot transfers. Each one encodes the whole snapshot.
+const MAX_SNAPSHOT_TRANSFERS: usize = 2;
+/// Number of missing entries from which a learner that is not about to be promoted is sent
+/// entries between heartbeats.
+const LEARNER_BATCH_ENTRIES: u64 = 128;
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower, as known to the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Next entry to send.
+    /// Index of the next entry to send.
     next: Index,
-    /// Highest entry known durable there.
+    /// Highest index known to be durable on the follower.
     pub(super) matched: Index,
-    /// Newest round it answered.
+    /// Newest heartbeat round that the follower acknowledged.
     round: u64,
-    /// When it last answered.
-    pub(super) heard: Moment,
-    /// A snapshot is on its way until this moment.
-    installing_until: Moment,
-    flow: Flow,
+    /// Time of the last reply.
+    pub(super) last_reply: Moment,
+    /// A snapshot transfer is assumed to be in progress until this moment.
+    snapshot_transfer_until: Moment,
+    mode: ReplicationMode,
 }
 
-/// How entries go to one follower.
+/// How entries are sent to one follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flow {
-    /// New entries follow each other without waiting for answers.
+enum ReplicationMode {
+    /// Entries are pipelined without waiting for replies.
     Stream,
-    /// Where the logs part is being found out: one message at a time, since each
-    /// answer that rewinds would otherwise start a stream of its own.
+    /// Searches for the point where the logs diverge, with one message at a time so that each
+    /// rejection does not start another pipeline.
     Probe {
-        /// The message is out; the next heartbeat repeats it.
-        is_out: bool,
+        /// A probe is unanswered; the next heartbeat repeats it.
+        is_awaiting_reply: bool,
     },
 }
 
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
-    /// First entry of this leader's term.
-    first_index: Index,
+    /// Index of the first entry of this leader's term.
+    term_start_index: Index,
     round: u64,
-    /// When each recent round was sent.
+    /// Recent heartbeat rounds with their send times.
     rounds: VecDeque<(u64, Moment)>,
     lease_until: Moment,
     next_heartbeat: Moment,
-    elected: Moment,
+    elected_at: Moment,
     transfer_to: Option<(ReplicaId, Moment)>,
-    /// Machines that stand by, with the moment at which each asked last.
+    /// Standby machines, each with the time of its last join request.
     pub(super) standbys: BTreeMap<u32, Moment>,
-    /// When machines outside the group are told next who leads.
-    pub(super) next_call: Moment,
+    /// When to announce the leader to machines outside the group next.
+    pub(super) next_announcement: Moment,
 }
 
 impl Progress {
-    fn on_refused(&mut self, refused: Refused, last: Index) {
-        let is_stale = match self.flow {
-            Flow::Stream => refused.previous_index <= self.matched,
-            Flow::Probe { .. } => refused.previous_index != self.next - 1,
+    fn on_rejected(&mut self, rejection: AppendRejection, last: Index) {
+        let is_stale = match self.mode {
+            ReplicationMode::Stream => rejection.previous_index <= self.matched,
+            ReplicationMode::Probe { .. } => rejection.previous_index != self.next - 1,
         };
         if !is_stale {
-            let next = refused.retry_from.clamp(self.matched + 1, last + 1);
-            // The same place again waits for the next heartbeat.
-            self.flow = Flow::Probe { is_out: next == self.next };
+            let next = rejection.retry_from.clamp(self.matched + 1, last + 1);
+            // A probe at the same index is not repeated before the next heartbeat.
+            self.mode = ReplicationMode::Probe { is_awaiting_reply: next == self.next };
             self.next = next;
         }
     }
@@ -79,10 +79,10 @@
     fn on_accepted(&mut self, matched: Index, last: Index) {
         if matched > self.matched {
             self.matched = matched.min(last);
-            self.installing_until = Moment::ZERO;
+            self.snapshot_transfer_until = Moment::ZERO;
         }
         if matched + 1 >= self.next {
-            self.flow = Flow::Stream;
+            self.mode = ReplicationMode::Stream;
         }
         self.next = self.next.max(self.matched + 1);
     }
@@ -100,22 +100,22 @@
         self.effects.leadership = Some(true);
         self.role = Role::Leader(LeaderState {
             progress: BTreeMap::new(),
-            first_index: self.log.last_index() + 1,
+            term_start_index: self.log.last_index() + 1,
             round: 0,
             rounds: VecDeque::new(),
             lease_until: Moment::ZERO,
             next_heartbeat: now,
-            elected: now,
+            elected_at: now,
             transfer_to: None,
             standbys: BTreeMap::new(),
-            next_call: now,
+            next_announcement: now,
         });
         self.sync_progress(now);
-        self.append_own(EntryKind::Empty);
+        self.append_as_leader(EntryKind::Empty);
         self.broadcast(now);
     }
 
-    /// Makes the table of followers match the membership.
+    /// Adds and removes progress entries to match the membership.
     pub(super) fn sync_progress(&mut self, now: Moment) {
         let next = self.log.last_index() + 1;
         let wanted = peers(self.membership(), self.id);
@@ -128,9 +128,9 @@
                 next,
                 matched: 0,
                 round: 0,
-                heard: now,
-                installing_until: Moment::ZERO,
-                flow: Flow::Probe { is_out: false },
+                last_reply: now,
+                snapshot_transfer_until: Moment::ZERO,
+                mode: ReplicationMode::Probe { is_awaiting_reply: false },
             });
         }
     }
@@ -141,7 +141,7 @@
             return self.become_follower(now, term, None);
         }
         self.expire_transfer(now);
-        self.manage_members(now);
+        self.update_membership(now);
         let Role::Leader(state) = &self.role else {
             return;
         };
@@ -150,19 +150,20 @@
         }
     }
 
-    /// A leader that no quorum answers steps down, so that its callers look elsewhere.
+    /// Whether no quorum has replied within an election timeout. The leader then steps down so
+    /// that clients look for another one.
     fn lost_quorum(&self, now: Moment) -> bool {
         let Role::Leader(state) = &self.role else {
             return false;
         };
-        let mut heard: BTreeMap<ReplicaId, Moment> =
-            state.progress.iter().map(|(peer, progress)| (*peer, progress.heard)).collect();
-        heard.insert(self.id, now);
-        let quorum_heard = quorum_value(self.membership(), &heard);
-        now.since(quorum_heard.max(state.elected)) > self.settings.election_max
+        let mut last_replies: BTreeMap<ReplicaId, Moment> =
+            state.progress.iter().map(|(peer, progress)| (*peer, progress.last_reply)).collect();
+        last_replies.insert(self.id, now);
+        let quorum_reply = quorum_value(self.membership(), &last_replies);
+        now.since(quorum_reply.max(state.elected_at)) > self.settings.election_max
     }
 
-    /// Sends every follower what it lacks, or an empty heartbeat.
+    /// Starts a heartbeat round: sends every follower its missing entries or an empty message.
     pub fn broadcast(&mut self, now: Moment) {
         let heartbeat = self.settings.heartbeat;
         let Role::Leader(state) = &mut self.role else {
@@ -180,31 +181,36 @@
         }
     }
 
-    /// Sends new entries to followers that are up to date with what was sent.
+    /// Sends new entries to followers without waiting for the next heartbeat.
     pub fn replicate(&mut self, now: Moment) {
         let Role::Leader(state) = &self.role else {
             return;
         };
-        let wants_learners = self.wants_learners(now);
-        let wants_entries = |(peer, known): &(&ReplicaId, &Progress)| {
-            self.is_sent_entries(**peer, known, wants_learners)
+        let is_learner_promotion_due = self.is_learner_promotion_due(now);
+        let is_due = |(peer, progress): &(&ReplicaId, &Progress)| {
+            self.is_replication_due(**peer, progress, is_learner_promotion_due)
         };
-        let behind = state.progress.iter().filter(wants_entries);
-        let followers: Vec<ReplicaId> = behind.map(|(peer, _)| *peer).collect();
+        let due = state.progress.iter().filter(is_due);
+        let followers: Vec<ReplicaId> = due.map(|(peer, _)| *peer).collect();
         for follower in followers {
             self.send_append(now, follower, false);
         }
     }
 
-    /// Whether new entries go to a follower at once. For learners that no vote waits for,
-    /// a message with each entry would cost the leader as much as for a voter.
-    fn is_sent_entries(&self, peer: ReplicaId, known: &Progress, wants_learners: bool) -> bool {
-        let lacking = (self.log.last_index() + 1).saturating_sub(known.next);
-        let is_due = wants_learners || self.membership().is_voter(peer);
-        lacking > 0 && (is_due || lacking >= LEARNER_BATCH)
+    /// Whether new entries are sent to a follower before the next heartbeat. Learners that are
+    /// not about to be promoted receive them in batches to reduce the leader's load.
+    fn is_replication_due(
+        &self,
+        peer: ReplicaId,
+        progress: &Progress,
+        is_learner_promotion_due: bool,
+    ) -> bool {
+        let missing = (self.log.last_index() + 1).saturating_sub(progress.next);
+        let is_urgent = is_learner_promotion_due || self.membership().is_voter(peer);
+        missing > 0 && (is_urgent || missing >= LEARNER_BATCH_ENTRIES)
     }
 
-    fn send_append(&mut self, now: Moment, to: ReplicaId, even_if_empty: bool) {
+    fn send_append(&mut self, now: Moment, to: ReplicaId, send_empty: bool) {
         let settings = self.settings;
         let term = self.hard_state.term;
         let Role::Leader(state) = &mut self.role else {
@@ -216,22 +222,25 @@
         };
         let previous_index = progress.next - 1;
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            return self.send_snapshot(now, to, even_if_empty);
+            return self.send_snapshot(now, to, send_empty);
         };
-        let in_flight = match progress.flow {
-            Flow::Stream => previous_index.saturating_sub(progress.matched),
-            Flow::Probe { .. } => 0,
+        let in_flight = match progress.mode {
+            ReplicationMode::Stream => previous_index.saturating_sub(progress.matched),
+            ReplicationMode::Probe { .. } => 0,
         };
         let room = settings.max_entries_in_flight.saturating_sub(in_flight);
         let limit = usize::try_from(room).unwrap_or(usize::MAX);
         let limit = limit.min(settings.max_entries_per_message);
         let entries = self.log.slice(progress.next, limit, settings.max_bytes_per_message);
-        if !even_if_empty && (entries.is_empty() || progress.flow == Flow::Probe { is_out: true }) {
+        if !send_empty
+            && (entries.is_empty()
+                || progress.mode == ReplicationMode::Probe { is_awaiting_reply: true })
+        {
             return;
         }
-        match &mut progress.flow {
-            Flow::Stream => progress.next += entries.len() as u64,
-            Flow::Probe { is_out } => *is_out = true,
+        match &mut progress.mode {
+            ReplicationMode::Stream => progress.next += entries.len() as u64,
+            ReplicationMode::Probe { is_awaiting_reply } => *is_awaiting_reply = true,
         }
         let message = Message::Append {
             term,
@@ -253,29 +262,31 @@
         };
         let round = state.round;
         let others = state.progress.iter().filter(|(peer, _)| **peer != to);
-        let installs = others.filter(|(_, known)| now < known.installing_until).count();
+        let transfers =
+            others.filter(|(_, progress)| now < progress.snapshot_transfer_until).count();
         let Some(progress) = state.progress.get_mut(&to) else {
             return;
         };
-        if now < progress.installing_until || installs >= MAX_INSTALLS {
+        if now < progress.snapshot_transfer_until || transfers >= MAX_SNAPSHOT_TRANSFERS {
             if !is_heartbeat {
                 return;
             }
-            // Keeps the follower from campaigning while the snapshot travels.
+            // Keeps the follower from campaigning during the snapshot transfer.
             return self.send(to, Message::bare_heartbeat(term, round));
         }
-        progress.installing_until = now + resend_after;
+        progress.snapshot_transfer_until = now + resend_after;
         let message = Message::Install { term, snapshot, round };
         self.send(to, message);
     }
 
-    /// A follower is fetching what a snapshot refers to: it needs no second one yet.
-    pub fn note_installing(&mut self, now: Moment, follower: ReplicaId) {
+    /// Prolongs the snapshot transfer of a follower that is still fetching segments, so that the
+    /// snapshot is not sent again.
+    pub fn prolong_snapshot_transfer(&mut self, now: Moment, follower: ReplicaId) {
         let until = now + self.settings.election_max;
         if let Role::Leader(state) = &mut self.role
             && let Some(progress) = state.progress.get_mut(&follower)
         {
-            progress.installing_until = until;
+            progress.snapshot_transfer_until = until;
         }
     }
 
@@ -284,7 +295,7 @@
         now: Moment,
         from: ReplicaId,
         matched: Index,
-        refused: Option<Refused>,
+        refused: Option<AppendRejection>,
         round: u64,
     ) {
         let last = self.log.last_index();
@@ -294,31 +305,34 @@
         let Some(progress) = state.progress.get_mut(&from) else {
             return;
         };
-        progress.heard = now;
+        progress.last_reply = now;
         progress.round = progress.round.max(round);
         match refused {
-            Some(refused) => progress.on_refused(refused, last),
+            Some(rejection) => progress.on_rejected(rejection, last),
             None => progress.on_accepted(matched, last),
         }
         self.renew_lease();
         self.advance_commit();
         self.continue_stream(now, from);
         self.continue_transfer(now);
-        self.manage_members(now);
+        self.update_membership(now);
     }
 
     fn continue_stream(&mut self, now: Moment, to: ReplicaId) {
         let Role::Leader(state) = &self.role else {
             return;
         };
-        let wants_learners = self.wants_learners(now);
-        let known = state.progress.get(&to);
-        if known.is_some_and(|known| self.is_sent_entries(to, known, wants_learners)) {
+        let is_learner_promotion_due = self.is_learner_promotion_due(now);
+        let progress = state.progress.get(&to);
+        if progress
+            .is_some_and(|progress| self.is_replication_due(to, progress, is_learner_promotion_due))
+        {
             self.send_append(now, to, false);
         }
     }
 
-    /// The lease runs from the *sending* of the newest round that a quorum answered.
+    /// Extends the lease, counted from the *send* time of the newest round acknowledged by a
+    /// quorum.
     fn renew_lease(&mut self) {
         let length = self.settings.election_min.saturating_sub(self.settings.clock_drift);
         let membership = self.log.membership().1.clone();
@@ -343,55 +357,55 @@
 
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(state) = &self.role else {
-            return self.deliver();
+            return self.deliver_committed();
         };
-        let first_index = state.first_index;
+        let term_start_index = state.term_start_index;
         let mut matched: BTreeMap<ReplicaId, Index> =
             state.progress.iter().map(|(peer, progress)| (*peer, progress.matched)).collect();
-        matched.insert(self.id, self.persisted);
+        matched.insert(self.id, self.persisted_index);
         let agreed = quorum_value(self.membership(), &matched);
-        // Entries of earlier terms are committed only through one of this term.
-        if agreed >= first_index && agreed > self.commit {
+        // Entries of earlier terms are committed only indirectly, by an entry of this term.
+        if agreed >= term_start_index && agreed > self.commit {
             self.commit = agreed;
         }
-        self.deliver();
+        self.deliver_committed();
     }
 
-    /// Whether this leader has committed an entry of its own term, and with it all that earlier
-    /// leaders have committed.
+    /// Whether this leader has committed an entry of its own term, and thus knows everything
+    /// that earlier leaders committed.
     pub fn has_committed_in_term(&self) -> bool {
         match &self.role {
-            Role::Leader(state) => self.commit >= state.first_index,
+            Role::Leader(state) => self.commit >= state.term_start_index,
             Role::Follower | Role::Candidate { .. } => false,
         }
     }
 
-    /// Whether the applied state may be read now.
+    /// Returns whether the applied state can be read now.
     pub fn read_readiness(&self, now: Moment) -> ReadReadiness {
         let Role::Leader(state) = &self.role else {
             return ReadReadiness::NotLeader;
         };
-        let is_alone = self.membership().has_quorum(&BTreeSet::from([self.id]));
-        if self.has_committed_in_term() && (is_alone || now < state.lease_until) {
+        let is_single_voter = self.membership().has_quorum(&BTreeSet::from([self.id]));
+        if self.has_committed_in_term() && (is_single_voter || now < state.lease_until) {
             ReadReadiness::Ready
         } else {
             ReadReadiness::NotYet
         }
     }
 
-    /// Hands leadership to the voter that is furthest along.
+    /// Transfers leadership to the most up-to-date voter.
     pub fn transfer_leadership(&mut self, now: Moment) {
-        self.transfer_to_best(now, |_| true);
+        self.transfer_to_most_up_to_date(now, |_| true);
     }
 
-    /// Hands leadership to the voter on this machine, if there is one.
+    /// Transfers leadership to the voter on `machine`, if there is one.
     pub fn transfer_leadership_to(&mut self, now: Moment, machine: u32) {
-        self.transfer_to_best(now, |voter| voter.machine == machine);
+        self.transfer_to_most_up_to_date(now, |voter| voter.machine == machine);
     }
 
-    fn transfer_to_best(&mut self, now: Moment, may_lead: impl Fn(&ReplicaId) -> bool) {
+    fn transfer_to_most_up_to_date(&mut self, now: Moment, may_lead: impl Fn(&ReplicaId) -> bool) {
         let voters = self.membership().voters.clone();
-        let patience = self.settings.election_max;
+        let timeout = self.settings.election_max;
         let Role::Leader(state) = &mut self.role else {
             return;
         };
@@ -401,12 +415,13 @@
         let is_candidate =
             |(peer, _): &(&ReplicaId, &Progress)| voters.contains(peer) && may_lead(peer);
         let candidates = state.progress.iter().filter(is_candidate);
-        let Some((target, _)) = candidates.max_by_key(|(_, known)| (known.matched, known.heard))
+        let Some((target, _)) =
+            candidates.max_by_key(|(_, progress)| (progress.matched, progress.last_reply))
         else {
             return;
         };
-        state.transfer_to = Some((*target, now + patience));
-        // The successor may answer reads as soon as it wins.
+        state.transfer_to = Some((*target, now + timeout));
+        // The new leader may serve reads as soon as it is elected.
         state.lease_until = Moment::ZERO;
         self.continue_transfer(now);
     }
@@ -420,7 +435,8 @@
         let Some((target, _)) = state.transfer_to else {
             return;
         };
-        let is_caught_up = state.progress.get(&target).is_some_and(|known| known.matched == last);
+        let is_caught_up =
+            state.progress.get(&target).is_some_and(|progress| progress.matched == last);
         if is_caught_up {
             self.send(target, Message::Campaign { term });
         }
--- a/crates/replication/src/raft/membership.rs
+++ b/crates/replication/src/raft/membership.rs
@@ -1,8 +1,8 @@
-//! Membership changes that a leader makes by itself, one replica at a time.
+//! Automatic membership changes by the leader, one replica at a time.
 //!
-//! A new disk learns first. It gets a vote when the group has fewer voters than wanted,
-//! or in exchange for a voter that is replaced: whose machine has a newer disk, that is
-//! evicted, or that has been silent for long.
+//! A new replica joins as a learner. It is promoted when the group has fewer voters than
+//! configured, or when it replaces a voter that is evicted, unresponsive, or superseded by a
+//! newer disk of the same machine.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,41 +13,40 @@
 use super::{Raft, Role, peers};
 use crate::message::{EntryKind, Membership, Message, ReplicaId, Term};
 
-/// A silent learner is dropped after this many times the patience with a voter.
-const FORGET_FACTOR: u32 = 3;
-/// Time between two questions of a machine that stands by. A place that falls vacant is
-/// taken within it.
-const STANDBY_RENEWAL: Duration = Duration::from_millis(1_000);
-/// How long a machine that stands by takes the leader for one: two of its answers may be lost.
-const STANDBY_HOLDS: Duration = Duration::from_millis(3_200);
+/// An unresponsive learner is removed after this multiple of `replace_after`.
+const LEARNER_REMOVAL_FACTOR: u32 = 3;
+/// Interval at which a standby machine renews its join request.
+const STANDBY_RENEW_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Time after which a standby reply expires. Tolerates the loss of two replies.
+const STANDBY_EXPIRY: Duration = Duration::from_millis(3_200);
 
-/// What a leader told a replica that is to stand by.
+/// Standby reply of a leader whose group needs no further replica.
 #[derive(Clone, Debug)]
-pub(super) struct StandbyOrder {
+pub(super) struct StandbyState {
     leader: ReplicaId,
     term: Term,
     machines: Vec<u32>,
-    /// When to ask again.
+    /// When to renew the join request.
     renew_at: Moment,
-    /// From when the leader counts as unknown.
-    ends: Moment,
+    /// When the reply expires and the leader becomes unknown.
+    expires_at: Moment,
 }
 
 impl Raft {
-    /// Names the machines that must hold no replica. The leader moves their votes to
-    /// other machines and refuses their requests to join.
+    /// Sets the machines that must not hold a replica. The leader replaces their voters and
+    /// rejects their join requests.
     pub fn set_evicted(&mut self, machines: BTreeSet<u32>) {
         self.evicted = machines;
     }
 
-    /// Whether this replica knows a leader whose group `from` does not belong to.
-    pub(super) fn is_unaware_outsider(&self, from: ReplicaId) -> bool {
+    /// Whether a leader is known and `from` is not a member of its group.
+    pub(super) fn is_non_member(&self, from: ReplicaId) -> bool {
         self.leader.is_some() && !self.membership().contains(from)
     }
 
-    /// Messages that need no membership. Whoever does not lead names the leader: a new
-    /// machine may know only members that follow.
-    pub(super) fn on_outsider(&mut self, now: Moment, from: ReplicaId, message: &Message) {
+    /// Handles the messages without a term, which non-members exchange with the group.
+    /// Followers answer a join request with the known leader.
+    pub(super) fn on_termless_message(&mut self, now: Moment, from: ReplicaId, message: &Message) {
         match message {
             Message::LeaderHint { leader } if *leader != self.id => {
                 self.send(*leader, Message::Join);
@@ -65,7 +64,7 @@
         }
     }
 
-    /// A replica on a new disk, or on a new machine, asks to join: it first learns.
+    /// Adds a replica on a new disk or a new machine as a learner.
     fn on_join(&mut self, now: Moment, from: ReplicaId) {
         let mut membership = self.membership().clone();
         let is_evicted = self.evicted.contains(&from.machine);
@@ -73,22 +72,22 @@
             return;
         }
         if !self.has_room_for(from) {
-            return self.let_stand_by(now, from);
+            return self.reply_standby(now, from);
         }
         membership.learners.retain(|known| known.machine != from.machine);
         membership.learners.insert(from);
         self.change_membership(now, membership);
     }
 
-    /// Whether a replica may learn: its machine has a part in the group already, or there
-    /// are fewer replicas than wanted.
+    /// Whether a replica can be added: its machine already belongs to the group, or the group
+    /// has fewer machines than configured.
     fn has_room_for(&self, from: ReplicaId) -> bool {
-        let machines = self.machines();
-        let wanted = self.settings.voters.saturating_add(self.settings.spares);
-        machines.contains(&from.machine) || machines.len() < wanted
+        let machines = self.membership_machines();
+        let max_machines = self.settings.voters.saturating_add(self.settings.spares);
+        machines.contains(&from.machine) || machines.len() < max_machines
     }
 
-    fn let_stand_by(&mut self, now: Moment, from: ReplicaId) {
+    fn reply_standby(&mut self, now: Moment, from: ReplicaId) {
         let machines = self.member_machines();
         if let Role::Leader(state) = &mut self.role {
             state.standbys.insert(from.machine, now);
@@ -97,37 +96,37 @@
         self.send(from, Message::Standby { leader_term, machines });
     }
 
-    /// A leader whose group needs no further replica: there is nothing to campaign for.
+    /// Handles the reply of a leader whose group needs no further replica.
     fn on_standby(&mut self, now: Moment, leader: ReplicaId, term: Term, machines: Vec<u32>) {
-        // A leader that was frozen answers before it notices that another one leads.
-        let is_stale = self.standby.as_ref().is_some_and(|order| order.term > term);
+        // A paused leader may reply before it learns that it was deposed.
+        let is_stale = self.standby.as_ref().is_some_and(|standby| standby.term > term);
         if self.is_leader() || is_stale {
             return;
         }
-        let ends = now + STANDBY_HOLDS;
-        let renew_at = now + STANDBY_RENEWAL;
-        self.standby = Some(StandbyOrder { leader, term, machines, renew_at, ends });
+        let expires_at = now + STANDBY_EXPIRY;
+        let renew_at = now + STANDBY_RENEW_INTERVAL;
+        self.standby = Some(StandbyState { leader, term, machines, renew_at, expires_at });
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.election_deadline = ends;
+        self.election_deadline = expires_at;
     }
 
-    /// Asks to be let in, when not a member: the leader whose group needed no further
-    /// replica, or every known replica.
+    /// Sends join requests if this replica is not an active member: to the leader that put it
+    /// on standby, or else to every known replica.
     pub fn ask_to_join(&mut self, now: Moment, machines: &[ReplicaId]) {
-        let standby = self.standby.as_ref().filter(|order| now < order.ends);
-        if standby.is_some_and(|order| now < order.renew_at) {
+        let standby = self.standby.as_ref().filter(|standby| now < standby.expires_at);
+        if standby.is_some_and(|standby| now < standby.renew_at) {
             return;
         }
-        if let Some(order) = standby {
-            let leader = order.leader;
+        if let Some(standby) = standby {
+            let leader = standby.leader;
             return self.send(leader, Message::Join);
         }
-        // A voter campaigns. A learner that hears no leader may have been left out meanwhile:
-        // nobody would tell it.
+        // Voters campaign instead. A learner without a leader may have been removed from the
+        // group without being notified.
         let is_voter = self.membership().is_voter(self.id);
-        let is_led = self.membership().contains(self.id) && self.leader.is_some();
-        if is_voter || is_led {
+        let has_leader = self.membership().contains(self.id) && self.leader.is_some();
+        if is_voter || has_leader {
             return;
         }
         let known = peers(self.membership(), self.id);
@@ -136,62 +135,62 @@
         }
     }
 
-    /// Tells machines outside the group who leads: those of `known` that have not asked lately,
-    /// and those that asked once. Otherwise machines that every new process asks first, and that
-    /// hold nothing, know only each other after a loss of power, and whoever asks them finds no leader.
-    pub fn call_outsiders(&mut self, now: Moment, known: &BTreeSet<u32>) {
-        let members = self.machines();
+    /// Announces the leader to the non-member machines in `known` and to former standbys, unless
+    /// they sent a join request recently. After a power failure, standby machines may otherwise
+    /// know only each other, and clients that contact them would not find the leader.
+    pub fn announce_leader(&mut self, now: Moment, known: &BTreeSet<u32>) {
+        let members = self.membership_machines();
         let Role::Leader(state) = &mut self.role else {
             return;
         };
-        if now < state.next_call {
+        if now < state.next_announcement {
             return;
         }
-        state.next_call = now + STANDBY_RENEWAL;
-        let asked_lately = |machine: &u32| {
+        state.next_announcement = now + STANDBY_RENEW_INTERVAL;
+        let renewed_recently = |machine: &u32| {
             state
                 .standbys
                 .get(machine)
-                .is_some_and(|asked| now.since(*asked) <= STANDBY_RENEWAL * 2)
+                .is_some_and(|renewed_at| now.since(*renewed_at) <= STANDBY_RENEW_INTERVAL * 2)
         };
-        let mut outsiders: BTreeSet<u32> =
+        let mut non_members: BTreeSet<u32> =
             known.iter().chain(state.standbys.keys()).copied().collect();
-        outsiders.retain(|machine| !members.contains(machine) && !asked_lately(machine));
-        for machine in outsiders {
-            // Whatever its disk: a hint is taken by any.
-            let outsider = ReplicaId { machine, disk: 0 };
-            self.send(outsider, Message::LeaderHint { leader: self.id });
+        non_members.retain(|machine| !members.contains(machine) && !renewed_recently(machine));
+        for machine in non_members {
+            // A leader hint is accepted regardless of the disk id.
+            let non_member = ReplicaId { machine, disk: 0 };
+            self.send(non_member, Message::LeaderHint { leader: self.id });
         }
     }
 
-    /// Machines that have a part in the group.
-    fn machines(&self) -> BTreeSet<u32> {
+    /// Machines of the members in the newest membership.
+    fn membership_machines(&self) -> BTreeSet<u32> {
         self.membership().all().map(|replica| replica.machine).collect()
     }
 
-    /// Machines of the group: those that the leader named, while this replica stands by.
+    /// Machines of the group. While this replica is on standby, those reported by the leader.
     pub fn member_machines(&self) -> Vec<u32> {
         match &self.standby {
-            Some(order) => order.machines.clone(),
+            Some(standby) => standby.machines.clone(),
             None => self.membership().all().map(|replica| replica.machine).collect(),
         }
     }
 
-    /// Machines without a replica that a leader may call on: they asked lately.
+    /// Machines without a replica that sent a join request recently and can be added.
     pub fn standby_machines(&self, now: Moment) -> BTreeSet<u32> {
         let Role::Leader(state) = &self.role else {
             return BTreeSet::new();
         };
-        let asked_lately = |(_, asked): &(&u32, &Moment)| now.since(**asked) <= STANDBY_HOLDS;
-        let members = self.machines();
-        let standbys = state.standbys.iter().filter(asked_lately);
+        let renewed_recently =
+            |(_, renewed_at): &(&u32, &Moment)| now.since(**renewed_at) <= STANDBY_EXPIRY;
+        let members = self.membership_machines();
+        let standbys = state.standbys.iter().filter(renewed_recently);
         let standbys = standbys.map(|(machine, _)| *machine);
         standbys.filter(|machine| !members.contains(machine)).collect()
     }
 
-    /// A change waits until the leader has committed an entry of its own term: two
-    /// leaders that change different memberships could otherwise both find a majority
-    /// (Ongaro, raft-dev, 2015).
+    /// Proposes a membership once an entry of this term is committed. Otherwise two leaders
+    /// that propose different memberships could both reach a majority (Ongaro, raft-dev, 2015).
     fn change_membership(&mut self, now: Moment, membership: Membership) {
         if !self.has_committed_in_term() {
             return;
@@ -202,9 +201,9 @@
         }
     }
 
-    /// Makes at most one change: drops a replaced voter, or gives a learner its vote.
-    pub(super) fn manage_members(&mut self, now: Moment) {
-        if self.has_unfinished_change() {
+    /// Proposes the next membership change, if one is due and none is pending.
+    pub(super) fn update_membership(&mut self, now: Moment) {
+        if self.has_pending_membership_change() {
             return;
         }
         if let Some(next) = self.next_membership(now) {
@@ -219,13 +218,13 @@
             return Some(Membership { outgoing, ..membership.clone() });
         }
         let ready = self.ready_learners(now);
-        if let Some(learner) = self.learner_with_free_vote(membership, &ready) {
+        if let Some(learner) = self.learner_to_promote(membership, &ready) {
             let mut next = membership.clone();
             next.learners.remove(&learner);
             next.voters.insert(learner);
             return Some(next);
         }
-        if let Some((replaced, successor)) = self.exchange(now, membership, &ready) {
+        if let Some((replaced, successor)) = self.voter_to_replace(now, membership, &ready) {
             let mut next = membership.clone();
             next.outgoing = membership.voters.clone();
             next.voters.remove(&replaced);
@@ -233,43 +232,48 @@
             next.learners.remove(&successor);
             return Some(next);
         }
-        let useless = self.useless_learner(now, membership)?;
+        let removed = self.learner_to_remove(now, membership)?;
         let mut next = membership.clone();
-        next.learners.remove(&useless);
+        next.learners.remove(&removed);
         Some(next)
     }
 
-    /// Whether a learner may be given a vote soon.
-    pub(super) fn wants_learners(&self, now: Moment) -> bool {
+    /// Whether a learner may be promoted soon and should be kept up to date.
+    pub(super) fn is_learner_promotion_due(&self, now: Moment) -> bool {
         let membership = self.membership();
-        let has_vote = |learner: &ReplicaId| {
+        let has_voter = |learner: &ReplicaId| {
             membership.voters.iter().any(|voter| voter.machine == learner.machine)
         };
         membership.voters.len() < self.settings.voters
             || membership.is_joint()
-            || membership.learners.iter().any(has_vote)
-            || membership.voters.iter().any(|voter| *voter != self.id && self.is_lost(now, voter))
+            || membership.learners.iter().any(has_voter)
+            || membership
+                .voters
+                .iter()
+                .any(|voter| *voter != self.id && self.should_replace(now, voter))
     }
 
-    /// Learners that have everything committed and answered lately.
+    /// Learners that have all committed entries and replied recently.
     fn ready_learners(&self, now: Moment) -> Vec<ReplicaId> {
         let Role::Leader(state) = &self.role else {
             return Vec::new();
         };
         let is_ready = |learner: &&ReplicaId| {
-            let known = state.progress.get(learner);
-            known.is_some_and(|known| known.matched >= self.commit && self.was_heard(now, known))
+            let progress = state.progress.get(learner);
+            progress.is_some_and(|progress| {
+                progress.matched >= self.commit && self.replied_recently(now, progress)
+            })
         };
         let learners = self.membership().learners.iter();
-        let may_vote = |learner: &&ReplicaId| !self.evicted.contains(&learner.machine);
-        learners.filter(is_ready).filter(may_vote).copied().collect()
+        let is_eligible = |learner: &&ReplicaId| !self.evicted.contains(&learner.machine);
+        learners.filter(is_ready).filter(is_eligible).copied().collect()
     }
 
-    fn was_heard(&self, now: Moment, progress: &Progress) -> bool {
-        now.since(progress.heard) <= self.settings.election_max
+    fn replied_recently(&self, now: Moment, progress: &Progress) -> bool {
+        now.since(progress.last_reply) <= self.settings.election_max
     }
 
-    fn learner_with_free_vote(
+    fn learner_to_promote(
         &self,
         membership: &Membership,
         ready: &[ReplicaId],
@@ -283,8 +287,8 @@
         ready.iter().find(|learner| !has_voter(learner)).copied()
     }
 
-    /// A voter that is replaced, and the ready learner that takes its vote over.
-    fn exchange(
+    /// Returns a voter to replace and the learner that takes its place.
+    fn voter_to_replace(
         &self,
         now: Moment,
         membership: &Membership,
@@ -297,57 +301,60 @@
                 return Some((*voter, *successor));
             }
         }
-        let replaced = others.into_iter().find(|voter| self.is_lost(now, voter))?;
+        let replaced = others.into_iter().find(|voter| self.should_replace(now, voter))?;
         ready.first().map(|successor| (*replaced, *successor))
     }
 
-    /// Whether a voter is to be replaced: evicted, or silent for too long.
-    fn is_lost(&self, now: Moment, voter: &ReplicaId) -> bool {
+    /// Whether a voter must be replaced because it is evicted or unresponsive.
+    fn should_replace(&self, now: Moment, voter: &ReplicaId) -> bool {
         let Role::Leader(state) = &self.role else {
             return false;
         };
-        let silent = state.progress.get(voter).map(|known| now.since(known.heard));
-        let is_silent = silent.is_some_and(|silent| silent > self.settings.replace_after);
-        self.evicted.contains(&voter.machine) || is_silent
+        let silence = state.progress.get(voter).map(|progress| now.since(progress.last_reply));
+        let is_unresponsive = silence.is_some_and(|silence| silence > self.settings.replace_after);
+        self.evicted.contains(&voter.machine) || is_unresponsive
     }
 
-    /// A learner that is evicted, or that nobody has heard of for very long.
-    fn useless_learner(&self, now: Moment, membership: &Membership) -> Option<ReplicaId> {
+    /// Returns a learner that is evicted or has been unresponsive for long.
+    fn learner_to_remove(&self, now: Moment, membership: &Membership) -> Option<ReplicaId> {
         let Role::Leader(state) = &self.role else {
             return None;
         };
-        let forget_after = self.settings.replace_after.saturating_mul(FORGET_FACTOR);
-        let is_gone = |learner: &&ReplicaId| {
-            let silent = state.progress.get(learner).map(|known| now.since(known.heard));
-            silent.is_some_and(|silent| silent > forget_after)
+        let remove_after = self.settings.replace_after.saturating_mul(LEARNER_REMOVAL_FACTOR);
+        let is_unresponsive = |learner: &&ReplicaId| {
+            let silence =
+                state.progress.get(learner).map(|progress| now.since(progress.last_reply));
+            silence.is_some_and(|silence| silence > remove_after)
         };
         let is_evicted = |learner: &&ReplicaId| self.evicted.contains(&learner.machine);
         let mut learners = membership.learners.iter();
-        learners.find(|learner| is_gone(learner) || is_evicted(learner)).copied()
+        learners.find(|learner| is_unresponsive(learner) || is_evicted(learner)).copied()
     }
 
     /// Whether the newest membership is committed.
     pub fn has_settled_membership(&self) -> bool {
-        !self.has_unfinished_change()
+        !self.has_pending_membership_change()
     }
 
-    /// Whether every machine of the group has one caught-up voter: then another
-    /// machine may be lost without losing anything.
+    /// Whether all voters are responsive and caught up, no learner awaits promotion, and no
+    /// membership change is in progress. Another machine can then fail without data loss.
     pub fn is_fully_replicated(&self, now: Moment) -> bool {
         let Role::Leader(state) = &self.role else {
             return false;
         };
         let membership = self.membership();
-        let has_pending = membership.learners.iter().any(|learner| {
+        let has_pending_replacement = membership.learners.iter().any(|learner| {
             let same_machine = |voter: &&ReplicaId| voter.machine == learner.machine;
             membership.voters.iter().any(|voter| same_machine(&voter))
         });
         let lacks_voters = membership.voters.len() < self.settings.voters;
-        let lets_wait = lacks_voters && !membership.learners.is_empty();
-        let is_changing = has_pending || lets_wait || self.has_unfinished_change();
+        let has_promotable_learner = lacks_voters && !membership.learners.is_empty();
+        let is_changing = has_pending_replacement
+            || has_promotable_learner
+            || self.has_pending_membership_change();
         let is_current = |progress: &Progress| {
-            let was_heard = now.since(progress.heard) <= self.settings.election_max;
-            was_heard && progress.matched >= self.commit
+            let replied_recently = now.since(progress.last_reply) <= self.settings.election_max;
+            replied_recently && progress.matched >= self.commit
         };
         let mut others = membership.voters.iter().filter(|voter| **voter != self.id);
         !is_changing
--- a/crates/replication/src/raft/mod.rs
+++ b/crates/replication/src/raft/mod.rs
@@ -1,8 +1,8 @@
-//! The protocol of one group as a state machine.
+//! Raft protocol of one group, implemented as a deterministic state machine.
 //!
-//! [`Raft`] never reads a clock, draws only from its own seeded generator, and
-//! touches neither disk nor network: it takes messages and returns [`Effects`].
-//! The caller must make an effect's writes durable before it sends its messages.
+//! [`Raft`] reads no clock, uses its own seeded random generator and performs no disk or
+//! network I/O: it consumes messages and ticks, and produces [`Effects`]. The caller must make
+//! the writes of an [`Effects`] durable before it sends the messages in it.
 
 mod election;
 mod follower;
@@ -23,32 +23,32 @@
 };
 use leader::LeaderState;
 use log::RaftLog;
-use membership::StandbyOrder;
+use membership::StandbyState;
 
-/// Timing and batch limits of a group.
+/// Timing, size and batch limits of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct RaftSettings {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Shortest silence after which a follower campaigns. Must exceed `heartbeat`.
+    /// Minimum election timeout. Must exceed `heartbeat`.
     pub election_min: Duration,
-    /// Longest such silence.
+    /// Maximum election timeout.
     pub election_max: Duration,
-    /// By how much clocks of two machines may differ over one election timeout.
+    /// Maximum drift between the clocks of two machines within one election timeout.
     pub clock_drift: Duration,
-    /// Voters that a group is to have; further replicas stay learners and step in.
+    /// Target number of voters. Further replicas stay learners until a voter is replaced.
     pub voters: usize,
-    /// Learners that a group is to have beside its voters. Further machines stand by:
-    /// they hold nothing, and cost the leader a message a second.
+    /// Target number of learners beside the voters. Further machines are on standby: they
+    /// store no data and only renew their join request periodically.
     pub spares: usize,
-    /// Silence after which a ready learner takes a voter's place.
+    /// Time without an answer after which a caught-up learner replaces a voter.
     pub replace_after: Duration,
-    /// Most entries in one message.
+    /// Maximum number of entries in one message.
     pub max_entries_per_message: usize,
-    /// Most bytes of commands in one message, about.
+    /// Approximate maximum size of the commands in one message, in bytes.
     pub max_bytes_per_message: usize,
-    /// Most entries on their way to one follower; it bounds what a leader queues for a
-    /// follower that is slow.
+    /// Maximum number of unacknowledged entries sent to one follower. Bounds what a leader
+    /// queues for a slow follower.
     pub max_entries_in_flight: u64,
 }
 
@@ -69,45 +69,45 @@
     }
 }
 
-/// What must be done after a step. Writes come before messages.
+/// Actions the caller must perform after a step. Writes come before messages.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// Term and vote to store.
+    /// Term and vote to persist.
     pub hard_state: Option<HardState>,
-    /// Stored entries from this index on are to be dropped before `append`.
+    /// Index from which stored entries must be deleted before `append` is written.
     pub truncate_from: Option<Index>,
-    /// Entries to store.
+    /// Entries to append to the stored log.
     pub append: Vec<Entry>,
-    /// State that replaces log and state machine.
+    /// Snapshot that replaces the log and the state of the state machine.
     pub install: Option<Arc<Snapshot>>,
     /// Messages to send once everything above is durable.
     pub messages: Vec<(ReplicaId, Message)>,
-    /// Entries that became committed, to apply in order.
+    /// Newly committed entries, to be applied in order.
     pub committed: Vec<Entry>,
-    /// Leadership was won (`true`) or lost (`false`).
+    /// Set when leadership was gained (`true`) or lost (`false`).
     pub leadership: Option<bool>,
 }
 
-/// Whether a read of the applied state is up to date now.
+/// Whether a linearizable read of the applied state can be served now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadReadiness {
-    /// This replica leads under a valid lease and has applied everything committed.
+    /// This replica leads with a valid lease and has applied all committed entries.
     Ready,
-    /// It leads but a quorum has not confirmed that yet.
+    /// It leads, but no quorum has confirmed that yet.
     NotYet,
-    /// It does not lead.
+    /// It is not the leader.
     NotLeader,
 }
 
-/// Why a proposal was not taken. It is certain that it will not be applied.
+/// Reason a proposal was rejected. A rejected proposal is never applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, perhaps this one.
+    /// This replica is not the leader. Carries the known leader, if any.
     #[error("not the leader")]
     NotLeader(Option<ReplicaId>),
-    /// Another change of membership is not finished.
-    #[error("a membership change is under way")]
-    ChangeUnderWay,
+    /// A previous membership change is not committed yet.
+    #[error("a membership change is not committed yet")]
+    MembershipChangePending,
 }
 
 #[derive(Debug)]
@@ -117,7 +117,7 @@
     Leader(LeaderState),
 }
 
-/// One replica of one group.
+/// Protocol state of one replica of one group.
 #[derive(Debug)]
 pub struct Raft {
     id: ReplicaId,
@@ -128,22 +128,22 @@
     role: Role,
     leader: Option<ReplicaId>,
     commit: Index,
-    /// Highest index that is durable here.
-    persisted: Index,
-    /// Entries handed out as committed so far.
-    delivered: Index,
+    /// Highest index that is durable on this replica.
+    persisted_index: Index,
+    /// Highest index handed out in [`Effects::committed`].
+    delivered_index: Index,
     election_deadline: Moment,
-    /// No vote is given before this moment, since a leader may hold a lease.
-    votes_from: Moment,
-    /// Machines that must hold no replica.
+    /// Votes are refused before this moment because a leader may still hold a lease.
+    votes_allowed_from: Moment,
+    /// Machines that must not hold a replica.
     evicted: BTreeSet<u32>,
-    /// What the leader of a group told that this replica is no member of.
-    standby: Option<StandbyOrder>,
+    /// Set while a leader keeps this replica on standby instead of adding it to the group.
+    standby: Option<StandbyState>,
     effects: Effects,
 }
 
 impl Raft {
-    /// Starts from what was recovered from disk.
+    /// Creates a replica from the state recovered from disk.
     pub fn new(
         id: ReplicaId,
         settings: RaftSettings,
@@ -160,16 +160,16 @@
             settings,
             random: ChaCha8Rng::seed_from_u64(seed),
             hard_state,
-            persisted: log.last_index(),
+            persisted_index: log.last_index(),
             log,
             role: Role::Follower,
             leader: None,
             commit,
-            delivered: commit,
+            delivered_index: commit,
             election_deadline: now,
-            // A replica forgets at a restart which leader it acknowledged, and
-            // that leader may still hold a lease because of it.
-            votes_from: now + settings.election_min,
+            // The leader acknowledged before a restart is not stored, and may still hold a lease
+            // that relies on this replica.
+            votes_allowed_from: now + settings.election_min,
             evicted: BTreeSet::new(),
             standby: None,
             effects: Effects::default(),
@@ -178,7 +178,7 @@
         raft
     }
 
-    /// This replica.
+    /// Identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -188,17 +188,17 @@
         self.hard_state.term
     }
 
-    /// The replica believed to lead.
+    /// The known leader of the current term, if any.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Whether this replica leads (perhaps without knowing that it lost).
+    /// Whether this replica considers itself the leader. It may have been deposed already.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Highest committed index known here.
+    /// Highest index known to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
@@ -218,12 +218,12 @@
         self.log.membership().1
     }
 
-    /// Takes what the steps so far ask for.
+    /// Returns and clears the actions accumulated since the last call.
     pub fn take_effects(&mut self) -> Effects {
         std::mem::take(&mut self.effects)
     }
 
-    /// Lets time pass: heartbeats, elections, and a leader's own doubt.
+    /// Advances time: sends heartbeats, starts elections, and deposes a leader without quorum.
     pub fn tick(&mut self, now: Moment) {
         match self.role {
             Role::Leader(_) => self.tick_leader(now),
@@ -235,23 +235,23 @@
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Moment, from: ReplicaId, message: Message) {
         let Some(term) = message.term() else {
-            return self.on_outsider(now, from, &message);
+            return self.on_termless_message(now, from, &message);
         };
-        if matches!(message, Message::Vote { .. }) && self.is_unaware_outsider(from) {
-            // It was replaced while it was away, and believes to be a voter.
-            self.on_outsider(now, from, &Message::Join);
+        if matches!(message, Message::Vote { .. }) && self.is_non_member(from) {
+            // The sender was removed from the group and has not learned of it.
+            self.on_termless_message(now, from, &Message::Join);
         }
-        if self.must_ignore_vote(now, &message) {
+        if self.must_refuse_vote(now, &message) {
             return self.refuse_vote(from, &message);
         }
         if term > self.hard_state.term && raises_term(&message) {
             self.become_follower(now, term, None);
         }
         if term < self.hard_state.term {
-            return self.answer_stale(from, &message);
+            return self.reply_to_stale(from, &message);
         }
         match message {
             Message::Vote { .. } => self.on_vote(now, from, &message),
@@ -271,7 +271,7 @@
                 self.on_append_reply(now, from, matched, refused, round)
             }
             Message::Campaign { .. } => self.campaign(now, false, true),
-            // Those without a term were answered above; segments travel outside the protocol.
+            // Messages without a term are handled above or outside the protocol (segments).
             Message::Join
             | Message::LeaderHint { .. }
             | Message::Standby { .. }
@@ -280,16 +280,17 @@
         }
     }
 
-    /// Everything appended up to `index` is durable here.
-    pub fn persisted(&mut self, index: Index) {
-        self.persisted = index.min(self.log.last_index());
+    /// Records that all entries up to `index` are durable on this replica.
+    pub fn mark_persisted(&mut self, index: Index) {
+        self.persisted_index = index.min(self.log.last_index());
         self.advance_commit();
     }
 
-    /// Proposes a command; returns its place if it gets committed in this term.
+    /// Appends an entry as the leader. Returns its term and index; it is not committed yet.
     ///
     /// # Errors
-    /// When this replica does not lead, or is handing leadership over.
+    /// When this replica is not the leader, is transferring leadership, or a membership change
+    /// is proposed while another one is uncommitted.
     pub fn propose(&mut self, kind: EntryKind) -> Result<(Term, Index), ProposeError> {
         let Role::Leader(state) = &self.role else {
             return Err(ProposeError::NotLeader(self.leader));
@@ -297,17 +298,17 @@
         if state.is_transferring() {
             return Err(ProposeError::NotLeader(None));
         }
-        if matches!(kind, EntryKind::Membership(_)) && self.has_unfinished_change() {
-            return Err(ProposeError::ChangeUnderWay);
+        if matches!(kind, EntryKind::Membership(_)) && self.has_pending_membership_change() {
+            return Err(ProposeError::MembershipChangePending);
         }
-        Ok(self.append_own(kind))
+        Ok(self.append_as_leader(kind))
     }
 
-    fn has_unfinished_change(&self) -> bool {
+    fn has_pending_membership_change(&self) -> bool {
         self.log.membership().0 > self.commit
     }
 
-    fn append_own(&mut self, kind: EntryKind) -> (Term, Index) {
+    fn append_as_leader(&mut self, kind: EntryKind) -> (Term, Index) {
         let term = self.hard_state.term;
         let index = self.log.last_index() + 1;
         let entry = Entry { term, index, kind };
@@ -316,7 +317,7 @@
         (term, index)
     }
 
-    /// Replaces the entries up to `index` by a snapshot of the applied state.
+    /// Replaces the entries up to `index` with a snapshot of the applied state.
     pub fn compact(
         &mut self,
         index: Index,
@@ -333,13 +334,13 @@
         Some(snapshot)
     }
 
-    /// Whether the state of `snapshot` would replace the one held here.
+    /// Whether installing `snapshot` would replace the local state.
     pub fn needs_snapshot(&self, snapshot: &Snapshot) -> bool {
         let has_prefix = self.log.term_at(snapshot.index) == Some(snapshot.term);
         snapshot.index > self.commit && !has_prefix
     }
 
-    /// The tail of the log after the last snapshot.
+    /// Entries after the last snapshot.
     pub fn entries(&self) -> &[Entry] {
         self.log.entries()
     }
@@ -349,7 +350,7 @@
         self.log.snapshot()
     }
 
-    /// Term and vote.
+    /// Persistent term and vote.
     pub fn hard_state(&self) -> HardState {
         self.hard_state
     }
@@ -378,20 +379,20 @@
         self.effects.messages.push((to, message));
     }
 
-    /// Delivers entries up to `commit`.
-    fn deliver(&mut self) {
+    /// Hands out the entries up to the commit index.
+    fn deliver_committed(&mut self) {
         let up_to = self.commit.min(self.log.last_index());
-        if up_to > self.delivered {
-            let entries = self.log.between(self.delivered, up_to);
+        if up_to > self.delivered_index {
+            let entries = self.log.entries_between(self.delivered_index, up_to);
             self.effects.committed.extend(entries);
-            self.delivered = up_to;
+            self.delivered_index = up_to;
         }
     }
 
-    fn answer_stale(&mut self, from: ReplicaId, message: &Message) {
+    fn reply_to_stale(&mut self, from: ReplicaId, message: &Message) {
         let term = self.hard_state.term;
         match message {
-            // The old leader learns of the newer term from the answer.
+            // The reply tells the deposed leader about the newer term.
             Message::Append { round, .. } | Message::Install { round, .. } => {
                 let reply = Message::AppendReply { term, matched: 0, refused: None, round: *round };
                 self.send(from, reply);
@@ -402,7 +403,8 @@
     }
 }
 
-/// A pre-vote asks about a term that nobody has yet, so it must not raise ours.
+/// Whether a message with a higher term makes the receiver adopt that term. Pre-votes carry a
+/// term that no replica has adopted yet.
 fn raises_term(message: &Message) -> bool {
     match message {
         Message::Vote { pre, .. } => !pre,
@@ -411,22 +413,22 @@
     }
 }
 
-/// Peers of `id` in `membership`, in order.
+/// Members other than `id`, in order.
 fn peers(membership: &Membership, id: ReplicaId) -> Vec<ReplicaId> {
     membership.all().filter(|peer| *peer != id).collect()
 }
 
-/// Per-replica values that a quorum reaches: the largest value such that a majority of
-/// every set that counts has at least it.
+/// Returns the largest value that a quorum has reached, that is, that a majority of every
+/// voter set has reached or exceeded.
 fn quorum_value<V: Ord + Copy + Default>(
     membership: &Membership,
     values: &BTreeMap<ReplicaId, V>,
 ) -> V {
-    let of_voters = majority_value(&membership.voters, values);
+    let voters_value = majority_value(&membership.voters, values);
     if membership.is_joint() {
-        of_voters.min(majority_value(&membership.outgoing, values))
+        voters_value.min(majority_value(&membership.outgoing, values))
     } else {
-        of_voters
+        voters_value
     }
 }
 
--- a/crates/replication/src/storage/disk.rs
+++ b/crates/replication/src/storage/disk.rs
@@ -1,5 +1,5 @@
-//! The few operations that the log needs of a disk, so that a simulated disk
-//! can lose what was not synced.
+//! File operations needed by the log. The trait allows tests to use a simulated disk that loses
+//! unsynced data.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -7,16 +7,16 @@
 
 use super::DiskError;
 
-/// A folder of files with explicit durability.
+/// A flat folder of files with explicit control of durability.
 pub trait Disk {
-    /// The whole content of `name`; `None` when there is no such file.
+    /// Reads the whole file; `None` if it does not exist.
     ///
     /// # Errors
     /// When the disk fails.
     fn read(&self, name: &str) -> Result<Option<Vec<u8>>, DiskError>;
 
-    /// `length` bytes of `name` from `offset` on; fewer at its end, none where there is no
-    /// such file.
+    /// Reads up to `length` bytes from `offset` on. Returns fewer at the end of the file, and none
+    /// if it does not exist.
     ///
     /// # Errors
     /// When the disk fails.
@@ -27,7 +27,7 @@
         Ok(whole[start..end].to_vec())
     }
 
-    /// Length of `name`, in bytes; `None` when there is no such file.
+    /// Length of the file in bytes; `None` if it does not exist.
     ///
     /// # Errors
     /// When the disk fails.
@@ -35,59 +35,59 @@
         Ok(self.read(name)?.map(|whole| whole.len() as u64))
     }
 
-    /// Appends to `name`, which is created if need be. Not durable before [`Disk::sync`].
+    /// Appends to a file, creating it if necessary. Durable only after [`Disk::sync`].
     ///
     /// # Errors
     /// When the disk fails or is full; part of `bytes` may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
 
-    /// Makes all appends to `name` durable.
+    /// Makes all appends to the file durable.
     ///
     /// # Errors
-    /// When the disk fails; nothing can be assumed of what was appended.
+    /// When the disk fails. It is then unknown which appends were stored.
     fn sync(&mut self, name: &str) -> Result<(), DiskError>;
 
-    /// Replaces `name` by `bytes`, durably and all or nothing.
+    /// Replaces the content of the file atomically and durably.
     ///
     /// # Errors
-    /// When the disk fails or is full; the old content stays.
+    /// When the disk fails or is full. The old content is then kept.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
 
-    /// Cuts `name` to `length` bytes, durably.
+    /// Truncates the file to `length` bytes durably.
     ///
     /// # Errors
     /// When the disk fails.
     fn truncate(&mut self, name: &str, length: usize) -> Result<(), DiskError>;
 
-    /// Removes `name`, if it is there.
+    /// Removes the file if it exists.
     ///
     /// # Errors
     /// When the disk fails.
     fn remove(&mut self, name: &str) -> Result<(), DiskError>;
 
-    /// The names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
     /// When the disk fails.
     fn list(&self) -> Result<Vec<String>, DiskError>;
 }
 
-/// Ending of files that are being written and not yet in place.
+/// Suffix of files that are being written and not renamed yet.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// A folder of the operating system.
+/// A folder in the file system.
 #[derive(Debug)]
 pub struct DirectoryDisk {
     folder: PathBuf,
-    /// The file that was appended to last, kept open.
+    /// The file appended to last, kept open.
     open: Option<(String, File)>,
 }
 
 impl DirectoryDisk {
-    /// Opens `folder`, which is created if need be.
+    /// Opens a folder, creating it if necessary.
     ///
     /// # Errors
-    /// When it cannot be created.
+    /// When the folder cannot be created.
     pub fn open(folder: &Path) -> Result<Self, DiskError> {
         fs::create_dir_all(folder).map_err(|source| DiskError::Io {
             operation: "create",
@@ -101,22 +101,26 @@
         self.folder.join(name)
     }
 
-    fn check<T>(operation: &'static str, name: &str, done: io::Result<T>) -> Result<T, DiskError> {
-        done.map_err(|source| DiskError::Io { operation, file: name.to_owned(), source })
+    fn with_context<T>(
+        operation: &'static str,
+        name: &str,
+        result: io::Result<T>,
+    ) -> Result<T, DiskError> {
+        result.map_err(|source| DiskError::Io { operation, file: name.to_owned(), source })
     }
 
     fn sync_folder(&self) -> Result<(), DiskError> {
         let synced = File::open(&self.folder).and_then(|folder| folder.sync_all());
-        Self::check("sync", "data folder", synced)
+        Self::with_context("sync", "data folder", synced)
     }
 
-    fn file(&mut self, name: &str) -> Result<&mut File, DiskError> {
+    fn open_for_append(&mut self, name: &str) -> Result<&mut File, DiskError> {
         let is_open = self.open.as_ref().is_some_and(|(open, _)| open == name);
         if !is_open {
             let path = self.path(name);
             let is_new = !path.exists();
             let opened = OpenOptions::new().create(true).append(true).open(path);
-            let file = Self::check("open", name, opened)?;
+            let file = Self::with_context("open", name, opened)?;
             if is_new {
                 self.sync_folder()?;
             }
@@ -134,7 +138,7 @@
         match fs::read(self.path(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(error) => Self::check("read", name, Err(error)),
+            Err(error) => Self::with_context("read", name, Err(error)),
         }
     }
 
@@ -147,7 +151,7 @@
         };
         match read() {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
-            done => Self::check("read", name, done).map(|_| bytes),
+            result => Self::with_context("read", name, result).map(|_| bytes),
         }
     }
 
@@ -155,18 +159,18 @@
         match fs::metadata(self.path(name)) {
             Ok(metadata) => Ok(Some(metadata.len())),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(error) => Self::check("look up", name, Err(error)),
+            Err(error) => Self::with_context("look up", name, Err(error)),
         }
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        let written = self.file(name)?.write_all(bytes);
-        Self::check("append", name, written)
+        let written = self.open_for_append(name)?.write_all(bytes);
+        Self::with_context("append", name, written)
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        let synced = self.file(name)?.sync_data();
-        Self::check("sync", name, synced)
+        let synced = self.open_for_append(name)?.sync_data();
+        Self::with_context("sync", name, synced)
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
@@ -177,7 +181,7 @@
             file.sync_all()?;
             fs::rename(self.path(&temporary), self.path(name))
         };
-        Self::check("replace", name, write())?;
+        Self::with_context("replace", name, write())?;
         if self.open.as_ref().is_some_and(|(open, _)| open == name) {
             self.open = None;
         }
@@ -190,20 +194,20 @@
             file.set_len(length as u64)?;
             file.sync_all()
         };
-        Self::check("truncate", name, cut())
+        Self::with_context("truncate", name, cut())
     }
 
     fn remove(&mut self, name: &str) -> Result<(), DiskError> {
         match fs::remove_file(self.path(name)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                Self::check("remove", name, Err(error))
+                Self::with_context("remove", name, Err(error))
             }
             _ => Ok(()),
         }
     }
 
     fn list(&self) -> Result<Vec<String>, DiskError> {
-        let entries = Self::check("list", "data folder", fs::read_dir(&self.folder))?;
+        let entries = Self::with_context("list", "data folder", fs::read_dir(&self.folder))?;
         let names = entries.flatten().filter_map(|entry| entry.file_name().into_string().ok());
         Ok(names.filter(|name| !name.ends_with(TEMPORARY_SUFFIX)).collect())
     }
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -1,8 +1,7 @@
-//! The log of all groups of one machine.
+//! Log file shared by all groups of a machine.
 //!
-//! All groups share one file, so that one sync makes the writes of all of them
-//! durable. Snapshots are files of their own; a new log file starts with
-//! references to them when the old one has grown.
+//! One sync makes the writes of all groups durable. Snapshots and segments are separate files.
+//! When the log file has grown, it is replaced by a new one that refers to the latest snapshots.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,7 +10,7 @@
 use calicohoist_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
 
-use super::frame::{self, Found};
+use super::frame::{self, FrameRead};
 use super::{Disk, DiskError};
 use crate::message::{Entry, GroupId, HardState, Index, Membership, SegmentId, Snapshot};
 
@@ -20,59 +19,58 @@
 const SEGMENT_PREFIX: &str = "segment-";
 const IDENTITY_FILE: &str = "identity";
 
-/// One change to a group's stored state.
+/// A change to the stored state of a group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Write {
     /// Term and vote.
     HardState(GroupId, HardState),
-    /// Drops stored entries from an index on.
+    /// Removes the entries from an index on.
     Truncate(GroupId, Index),
-    /// Adds entries.
+    /// Appends entries.
     Append(GroupId, Vec<Entry>),
-    /// The group's state starts from a snapshot file; earlier entries are dropped,
-    /// and all entries if `clears_log`.
+    /// Puts a snapshot file into effect and removes the entries that it covers.
     Snapshot {
         /// The group.
         group: GroupId,
-        /// Index of the snapshot; names its file.
+        /// Index of the snapshot, which is part of the file name.
         index: Index,
-        /// Whether entries after `index` are dropped, too.
+        /// Whether to remove the entries after `index` as well.
         clears_log: bool,
     },
 }
 
-/// What was found of one group.
+/// Recovered state of one group.
 #[derive(Debug)]
 pub struct RecoveredGroup {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The last snapshot.
+    /// Latest snapshot.
     pub snapshot: Arc<Snapshot>,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// What was found on a disk.
+/// State recovered from a disk.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// Identity of the data folder; `None` for a folder that was never used.
+    /// Identity of the data folder; `None` for a new folder.
     pub disk: Option<u32>,
-    /// Machines of the first membership, on a disk of the first start.
+    /// Machines of the initial membership, if the folder was created at bootstrap.
     pub founders: Vec<u32>,
-    /// The groups.
+    /// Recovered groups.
     pub groups: BTreeMap<GroupId, RecoveredGroup>,
-    /// Segments that are held whole.
+    /// Stored segments.
     pub segments: BTreeSet<(GroupId, SegmentId)>,
 }
 
 #[derive(Debug, Default)]
-struct Replay {
+struct ReplayedGroup {
     hard_state: HardState,
     snapshot: Option<Index>,
     entries: Vec<Entry>,
 }
 
-/// The open log.
+/// An open log.
 #[derive(Debug)]
 pub struct DiskLog<D> {
     disk: D,
@@ -81,85 +79,88 @@
 }
 
 impl<D: Disk> DiskLog<D> {
-    /// Opens the log and reads everything that was stored.
+    /// Opens the log and recovers the stored state.
     ///
     /// # Errors
-    /// [`DiskError::Corrupt`] when a file is damaged other than by a crash.
+    /// [`DiskError::Corrupt`] for damage that a torn write cannot explain, and other errors when
+    /// the disk fails.
     pub fn open(disk: D) -> Result<(Self, Recovered), DiskError> {
-        let number = newest_log(&disk)?;
+        let number = newest_log_number(&disk)?;
         let mut log = Self { disk, number, bytes: 0 };
         let replayed = log.replay()?;
-        let (disk, founders) = log.read_identity()?;
-        let segments = log.segments()?;
-        let mut recovered = Recovered { disk, founders, groups: BTreeMap::new(), segments };
+        let (disk, initial_machines) = log.read_identity()?;
+        let segments = log.list_segments()?;
+        let mut recovered =
+            Recovered { disk, founders: initial_machines, groups: BTreeMap::new(), segments };
         for (group, replay) in replayed {
             let snapshot = log.read_snapshot(group, replay.snapshot)?;
-            let found = RecoveredGroup {
+            let recovered_group = RecoveredGroup {
                 hard_state: replay.hard_state,
                 snapshot: Arc::new(snapshot),
                 entries: replay.entries,
             };
-            recovered.groups.insert(group, found);
+            recovered.groups.insert(group, recovered_group);
         }
         Ok((log, recovered))
     }
 
-    /// Stores the identity of a new data folder, and the founders if it is one of theirs.
+    /// Stores the identity of a new data folder and, at bootstrap, the initial machines.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn write_identity(&mut self, disk: u32, founders: &[u32]) -> Result<(), DiskError> {
+    pub fn write_identity(&mut self, disk: u32, initial_machines: &[u32]) -> Result<(), DiskError> {
         let mut file = Vec::new();
-        let words = std::iter::once(&disk).chain(founders);
+        let words = std::iter::once(&disk).chain(initial_machines);
         let payload: Vec<u8> = words.flat_map(|word| word.to_le_bytes()).collect();
         frame::write(&mut file, &payload);
         self.disk.replace(IDENTITY_FILE, &file)
     }
 
-    /// Makes `writes` durable together.
+    /// Appends `writes` as one batch and syncs it.
     ///
     /// # Errors
-    /// When the disk fails or is full. Nothing may be assumed stored.
+    /// When the disk fails or is full. It is then unknown which writes were stored.
     pub fn commit(&mut self, writes: &[Write]) -> Result<(), DiskError> {
         let name = log_name(self.number);
         let mut batch = Vec::new();
-        frame::write(&mut batch, &encoded(&name, &writes)?);
+        frame::write(&mut batch, &encode_payload(&name, &writes)?);
         self.disk.append(&name, &batch)?;
         self.disk.sync(&name)?;
         self.bytes += batch.len();
         Ok(())
     }
 
-    /// Bytes in the current log file.
+    /// Size of the current log file, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Stores a snapshot file. It counts once a [`Write::Snapshot`] refers to it.
+    /// Stores a snapshot file. It takes effect when a [`Write::Snapshot`] that refers to it is
+    /// committed.
     ///
     /// # Errors
     /// When the disk fails or is full.
     pub fn store_snapshot(&mut self, group: GroupId, snapshot: &Snapshot) -> Result<(), DiskError> {
         let name = snapshot_name(group, snapshot.index);
         let mut file = Vec::new();
-        frame::write(&mut file, &encoded(&name, snapshot)?);
+        frame::write(&mut file, &encode_payload(&name, snapshot)?);
         self.disk.replace(&name, &file)
     }
 
-    /// Drops the snapshot files of a group other than those at `kept`.
+    /// Removes the snapshot files of a group, except those with an index in `kept`.
     ///
     /// # Errors
     /// When the disk fails.
-    pub fn remove_snapshots_but(
+    pub fn remove_snapshots_except(
         &mut self,
         group: GroupId,
         kept: &[Index],
     ) -> Result<(), DiskError> {
         let kept: Vec<String> = kept.iter().map(|index| snapshot_name(group, *index)).collect();
-        self.remove_files_but(&format!("{SNAPSHOT_PREFIX}{group}-"), &kept)
+        self.remove_files_except(&format!("{SNAPSHOT_PREFIX}{group}-"), &kept)
     }
 
-    /// Stores a whole segment, durably.
+    /// Stores a complete segment durably.
     ///
     /// # Errors
     /// When the disk fails or is full.
@@ -172,7 +173,7 @@
         self.disk.replace(&segment_name(group, segment), bytes)
     }
 
-    /// Part of a segment; shorter than `length` at its end.
+    /// Reads up to `length` bytes of a segment, fewer at its end.
     ///
     /// # Errors
     /// When the disk fails.
@@ -186,7 +187,7 @@
         self.disk.read_range(&segment_name(group, segment), offset, length)
     }
 
-    /// Length of a segment, in bytes; `None` when it is not held.
+    /// Length of a segment in bytes, or `None` if it is not stored.
     ///
     /// # Errors
     /// When the disk fails.
@@ -198,7 +199,7 @@
         self.disk.length(&segment_name(group, segment))
     }
 
-    /// Drops a segment.
+    /// Removes a segment.
     ///
     /// # Errors
     /// When the disk fails.
@@ -206,20 +207,22 @@
         self.disk.remove(&segment_name(group, segment))
     }
 
-    fn segments(&self) -> Result<BTreeSet<(GroupId, SegmentId)>, DiskError> {
+    fn list_segments(&self) -> Result<BTreeSet<(GroupId, SegmentId)>, DiskError> {
         let names = self.disk.list()?;
-        Ok(names.iter().filter_map(|name| segment_of(name)).collect())
+        Ok(names.iter().filter_map(|name| parse_segment_name(name)).collect())
     }
 
-    /// Starts a new log file that holds only `writes`, and drops what it replaces.
+    /// Replaces the log file with a new one that contains only `writes`, and removes the snapshots
+    /// that are no longer referenced.
     ///
     /// # Errors
-    /// When the disk fails or is full; the old log stays in use.
+    /// When the disk fails or is full. If the new file cannot be written, the old one stays in
+    /// use.
     pub fn rewrite(&mut self, writes: &[Write]) -> Result<(), DiskError> {
         let number = self.number + 1;
         let name = log_name(number);
         let mut file = Vec::new();
-        frame::write(&mut file, &encoded(&name, &writes)?);
+        frame::write(&mut file, &encode_payload(&name, &writes)?);
         self.disk.replace(&name, &file)?;
         self.disk.remove(&log_name(self.number))?;
         self.number = number;
@@ -227,12 +230,12 @@
         self.remove_old_snapshots(writes)
     }
 
-    /// Gives the disk back, for instance to crash a simulated one.
+    /// Returns the underlying disk, for example to simulate a crash.
     pub fn into_disk(self) -> D {
         self.disk
     }
 
-    /// The disk, for instance to inspect a simulated one.
+    /// The underlying disk, for example to inspect a simulated one.
     pub fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
@@ -245,11 +248,11 @@
                 _ => None,
             })
             .collect();
-        self.remove_files_but(SNAPSHOT_PREFIX, &in_use)
+        self.remove_files_except(SNAPSHOT_PREFIX, &in_use)
     }
 
-    /// Removes the files whose names begin with `prefix`, but for those in `kept`.
-    fn remove_files_but(&mut self, prefix: &str, kept: &[String]) -> Result<(), DiskError> {
+    /// Removes the files whose names begin with `prefix`, except those in `kept`.
+    fn remove_files_except(&mut self, prefix: &str, kept: &[String]) -> Result<(), DiskError> {
         for name in self.disk.list()? {
             if name.starts_with(prefix) && !kept.contains(&name) {
                 self.disk.remove(&name)?;
@@ -258,21 +261,21 @@
         Ok(())
     }
 
-    fn replay(&mut self) -> Result<BTreeMap<GroupId, Replay>, DiskError> {
+    fn replay(&mut self) -> Result<BTreeMap<GroupId, ReplayedGroup>, DiskError> {
         let name = log_name(self.number);
         let bytes = self.disk.read(&name)?.unwrap_or_default();
         let mut groups = BTreeMap::new();
         let mut offset = 0;
         loop {
             match frame::read(&name, &bytes, offset)? {
-                Found::End => break,
-                Found::CutShort => {
-                    emit!(Event::LogTailCut, "{name}: cut from byte {offset}");
+                FrameRead::End => break,
+                FrameRead::Torn => {
+                    emit!(Event::LogTailCut, "{name}: truncated torn write at byte {offset}");
                     self.disk.truncate(&name, offset)?;
                     break;
                 }
-                Found::Frame(payload, next) => {
-                    let writes: Vec<Write> = decoded(&name, offset, payload)?;
+                FrameRead::Frame(payload, next) => {
+                    let writes: Vec<Write> = decode_payload(&name, offset, payload)?;
                     writes.into_iter().for_each(|write| replay_write(&mut groups, write));
                     offset = next;
                 }
@@ -286,7 +289,7 @@
         let Some(bytes) = self.disk.read(IDENTITY_FILE)? else {
             return Ok((None, Vec::new()));
         };
-        let Found::Frame(payload, _) = frame::read(IDENTITY_FILE, &bytes, 0)? else {
+        let FrameRead::Frame(payload, _) = frame::read(IDENTITY_FILE, &bytes, 0)? else {
             return Err(corrupt(IDENTITY_FILE, 0, "incomplete"));
         };
         let (words, rest) = payload.as_chunks::<4>();
@@ -311,13 +314,13 @@
         let bytes = self.disk.read(&name)?;
         let bytes = bytes.ok_or_else(|| corrupt(&name, 0, "missing"))?;
         match frame::read(&name, &bytes, 0)? {
-            Found::Frame(payload, _) => decoded(&name, 0, payload),
-            Found::End | Found::CutShort => Err(corrupt(&name, 0, "incomplete")),
+            FrameRead::Frame(payload, _) => decode_payload(&name, 0, payload),
+            FrameRead::End | FrameRead::Torn => Err(corrupt(&name, 0, "incomplete")),
         }
     }
 }
 
-fn replay_write(groups: &mut BTreeMap<GroupId, Replay>, write: Write) {
+fn replay_write(groups: &mut BTreeMap<GroupId, ReplayedGroup>, write: Write) {
     match write {
         Write::HardState(group, hard_state) => {
             groups.entry(group).or_default().hard_state = hard_state;
@@ -337,7 +340,7 @@
     }
 }
 
-fn newest_log(disk: &impl Disk) -> Result<u64, DiskError> {
+fn newest_log_number(disk: &impl Disk) -> Result<u64, DiskError> {
     let names = disk.list()?;
     let numbers = names.iter().filter_map(|name| name.strip_prefix(LOG_PREFIX)?.parse().ok());
     Ok(numbers.max().unwrap_or(1))
@@ -355,7 +358,7 @@
     format!("{SEGMENT_PREFIX}{group}-{:012}", segment.0)
 }
 
-fn segment_of(name: &str) -> Option<(GroupId, SegmentId)> {
+fn parse_segment_name(name: &str) -> Option<(GroupId, SegmentId)> {
     let (group, segment) = name.strip_prefix(SEGMENT_PREFIX)?.split_once('-')?;
     Some((GroupId(group.parse().ok()?), SegmentId(segment.parse().ok()?)))
 }
@@ -364,11 +367,11 @@
     DiskError::Corrupt { file: file.to_owned(), offset, problem: problem.to_owned() }
 }
 
-fn encoded<T: Serialize>(file: &str, value: &T) -> Result<Vec<u8>, DiskError> {
+fn encode_payload<T: Serialize>(file: &str, value: &T) -> Result<Vec<u8>, DiskError> {
     encode(value).map_err(|error| corrupt(file, 0, &error.to_string()))
 }
 
-fn decoded<T: for<'a> Deserialize<'a>>(
+fn decode_payload<T: for<'a> Deserialize<'a>>(
     file: &str,
     offset: usize,
     payload: &[u8],
--- a/crates/replication/src/storage/mod.rs
+++ b/crates/replication/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! Durable storage: one checksummed log for all groups of a machine.
+//! Durable storage: a checksummed log file shared by all groups of a machine.
 
 mod disk;
 mod frame;
@@ -9,43 +9,43 @@
 
 use crate::message::{GroupId, Index};
 
-/// Why storage failed. A replica that meets any of these stops taking part.
+/// Storage failure. A replica stops on any of these.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The operating system refused an operation.
+    /// A file operation failed.
     #[error("{operation} {file}: {source}")]
     Io {
-        /// What was done.
+        /// Operation that failed.
         operation: &'static str,
-        /// To which file.
+        /// File name.
         file: String,
-        /// The refusal.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A file holds something else than what was written.
+    /// The content of a file is damaged.
     #[error("{file} is damaged at byte {offset}: {problem}")]
     Corrupt {
-        /// The file.
+        /// File name.
         file: String,
-        /// Where.
+        /// Offset of the damage, in bytes.
         offset: usize,
-        /// What is wrong.
+        /// Description of the damage.
         problem: String,
     },
-    /// What the log holds is whole, and of a kind that this build does not know.
-    #[error("{what} {index} of group {group} cannot be read by this build; start a newer one")]
+    /// An intact entry or snapshot has a format unknown to this build.
+    #[error("{what} {index} of group {group} can only be decoded by a newer build")]
     Unreadable {
         /// The group.
         group: GroupId,
-        /// An entry or a snapshot.
+        /// `"entry"` or `"snapshot"`.
         what: &'static str,
-        /// Its index.
+        /// Index of the entry or snapshot.
         index: Index,
     },
 }
 
 impl DiskError {
-    /// Whether it says that the disk is full.
+    /// Whether the error is caused by a full disk.
     pub fn is_full(&self) -> bool {
         match self {
             Self::Io { source, .. } => source.kind() == std::io::ErrorKind::StorageFull,
--- a/crates/replication/tests/log.rs
+++ b/crates/replication/tests/log.rs
@@ -1,5 +1,5 @@
-//! The disk log against crashes and damage: a cut tail is repaired, any other
-//! change of any bit is noticed, and the file does not grow without bound.
+//! Crash recovery and corruption detection of the log file: a torn tail is truncated, any other
+//! bit flip is detected, and rewrites stay infrequent.
 
 use std::time::Duration;
 
@@ -18,7 +18,6 @@
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 200,
-        // The same damage on every run.
         rng_seed: RngSeed::Fixed(7),
         failure_persistence: None,
         ..ProptestConfig::default()
@@ -29,8 +28,8 @@
     Entry { term: 1, index, kind: EntryKind::Command(vec![byte; 20].into()) }
 }
 
-/// A log of `count` batches of one entry each; returns its folder and file.
-fn written(count: u64) -> (TempDir, std::path::PathBuf) {
+/// Writes a log with `count` batches of one entry each. Returns its folder and file.
+fn write_log(count: u64) -> (TempDir, std::path::PathBuf) {
     let folder = tempfile::tempdir().expect("a folder");
     let disk = DirectoryDisk::open(folder.path()).expect("a disk");
     let (mut log, _) = DiskLog::open(disk).expect("an empty log");
@@ -56,68 +55,68 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// The file system had room for the write, but only its first part was stored.
+    /// Guards against torn writes where the file was extended but only partly written.
     #[test]
-    fn a_last_write_that_ends_in_zeros_is_cut(count in 2u64..12, share in 0.0f64..1.0) {
-        let (folder, file) = written(count);
-        let whole = std::fs::read(&file).expect("the log");
+    fn zero_filled_torn_write_is_truncated(count in 2u64..12, share in 0.0f64..1.0) {
+        let (folder, file) = write_log(count);
+        let bytes = std::fs::read(&file).expect("the log");
         let before = {
-            let (shorter, file) = written(count - 1);
+            let (shorter, file) = write_log(count - 1);
             let length = std::fs::read(&file).expect("the log").len();
             drop(shorter);
             length
         };
-        let last = whole.len() - before;
+        let last = bytes.len() - before;
         let stored = before + ((last - 9) as f64 * share) as usize;
-        let mut torn = whole;
+        let mut torn = bytes;
         torn[stored..].fill(0);
         std::fs::write(&file, &torn).expect("damage");
-        let entries = reopen(&folder).expect("a torn tail is no damage");
+        let entries = reopen(&folder).expect("a torn tail is recoverable");
         prop_assert_eq!(entries.len() as u64, count - 1);
     }
 
     #[test]
-    fn a_tail_cut_anywhere_leaves_a_prefix(count in 1u64..12, share in 0.0f64..1.0) {
-        let (folder, file) = written(count);
+    fn truncated_log_recovers_a_prefix(count in 1u64..12, share in 0.0f64..1.0) {
+        let (folder, file) = write_log(count);
         let bytes = std::fs::read(&file).expect("the log");
         let kept = (bytes.len() as f64 * share) as usize;
         std::fs::write(&file, &bytes[..kept]).expect("a cut log");
-        let entries = reopen(&folder).expect("a cut tail is no damage");
+        let entries = reopen(&folder).expect("a truncated tail is recoverable");
         prop_assert!(entries.len() as u64 <= count);
         for (position, found) in entries.iter().enumerate() {
             let index = position as u64 + 1;
             prop_assert_eq!(found, &entry(index, index as u8));
         }
-        // What was repaired can be written to and read again.
+        // Recovery is idempotent.
         prop_assert_eq!(reopen(&folder).expect("a repaired log"), entries);
     }
 
     #[test]
-    fn a_flipped_bit_is_always_noticed(
+    fn bit_flip_is_detected(
         count in 1u64..12,
         share in 0.0f64..1.0,
         bit in 0u8..8,
     ) {
-        let (folder, file) = written(count);
+        let (folder, file) = write_log(count);
         let mut bytes = std::fs::read(&file).expect("the log");
         let position = ((bytes.len() - 1) as f64 * share) as usize;
         bytes[position] ^= 1 << bit;
         std::fs::write(&file, &bytes).expect("a damaged log");
-        prop_assert!(reopen(&folder).is_err(), "byte {position} bit {bit} went unnoticed");
+        prop_assert!(reopen(&folder).is_err(), "flipped bit {bit} of byte {position} not detected");
     }
 }
 
 #[test]
-fn damage_before_the_tail_stops_the_replica() {
-    let (folder, file) = written(10);
+fn corruption_before_the_tail_is_an_error() {
+    let (folder, file) = write_log(10);
     let mut bytes = std::fs::read(&file).expect("the log");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&file, &bytes).expect("a damaged log");
-    assert!(reopen(&folder).is_err(), "damage in the middle must not be taken for a crash");
+    assert!(reopen(&folder).is_err(), "damage in the middle must not be treated as a torn write");
 }
 
-/// Counts how often a file is written as a whole.
+/// Disk that counts file replacements.
 struct CountingDisk {
     disk: DirectoryDisk,
     replaced: u32,
@@ -155,9 +154,9 @@
 }
 
 #[derive(Default)]
-struct Nothing;
+struct NoopStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NoopStateMachine {
     type Output = ();
 
     fn new(_group: GroupId) -> Self {
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn entries_without_a_snapshot_do_not_make_every_flush_rewrite_the_log() {
+fn log_without_snapshots_is_rewritten_rarely() {
     let folder = tempfile::tempdir().expect("a folder");
     let disk = DirectoryDisk::open(folder.path()).expect("a disk");
     let (mut log, recovered) =
@@ -188,7 +187,7 @@
     };
     let id = ReplicaId { machine: 1, disk: 0 };
     let mut now = Moment::from_micros(10_000_000);
-    let mut node = Node::<Nothing>::new(id, settings, &[1], &[GROUP], recovered, now);
+    let mut node = Node::<NoopStateMachine>::new(id, settings, &[1], &[GROUP], recovered, now);
     for ticket in 0..400 {
         now = now + Duration::from_millis(10);
         node.tick(now);
--- a/crates/replication/tests/unreadable.rs
+++ b/crates/replication/tests/unreadable.rs
@@ -1,6 +1,5 @@
-//! What a log holds and this build cannot read stops the replica. It went on without: an entry was
-//! passed over, and a snapshot left the first, empty state behind, so that what had been
-//! acknowledged was gone on that machine, and would have been gone for all once it led.
+//! A replica stops at an entry or snapshot that its build cannot decode. Continuing without it
+//! would lose acknowledged commands.
 
 use calicohoist_replication::{
     DirectoryDisk, DiskError, DiskLog, GroupId, Node, NodeSettings, ReplicaId, StateMachine,
@@ -10,16 +9,16 @@
 const GROUP: GroupId = GroupId(0);
 const MACHINE: u32 = 1;
 const ID: ReplicaId = ReplicaId { machine: MACHINE, disk: 0 };
-/// A command of a later build.
-const LATER: &[u8] = b"later";
-/// Long enough for an election among one.
-const A_WHILE: Moment = Moment::from_micros(10_000_000);
+/// Command that only newer builds can decode.
+const NEWER_COMMAND: &[u8] = b"later";
+/// Later than the election timeout of a single-replica group.
+const AFTER_ELECTION_TIMEOUT: Moment = Moment::from_micros(10_000_000);
 
-/// Reads what builds up to its own have written; the state is the number of commands.
+/// Counts commands. Decodes data written by builds up to `BUILD`.
 struct Counter<const BUILD: u8>(u8);
 
 impl<const BUILD: u8> StateMachine for Counter<BUILD> {
-    /// Whether the command was read.
+    /// Whether the command was decoded.
     type Output = bool;
 
     fn new(_group: GroupId) -> Self {
@@ -27,9 +26,9 @@
     }
 
     fn apply(&mut self, command: &[u8]) -> bool {
-        let is_read = BUILD > 1 || command != LATER;
-        self.0 += u8::from(is_read);
-        is_read
+        let is_decoded = BUILD > 1 || command != NEWER_COMMAND;
+        self.0 += u8::from(is_decoded);
+        is_decoded
     }
 
     fn is_unreadable(output: &bool) -> bool {
@@ -61,47 +60,47 @@
     (node, log)
 }
 
-/// Leads, and applies what is in the log.
+/// Becomes leader and applies the committed entries.
 fn lead<const BUILD: u8>(node: &mut Node<Counter<BUILD>>, log: &mut Log) -> Result<(), DiskError> {
-    node.tick(A_WHILE);
+    node.tick(AFTER_ELECTION_TIMEOUT);
     for _ in 0..3 {
-        node.flush(A_WHILE, log)?;
+        node.flush(AFTER_ELECTION_TIMEOUT, log)?;
     }
     Ok(())
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_stops_the_replica_and_one_that_can_read_it_goes_on() {
+fn undecodable_entry_stops_the_replica_until_upgraded() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut node, mut log) = open::<1>(&folder);
     lead(&mut node, &mut log).expect("leads");
-    node.propose(GROUP, LATER.to_vec(), 1).expect("leads");
-    let stopped = node.flush(A_WHILE, &mut log).map(|_| ());
-    let again = node.flush(A_WHILE, &mut log).map(|_| ());
-    for ended in [stopped, again] {
-        assert!(matches!(ended, Err(DiskError::Unreadable { what: "entry", .. })), "{ended:?}");
+    node.propose(GROUP, NEWER_COMMAND.to_vec(), 1).expect("leads");
+    let first = node.flush(AFTER_ELECTION_TIMEOUT, &mut log).map(|_| ());
+    let second = node.flush(AFTER_ELECTION_TIMEOUT, &mut log).map(|_| ());
+    for result in [first, second] {
+        assert!(matches!(result, Err(DiskError::Unreadable { what: "entry", .. })), "{result:?}");
     }
     drop((node, log));
     let (mut newer, mut log) = open::<2>(&folder);
-    lead(&mut newer, &mut log).expect("reads all");
+    lead(&mut newer, &mut log).expect("decodes everything");
     assert_eq!(newer.machine(GROUP).map(|state| state.0), Some(1));
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_stops_the_replica_and_stays_for_one_that_can() {
+fn undecodable_snapshot_stops_the_replica_and_is_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut newer, mut log) = open::<2>(&folder);
     lead(&mut newer, &mut log).expect("leads");
     for ticket in 1..=3 {
-        newer.propose(GROUP, LATER.to_vec(), ticket).expect("leads");
-        newer.flush(A_WHILE, &mut log).expect("applies");
+        newer.propose(GROUP, NEWER_COMMAND.to_vec(), ticket).expect("leads");
+        newer.flush(AFTER_ELECTION_TIMEOUT, &mut log).expect("applies");
     }
     drop((newer, log));
     let (mut older, mut log) = open::<1>(&folder);
-    let ended = lead(&mut older, &mut log);
-    assert!(matches!(ended, Err(DiskError::Unreadable { what: "snapshot", .. })), "{ended:?}");
+    let result = lead(&mut older, &mut log);
+    assert!(matches!(result, Err(DiskError::Unreadable { what: "snapshot", .. })), "{result:?}");
     drop((older, log));
     let (mut newer, mut log) = open::<2>(&folder);
-    lead(&mut newer, &mut log).expect("reads all");
+    lead(&mut newer, &mut log).expect("decodes everything");
     assert_eq!(newer.machine(GROUP).map(|state| state.0), Some(3));
 }
