--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: length, CRC-32C, payload.
+//! Frame format: length, CRC-32C checksum, payload.
 
 use std::io;
 
@@ -8,26 +8,26 @@
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Length and checksum before each payload.
+/// Size of the frame header: payload length and checksum.
 pub const HEADER_BYTES: usize = 8;
-const READ_BYTES: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Encodes `message` as a frame.
 ///
 /// # Errors
-/// When it cannot be represented or is too long.
+/// When the message cannot be serialized or is too long.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let mut frame = Vec::new();
     write_frame(&mut frame, message)?;
     Ok(frame)
 }
 
-/// The frame of an encoded message.
+/// Returns the frame of a serialized message.
 pub fn frame_of(payload: &[u8]) -> Vec<u8> {
     begin_frame(payload.len(), crc32c::crc32c(payload), payload)
 }
 
-/// The header of a payload of this length and checksum, with the `first` part of the payload.
+/// Returns a frame header followed by the `first` part of the payload.
 fn begin_frame(length: usize, checksum: u32, first: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(HEADER_BYTES + first.len());
     frame.extend_from_slice(&(length as u32).to_le_bytes());
@@ -36,13 +36,13 @@
     frame
 }
 
-/// Length and checksum of the payload that follows a header.
+/// Decodes the payload length and checksum of a header.
 pub(crate) fn split_header(header: &[u8; HEADER_BYTES]) -> (usize, u32) {
     let [a, b, c, d, e, f, g, h] = *header;
     (u32::from_le_bytes([a, b, c, d]) as usize, u32::from_le_bytes([e, f, g, h]))
 }
 
-/// The last field of a message, encoded once for the frames of many connections.
+/// Last field of a message, serialized once and shared by the frames of many connections.
 #[derive(Clone, Debug)]
 pub struct SharedField {
     encoded: Bytes,
@@ -50,10 +50,10 @@
 }
 
 impl SharedField {
-    /// Encodes a field.
+    /// Serializes a field.
     ///
     /// # Errors
-    /// When it cannot be represented.
+    /// When the field cannot be serialized.
     pub fn encode<T: Serialize>(field: &T) -> Result<Self, FrameError> {
         let encoded = Bytes::from(encode(field)?);
         let checksum = crc32c::crc32c(&encoded);
@@ -61,60 +61,61 @@
     }
 }
 
-/// A frame that is to be written.
+/// A frame to be sent.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    own: Vec<u8>,
-    shared: Bytes,
+    head: Vec<u8>,
+    shared_tail: Bytes,
 }
 
 impl Frame {
-    /// The frame of `message`.
+    /// Encodes `message` as a frame.
     ///
     /// # Errors
-    /// When it cannot be represented or is too long.
+    /// When the message cannot be serialized or is too long.
     pub fn encode<T: Serialize>(message: &T) -> Result<Self, FrameError> {
-        Ok(Self { own: encode_frame(message)?, shared: Bytes::new() })
+        Ok(Self { head: encode_frame(message)?, shared_tail: Bytes::new() })
     }
 
-    /// The frame of a message of two fields, of which many frames share the last: a message is
-    /// encoded as its fields, one after the other.
+    /// Encodes a message of two fields whose last field is shared with other frames. This relies
+    /// on a message being serialized as the concatenation of its fields.
     ///
     /// # Errors
-    /// When it cannot be represented or is too long.
+    /// When the message cannot be serialized or is too long.
     pub fn with_shared<T: Serialize>(first: &T, last: &SharedField) -> Result<Self, FrameError> {
         let first = encode(first)?;
-        let shared = last.encoded.clone();
-        let length = first.len() + shared.len();
+        let shared_tail = last.encoded.clone();
+        let length = first.len() + shared_tail.len();
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
-        let checksum = crc32c::crc32c_combine(crc32c::crc32c(&first), last.checksum, shared.len());
-        Ok(Self { own: begin_frame(length, checksum, &first), shared })
+        let checksum =
+            crc32c::crc32c_combine(crc32c::crc32c(&first), last.checksum, shared_tail.len());
+        Ok(Self { head: begin_frame(length, checksum, &first), shared_tail })
     }
 
-    /// Bytes on the wire.
+    /// Length of the frame, in bytes.
     pub fn len(&self) -> usize {
-        self.own.len() + self.shared.len()
+        self.head.len() + self.shared_tail.len()
     }
 
-    /// Whether there are none; no frame is without its header.
+    /// Whether the frame has no bytes. Always `false`, since a frame has a header.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that only this frame holds in memory.
-    pub fn own_bytes(&self) -> usize {
-        self.own.len()
+    /// Memory held by this frame alone, without the shared field, in bytes.
+    pub fn unshared_bytes(&self) -> usize {
+        self.head.len()
     }
 
-    /// What is to be written, in this order.
+    /// Returns the two parts of the frame, in the order in which they are sent.
     pub(crate) fn into_parts(self) -> (Vec<u8>, Bytes) {
-        (self.own, self.shared)
+        (self.head, self.shared_tail)
     }
 }
 
-/// Reads frames; cancelling a read loses nothing.
+/// Reads frames. Reads are cancellation-safe.
 pub struct FrameReader<R> {
     input: R,
     buffer: BytesMut,
@@ -122,56 +123,57 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads from `input`.
+    /// Creates a reader of `input`.
     pub fn new(input: R) -> Self {
         Self { input, buffer: BytesMut::new(), last_len: 0 }
     }
 
-    /// Bytes on the wire of the message that was read last.
+    /// Length of the last frame that was read, in bytes.
     pub fn last_len(&self) -> usize {
         self.last_len
     }
 
-    /// The next message.
+    /// Reads the next message.
     ///
     /// # Errors
-    /// See [`FrameError`]; the connection is of no use afterwards.
+    /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, FrameError> {
         self.next_noting(|| {}).await
     }
 
-    /// The same; `on_bytes` is called whenever bytes have come, of a whole message or not.
+    /// Reads the next message and calls `on_bytes` whenever data arrives, even if the message is
+    /// incomplete.
     ///
     /// # Errors
-    /// See [`FrameError`]; the connection is of no use afterwards.
+    /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn next_noting<T: DeserializeOwned>(
         &mut self,
         mut on_bytes: impl FnMut(),
     ) -> Result<T, FrameError> {
-        self.fill(&mut on_bytes).await?;
+        self.buffer_frame(&mut on_bytes).await?;
         calicohoist_wire::decode(&self.take_payload()?)
     }
 
-    /// The next payload if `is_wanted`; else it is left to be read.
+    /// Reads the next payload if `predicate` accepts it. Otherwise leaves it for the next read.
     ///
     /// # Errors
-    /// See [`FrameError`]; the connection is of no use afterwards.
+    /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn take_if(
         &mut self,
-        is_wanted: impl FnOnce(&[u8]) -> bool,
+        predicate: impl FnOnce(&[u8]) -> bool,
     ) -> Result<Option<Bytes>, FrameError> {
-        let length = self.fill(&mut || {}).await?;
-        let is_wanted = is_wanted(&self.buffer[HEADER_BYTES..HEADER_BYTES + length]);
-        is_wanted.then(|| self.take_payload()).transpose()
+        let length = self.buffer_frame(&mut || {}).await?;
+        let is_accepted = predicate(&self.buffer[HEADER_BYTES..HEADER_BYTES + length]);
+        is_accepted.then(|| self.take_payload()).transpose()
     }
 
-    /// Reads until a whole frame is here; returns the length of its payload.
-    async fn fill(&mut self, on_bytes: &mut impl FnMut()) -> Result<usize, FrameError> {
+    /// Reads until a complete frame is buffered and returns the length of its payload.
+    async fn buffer_frame(&mut self, on_bytes: &mut impl FnMut()) -> Result<usize, FrameError> {
         loop {
-            if let Some(length) = self.whole_payload()? {
+            if let Some(length) = self.buffered_payload_len()? {
                 return Ok(length);
             }
-            self.buffer.reserve(READ_BYTES);
+            self.buffer.reserve(READ_BUFFER_BYTES);
             if self.input.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Length of the next payload, once all of it is here.
-    fn whole_payload(&self) -> Result<Option<usize>, FrameError> {
+    /// Length of the next payload if it is completely buffered.
+    fn buffered_payload_len(&self) -> Result<Option<usize>, FrameError> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
@@ -191,7 +193,7 @@
         Ok((self.buffer.len() >= HEADER_BYTES + length).then_some(length))
     }
 
-    /// Takes a payload that is here as a whole.
+    /// Removes the next payload from the buffer and verifies its checksum.
     fn take_payload(&mut self) -> Result<Bytes, FrameError> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked frames between processes over asynchronous TCP.
+//! Checksummed frames between processes over asynchronous TCP.
 //!
-//! The same frames as those of `calicohoist-wire`: length, CRC-32C and a bincode
-//! payload. This crate serves event-driven processes, that one serves threads.
+//! The frame format is that of `calicohoist-wire`: length, CRC-32C and a bincode payload. This
+//! crate is for asynchronous code, `calicohoist-wire` for blocking code.
 
 pub mod frame;
 pub mod link;
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,5 +1,4 @@
-//! One-way links: frames to one address over a connection that is opened anew
-//! whenever it breaks.
+//! One-way links, which send frames to one address and reconnect when the connection breaks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,136 +11,137 @@
 use crate::refusal::RefusalLog;
 use crate::version::{self, ProtocolVersion, VersionRange};
 
-/// Frames that may wait for a connection; more are dropped.
-const QUEUE: usize = 1_024;
-/// Bytes of frames that may wait in a link; more are dropped. A frame that finds none
-/// waiting is taken whatever its size: a snapshot may be larger.
-const QUEUE_BYTES: usize = 4 << 20;
-/// Frames written with one system call.
-const BATCH: usize = 64;
-const CONNECT_PATIENCE: Duration = Duration::from_millis(300);
-const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of messages in the queue of a link. Further ones are dropped.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Maximum size of the queued messages of a link, in bytes. Further ones are dropped. A single
+/// message of any size is accepted if the queue is empty, since snapshots may be larger.
+const MAX_QUEUED_BYTES: usize = 4 << 20;
+/// Maximum number of frames written with one system call.
+const MAX_BATCH_FRAMES: usize = 64;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 static REFUSALS: RefusalLog = RefusalLog::new("link");
 
-/// What a link sends. It gets its form once the version is agreed on.
+/// Message sent over a link. It is encoded once the protocol version has been negotiated.
 pub trait LinkMessage: Send + 'static {
-    /// Bytes that it holds while it waits.
+    /// Memory held by the message while it is queued, in bytes.
     fn waiting_bytes(&self) -> usize;
 
-    /// Its frame.
+    /// Encodes the message as a frame in the given version.
     fn into_frame(self, version: ProtocolVersion) -> Vec<u8>;
 }
 
-/// How each connection of a link begins.
+/// Start of each connection of a link: version negotiation, followed by a greeting.
 pub struct LinkOpening {
     versions: VersionRange,
-    greet: Box<dyn Fn(ProtocolVersion) -> Vec<u8> + Send + Sync>,
+    greeting: Box<dyn Fn(ProtocolVersion) -> Vec<u8> + Send + Sync>,
 }
 
 impl LinkOpening {
-    /// Offers `versions`, and then sends the frame that `greet` makes for the one that is chosen.
+    /// Offers `versions`, then sends the frame that `greeting` returns for the negotiated version.
     pub fn offer(
         versions: VersionRange,
-        greet: impl Fn(ProtocolVersion) -> Vec<u8> + Send + Sync + 'static,
+        greeting: impl Fn(ProtocolVersion) -> Vec<u8> + Send + Sync + 'static,
     ) -> Self {
-        Self { versions, greet: Box::new(greet) }
+        Self { versions, greeting: Box::new(greeting) }
     }
 }
 
-/// Sends frames to one address. Frames are dropped while there is no connection or
-/// the queue is full: what matters is repeated by the protocol above.
+/// Sends messages to one address. Messages are dropped when the queue is full or the connection
+/// fails; retransmission is left to the protocol above.
 #[derive(Debug)]
 pub struct Link<M> {
     queue: mpsc::Sender<M>,
-    /// Bytes of messages that are queued.
-    waiting: Arc<AtomicUsize>,
+    /// Size of the queued messages, in bytes.
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 impl<M: LinkMessage> Link<M> {
-    /// Opens a link within a runtime.
-    pub fn open(address: SocketAddr, opening: LinkOpening) -> Self {
-        let (queue, messages) = mpsc::channel(QUEUE);
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let messages = LinkMessages { messages, waiting: Arc::clone(&waiting) };
-        tokio::spawn(run(address, opening, messages));
-        Self { queue, waiting }
+    /// Opens a link. Must be called within a Tokio runtime.
+    pub fn open(address: SocketAddr, handshake: LinkOpening) -> Self {
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
+        let messages = LinkReceiver { messages, queued_bytes: Arc::clone(&queued_bytes) };
+        tokio::spawn(run(address, handshake, messages));
+        Self { queue, queued_bytes }
     }
 
-    /// Queues a message; `false` when it was dropped.
+    /// Queues a message. Returns `false` if it was dropped.
     pub fn queue(&self, message: M) -> bool {
         let bytes = message.waiting_bytes();
-        let before = self.waiting.fetch_add(bytes, Ordering::Relaxed);
-        let has_room = before == 0 || before + bytes <= QUEUE_BYTES;
+        let before = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let has_room = before == 0 || before + bytes <= MAX_QUEUED_BYTES;
         let is_queued = has_room && self.queue.try_send(message).is_ok();
         if !is_queued {
-            self.waiting.fetch_sub(bytes, Ordering::Relaxed);
+            self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
         }
         is_queued
     }
 }
 
-/// The receiving end of a link's queue.
-struct LinkMessages<M> {
+/// Receiving end of the queue of a link.
+struct LinkReceiver<M> {
     messages: mpsc::Receiver<M>,
-    waiting: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-impl<M: LinkMessage> LinkMessages<M> {
-    /// Waits for messages and takes up to [`BATCH`] of them; none once the link is gone.
-    async fn take(&mut self) -> Vec<M> {
-        let mut taken = Vec::new();
-        self.messages.recv_many(&mut taken, BATCH).await;
-        let bytes = taken.iter().map(M::waiting_bytes).sum();
-        self.waiting.fetch_sub(bytes, Ordering::Relaxed);
-        taken
+impl<M: LinkMessage> LinkReceiver<M> {
+    /// Waits for messages and returns up to [`MAX_BATCH_FRAMES`] of them, or none once the link is
+    /// dropped.
+    async fn recv_batch(&mut self) -> Vec<M> {
+        let mut batch = Vec::new();
+        self.messages.recv_many(&mut batch, MAX_BATCH_FRAMES).await;
+        let bytes = batch.iter().map(M::waiting_bytes).sum();
+        self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
+        batch
     }
 
-    /// Drops what waits: it is out of date.
-    fn drop_all(&mut self) {
+    /// Discards the queued messages, which are outdated after a connection failure.
+    fn discard_queued(&mut self) {
         while let Ok(message) = self.messages.try_recv() {
-            self.waiting.fetch_sub(message.waiting_bytes(), Ordering::Relaxed);
+            self.queued_bytes.fetch_sub(message.waiting_bytes(), Ordering::Relaxed);
         }
     }
 }
 
-/// Connects when there is something to send, so that links to machines that are
-/// gone cost nothing.
+/// Sends the messages of a link. Connects only when there is something to send, so that links to
+/// removed machines consume no resources.
 async fn run<M: LinkMessage>(
     address: SocketAddr,
-    opening: LinkOpening,
-    mut messages: LinkMessages<M>,
+    handshake: LinkOpening,
+    mut messages: LinkReceiver<M>,
 ) {
     loop {
-        let first = messages.take().await;
+        let first = messages.recv_batch().await;
         if first.is_empty() {
             return;
         }
-        let versions = opening.versions;
-        match version::connect(address, CONNECT_PATIENCE, USER_TIMEOUT, versions).await {
+        let versions = handshake.versions;
+        match version::connect(address, CONNECT_TIMEOUT, TCP_USER_TIMEOUT, versions).await {
             Ok((mut stream, version)) => {
-                let greeting = (opening.greet)(version);
-                let begin = [greeting, frames(first, version)].concat();
-                let mut written = stream.write_all(&begin).await;
+                let greeting = (handshake.greeting)(version);
+                let first_bytes = [greeting, encode_batch(first, version)].concat();
+                let mut written = stream.write_all(&first_bytes).await;
                 while written.is_ok() {
-                    let batch = messages.take().await;
+                    let batch = messages.recv_batch().await;
                     if batch.is_empty() {
                         return;
                     }
-                    written = stream.write_all(&frames(batch, version)).await;
+                    written = stream.write_all(&encode_batch(batch, version)).await;
                 }
             }
             Err(error) => {
                 REFUSALS.note_version(address, &error);
-                tokio::time::sleep(RECONNECT_PAUSE).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
             }
         }
-        messages.drop_all();
+        messages.discard_queued();
     }
 }
 
-fn frames<M: LinkMessage>(messages: Vec<M>, version: ProtocolVersion) -> Vec<u8> {
+fn encode_batch<M: LinkMessage>(messages: Vec<M>, version: ProtocolVersion) -> Vec<u8> {
     let frames: Vec<Vec<u8>> =
         messages.into_iter().map(|message| message.into_frame(version)).collect();
     frames.concat()
--- a/crates/transport/src/refusal.rs
+++ b/crates/transport/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Frames that cannot be read: counted all, logged now and then.
+//! Counts frames that cannot be read and logs them at a limited rate.
 
 use std::fmt::Display;
 use std::time::{Duration, Instant};
@@ -10,54 +10,54 @@
 
 use crate::version::VersionError;
 
-/// Time between two log lines of one kind of link: a peer of another build opens a connection
-/// after the other, each of which fails alike.
-const LINE_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between log lines of one kind of link. An incompatible peer reconnects
+/// repeatedly, and each attempt fails in the same way.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-static REFUSED: Counter = Counter::new(
+static FRAMES_REFUSED: Counter = Counter::new(
     "calicohoist_frames_refused_total",
     "Frames that could not be read, by the link on which they came",
     "link",
 );
 
-/// Notes what came on one kind of link and could not be read.
+/// Records frames of one kind of link that could not be read.
 pub struct RefusalLog {
     link: &'static str,
-    logged: Mutex<Option<Instant>>,
+    last_logged: Mutex<Option<Instant>>,
 }
 
 impl RefusalLog {
-    /// For links that operators know as `link`.
+    /// Creates a recorder for the kind of link shown as `link` in logs and metrics.
     pub const fn new(link: &'static str) -> Self {
-        Self { link, logged: Mutex::new(None) }
+        Self { link, last_logged: Mutex::new(None) }
     }
 
-    /// Notes that a frame of `peer` could not be read. A connection that broke is no refusal.
+    /// Records a frame of `peer` that could not be read. Connection errors are ignored.
     pub fn note(&self, peer: impl Display, error: &FrameError) {
         if !matches!(error, FrameError::Io(_)) {
-            self.refuse(peer, error);
+            self.report(peer, error);
         }
     }
 
-    /// Notes that no version could be agreed on with `peer`.
+    /// Records a failed version negotiation with `peer`. Connection errors are ignored.
     pub fn note_version(&self, peer: impl Display, error: &VersionError) {
         match error {
             VersionError::Io(_) => {}
-            VersionError::Unreadable(error) => self.note(peer, error),
-            VersionError::NotAnswered | VersionError::NoneCommon { .. } => {
-                self.refuse(peer, error);
+            VersionError::Malformed(error) => self.note(peer, error),
+            VersionError::NoAnswer | VersionError::NoCommonVersion { .. } => {
+                self.report(peer, error);
             }
         }
     }
 
-    fn refuse(&self, peer: impl Display, error: impl Display) {
-        REFUSED.count(self.link);
+    fn report(&self, peer: impl Display, error: impl Display) {
+        FRAMES_REFUSED.count(self.link);
         let now = Instant::now();
-        let mut logged = self.logged.lock();
-        if logged.is_some_and(|at| now < at + LINE_EVERY) {
+        let mut last_logged = self.last_logged.lock();
+        if last_logged.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
         }
-        *logged = Some(now);
+        *last_logged = Some(now);
         emit!(Event::FrameRefused; link = self.link, peer = peer, error = error);
     }
 }
--- a/crates/transport/src/tcp.rs
+++ b/crates/transport/src/tcp.rs
@@ -1,4 +1,4 @@
-//! Sockets that notice a silent peer.
+//! TCP sockets that detect unresponsive peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,29 +7,29 @@
 use rustix::net::sockopt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Connects within `patience`. Written bytes that stay unacknowledged for
-/// `user_timeout` break the connection: a machine without power says nothing.
+/// Connects within `connect_timeout`. The connection fails when sent data stays unacknowledged
+/// for `user_timeout`, for example after a power failure of the peer.
 ///
 /// # Errors
-/// When the peer refuses, or does not answer in time.
+/// When the peer refuses the connection or does not respond in time.
 pub async fn connect(
     address: SocketAddr,
-    patience: Duration,
+    connect_timeout: Duration,
     user_timeout: Duration,
 ) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    let stream = tokio::time::timeout(patience, socket.connect(address)).await??;
+    let stream = tokio::time::timeout(connect_timeout, socket.connect(address)).await??;
     prepare(&stream, user_timeout)?;
     Ok(stream)
 }
 
-/// Sends without delay and bounds the time of unacknowledged bytes.
+/// Disables Nagle's algorithm and sets the timeout of unacknowledged data.
 ///
 /// # Errors
-/// When the socket refuses an option.
+/// When a socket option cannot be set.
 pub fn prepare(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let millis = u32::try_from(user_timeout.as_millis()).unwrap_or(u32::MAX);
@@ -37,10 +37,10 @@
     Ok(())
 }
 
-/// Listens on `address`, also when connections of an earlier process linger.
+/// Listens on `address`, even if connections of a previous process are in `TIME_WAIT`.
 ///
 /// # Errors
-/// When the address is taken.
+/// When the address is in use.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/transport/src/version.rs
+++ b/crates/transport/src/version.rs
@@ -1,9 +1,9 @@
-//! Versions of the protocol on a link: offered by whoever opens it, chosen by whoever takes it.
+//! Negotiation of the protocol version of a connection.
 //!
-//! A process that opens a connection offers the versions that it speaks, and the other one chooses
-//! the newest that both do. Builds that knew no versions neither offer nor choose. Their first frame
-//! is a message, which is told from an offer by its first byte, and they close a connection that
-//! begins with an offer: the opener then connects anew and speaks [`ProtocolVersion::UNNAMED`].
+//! The process that opens a connection offers the versions that it supports, and the other one
+//! chooses the newest common version. Builds that predate the negotiation send a message as the
+//! first frame, which differs from an offer in its first byte. They close a connection that begins
+//! with an offer; the opener then reconnects and uses [`ProtocolVersion::UNNAMED`].
 
 use std::fmt;
 use std::io;
@@ -22,25 +22,24 @@
 use crate::frame::{FrameReader, HEADER_BYTES, frame_of, split_header};
 use crate::tcp;
 
-/// First byte of an offer and of its answer. Every message of the unnamed version begins with an
-/// integer of variable length, whose first byte is never this one.
-const MARK: u8 = 0xff;
-/// Longest offer or answer, in bytes.
-const MAX_BYTES: usize = 64;
-/// How long the answer to an offer may take: it touches neither log nor disk, and a process that
-/// does not give it would not answer a question either.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(300);
+/// First byte of an offer and of its answer. Messages of the legacy version begin with a
+/// variable-length integer, whose first byte never has this value.
+const HANDSHAKE_MARKER: u8 = 0xff;
+/// Maximum length of the answer to an offer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64;
+/// Time within which an offer must be answered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Which form messages have on a link.
+/// Version of the message format on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ProtocolVersion(u16);
 
 impl ProtocolVersion {
-    /// What builds speak that neither offer nor choose a version.
+    /// Version of builds that predate the negotiation.
     pub const UNNAMED: Self = Self(1);
 
-    /// The version of this number, from 1 on.
+    /// Creates a version from its number, starting at 1.
     pub const fn new(number: u16) -> Self {
         Self(number)
     }
@@ -60,18 +59,18 @@
     }
 }
 
-/// The versions that a process speaks.
+/// Range of versions that a process supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRange {
-    /// The oldest.
+    /// Oldest supported version.
     pub oldest: ProtocolVersion,
-    /// The newest.
+    /// Newest supported version.
     pub newest: ProtocolVersion,
 }
 
 impl VersionRange {
-    /// The newest version in both ranges.
-    pub fn common(self, other: Self) -> Option<ProtocolVersion> {
+    /// Returns the newest version in both ranges.
+    pub fn newest_common(self, other: Self) -> Option<ProtocolVersion> {
         let newest = self.newest.min(other.newest);
         (newest >= self.oldest.max(other.oldest)).then_some(newest)
     }
@@ -87,60 +86,61 @@
     }
 }
 
-/// What an offer is answered.
+/// Answer to an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum OfferAnswer {
-    /// This version is spoken from now on.
+    /// The version used from now on.
     Chosen(ProtocolVersion),
-    /// No version is common; the connection is closed. These were possible.
+    /// There is no common version, and the connection is closed. Carries the supported versions.
     NoneCommon(VersionRange),
 }
 
-/// Why no version was agreed on.
+/// Failure of the version negotiation.
 #[derive(Debug, thiserror::Error)]
 pub enum VersionError {
-    /// The connection broke, or nothing came in time.
+    /// The connection failed or timed out.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The other side closed the connection at the offer, as builds without versions do.
-    #[error("the offer was not answered")]
-    NotAnswered,
-    /// Neither side speaks what the other one does.
-    #[error("this side speaks versions {ours}, the other one {theirs}")]
-    NoneCommon {
-        /// Versions of this side.
+    /// The peer closed the connection on the offer, as builds without negotiation do.
+    #[error("the peer closed the connection without answering the version offer")]
+    NoAnswer,
+    /// The two sides have no version in common.
+    #[error("no common protocol version: local {ours}, remote {theirs}")]
+    NoCommonVersion {
+        /// Versions supported by the local side.
         ours: VersionRange,
-        /// Versions of the other side.
+        /// Versions supported by the remote side.
         theirs: VersionRange,
     },
-    /// What came is neither an offer nor an answer to one.
-    #[error("offer of versions: {0}")]
-    Unreadable(#[from] FrameError),
+    /// The offer or the answer could not be decoded.
+    #[error("malformed version negotiation: {0}")]
+    Malformed(#[from] FrameError),
 }
 
-/// Connects and agrees on a version.
+/// Connects and negotiates a version. Reconnects without an offer if the peer does not answer it
+/// and `ours` contains the legacy version.
 ///
 /// # Errors
-/// See [`VersionError`]; [`VersionError::NotAnswered`] is none while the unnamed version is `ours`.
+/// See [`VersionError`].
 pub async fn connect(
     address: SocketAddr,
-    patience: Duration,
+    connect_timeout: Duration,
     user_timeout: Duration,
     ours: VersionRange,
 ) -> Result<(TcpStream, ProtocolVersion), VersionError> {
-    let mut stream = tcp::connect(address, patience, user_timeout).await?;
-    let offered = timeout(ANSWER_PATIENCE, offer(&mut stream, ours)).await;
+    let mut stream = tcp::connect(address, connect_timeout, user_timeout).await?;
+    let offered = timeout(ANSWER_TIMEOUT, offer(&mut stream, ours)).await;
     match offered.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut).into())) {
         Ok(version) => Ok((stream, version)),
-        Err(VersionError::NotAnswered) if ours.contains(ProtocolVersion::UNNAMED) => {
-            let stream = tcp::connect(address, patience, user_timeout).await?;
+        Err(VersionError::NoAnswer) if ours.contains(ProtocolVersion::UNNAMED) => {
+            let stream = tcp::connect(address, connect_timeout, user_timeout).await?;
             Ok((stream, ProtocolVersion::UNNAMED))
         }
         Err(error) => Err(error),
     }
 }
 
-/// Offers `ours` and waits for the answer.
+/// Sends an offer of `ours` and waits for the answer.
 ///
 /// # Errors
 /// See [`VersionError`].
@@ -148,15 +148,15 @@
     stream: &mut S,
     ours: VersionRange,
 ) -> Result<ProtocolVersion, VersionError> {
-    stream.write_all(&marked(&ours)?).await?;
+    stream.write_all(&encode_handshake(&ours)?).await?;
     match read_answer(stream).await? {
         OfferAnswer::Chosen(version) => Ok(version),
-        OfferAnswer::NoneCommon(theirs) => Err(VersionError::NoneCommon { ours, theirs }),
+        OfferAnswer::NoneCommon(theirs) => Err(VersionError::NoCommonVersion { ours, theirs }),
     }
 }
 
-/// Takes the offer that a connection begins with, and chooses. Without an offer the first frame is
-/// left to be read, and the other side speaks the unnamed version.
+/// Reads the offer at the start of a connection and answers it with the newest common version. If
+/// the first frame is not an offer, leaves it unread and assumes the legacy version.
 ///
 /// # Errors
 /// See [`VersionError`].
@@ -169,39 +169,40 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let unnamed =
+    let legacy =
         VersionRange { oldest: ProtocolVersion::UNNAMED, newest: ProtocolVersion::UNNAMED };
-    let offered = match frames.take_if(|payload| payload.first() == Some(&MARK)).await? {
-        Some(payload) => Some(unmarked::<VersionRange>(&payload)?),
+    let offered = match frames.take_if(|payload| payload.first() == Some(&HANDSHAKE_MARKER)).await?
+    {
+        Some(payload) => Some(decode_handshake::<VersionRange>(&payload)?),
         None => None,
     };
-    let theirs = offered.unwrap_or(unnamed);
-    let common = ours.common(theirs);
+    let theirs = offered.unwrap_or(legacy);
+    let common = ours.newest_common(theirs);
     if offered.is_some() {
         let answer = common.map_or(OfferAnswer::NoneCommon(ours), OfferAnswer::Chosen);
-        output.write_all(&marked(&answer)?).await?;
+        output.write_all(&encode_handshake(&answer)?).await?;
     }
-    common.ok_or(VersionError::NoneCommon { ours, theirs })
+    common.ok_or(VersionError::NoCommonVersion { ours, theirs })
 }
 
-fn marked<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    Ok(frame_of(&[&[MARK], encode(message)?.as_slice()].concat()))
+fn encode_handshake<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
+    Ok(frame_of(&[&[HANDSHAKE_MARKER], encode(message)?.as_slice()].concat()))
 }
 
-fn unmarked<T: DeserializeOwned>(payload: &[u8]) -> Result<T, FrameError> {
-    decode(payload.strip_prefix(&[MARK]).unwrap_or_default())
+fn decode_handshake<T: DeserializeOwned>(payload: &[u8]) -> Result<T, FrameError> {
+    decode(payload.strip_prefix(&[HANDSHAKE_MARKER]).unwrap_or_default())
 }
 
-/// Reads the answer and not a byte more: what follows belongs to others.
+/// Reads the answer without consuming any bytes after it.
 async fn read_answer<S: AsyncRead + Unpin>(stream: &mut S) -> Result<OfferAnswer, VersionError> {
     let mut header = [0; HEADER_BYTES];
-    // A reset may come from anywhere; only an orderly end shows that the offer was not understood.
+    // Only an orderly close indicates a legacy build. A reset may have other causes.
     if stream.read(&mut header[..1]).await? == 0 {
-        return Err(VersionError::NotAnswered);
+        return Err(VersionError::NoAnswer);
     }
     stream.read_exact(&mut header[1..]).await?;
     let (length, checksum) = split_header(&header);
-    if length > MAX_BYTES {
+    if length > MAX_ANSWER_BYTES {
         return Err(FrameError::TooLong(length).into());
     }
     let mut payload = vec![0; length];
@@ -209,5 +210,5 @@
     if crc32c::crc32c(&payload) != checksum {
         return Err(FrameError::Checksum.into());
     }
-    Ok(unmarked(&payload)?)
+    Ok(decode_handshake(&payload)?)
 }
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -1,4 +1,4 @@
-//! Frames of one open connection, written by a task of their own.
+//! Writer task of an open connection, with a bounded queue of frames.
 
 use std::io;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 
 use crate::frame::Frame;
 
-/// Frames that may wait for a connection.
-const QUEUE: usize = 1_024;
-/// Bytes of memory that may wait for one connection: ten histories of 100,000 tokens. A frame
-/// that finds none waiting is taken whatever its size.
-pub const MOST_WAITING: usize = 1 << 20;
-/// Bytes of memory that may wait for all connections that are counted together: less than
-/// half of what the smallest ledger machine has, which is 120 MB.
-pub const MOST_WAITING_IN_ALL: usize = 48 << 20;
-/// Frames written with one system call.
-const BATCH: usize = 64;
-
-/// Bytes that frames in queues hold in memory, of one connection or of several.
+/// Maximum number of queued frames of one connection.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Maximum memory held by the queued frames of one connection, in bytes. A single frame of any
+/// size is accepted if the queue is empty.
+pub const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// Maximum memory held by the queued frames of all connections that share a counter, in
+/// bytes.
+pub const MAX_TOTAL_QUEUED_BYTES: usize = 48 << 20;
+/// Maximum number of frames written with one system call.
+const MAX_BATCH_FRAMES: usize = 64;
+
+/// Shared counter of the memory held by queued frames of one or more connections, in bytes.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingBytes(Arc<AtomicUsize>);
 
 impl WaitingBytes {
-    /// How many there are.
+    /// Returns the current count.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -40,107 +40,109 @@
     }
 }
 
-/// What came of a frame that was to be queued.
+/// Result of [`FrameQueue::send`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Queued {
-    /// It waits to be written.
+    /// The frame was queued.
     Taken,
-    /// Too much waits already; the connection is closed, since its owner would wait in vain.
+    /// The queue was full. The frame was dropped, and the connection is closed.
     Overflowed,
-    /// The connection is closed.
+    /// The connection was already closed.
     Closed,
 }
 
-/// The way to the task that writes the frames of a connection.
+/// Queue of the frames that the writer task of a connection sends.
 #[derive(Clone, Debug)]
 pub struct FrameQueue {
-    frames: mpsc::Sender<WaitingFrame>,
-    load: QueueLoad,
+    frames: mpsc::Sender<QueuedFrame>,
+    usage: QueueUsage,
     overflow: Arc<Notify>,
 }
 
 #[derive(Clone, Debug)]
-struct QueueLoad {
-    /// Of this connection.
-    own: WaitingBytes,
-    /// Of all that are counted with it.
-    all: WaitingBytes,
+struct QueueUsage {
+    /// Queued bytes of this connection.
+    connection: WaitingBytes,
+    /// Queued bytes of all connections that share the counter.
+    total: WaitingBytes,
 }
 
-impl QueueLoad {
+impl QueueUsage {
     fn has_room(&self, bytes: usize) -> bool {
-        let own = self.own.get();
-        own == 0 || (own + bytes <= MOST_WAITING && self.all.get() + bytes <= MOST_WAITING_IN_ALL)
+        let connection = self.connection.get();
+        connection == 0
+            || (connection + bytes <= MAX_QUEUED_BYTES
+                && self.total.get() + bytes <= MAX_TOTAL_QUEUED_BYTES)
     }
 
-    fn take_share(&self, bytes: usize) -> LoadShare {
-        self.own.add(bytes);
-        self.all.add(bytes);
-        LoadShare { load: self.clone(), bytes }
+    fn reserve(&self, bytes: usize) -> Reservation {
+        self.connection.add(bytes);
+        self.total.add(bytes);
+        Reservation { usage: self.clone(), bytes }
     }
 }
 
-/// What one frame adds to the load. It is given back when dropped, wherever that happens: other
-/// threads may queue frames while the writer ends.
+/// Reservation of one frame in the counters, released on drop. This also covers frames that other
+/// threads queue while the writer terminates.
 #[derive(Debug)]
-struct LoadShare {
-    load: QueueLoad,
+struct Reservation {
+    usage: QueueUsage,
     bytes: usize,
 }
 
-impl Drop for LoadShare {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.load.own.remove(self.bytes);
-        self.load.all.remove(self.bytes);
+        self.usage.connection.remove(self.bytes);
+        self.usage.total.remove(self.bytes);
     }
 }
 
 #[derive(Debug)]
-struct WaitingFrame {
+struct QueuedFrame {
     frame: Frame,
-    share: LoadShare,
+    reservation: Reservation,
 }
 
 impl FrameQueue {
     /// Queues a frame.
     pub fn send(&self, frame: Frame) -> Queued {
-        let bytes = frame.own_bytes();
+        let bytes = frame.unshared_bytes();
         if self.frames.is_closed() {
             return Queued::Closed;
         }
-        if !self.load.has_room(bytes) {
-            return self.close();
+        if !self.usage.has_room(bytes) {
+            return self.close_on_overflow();
         }
-        let share = self.load.take_share(bytes);
-        match self.frames.try_send(WaitingFrame { frame, share }) {
+        let reservation = self.usage.reserve(bytes);
+        match self.frames.try_send(QueuedFrame { frame, reservation }) {
             Ok(()) => Queued::Taken,
             Err(TrySendError::Closed(_)) => Queued::Closed,
-            Err(TrySendError::Full(_)) => self.close(),
+            Err(TrySendError::Full(_)) => self.close_on_overflow(),
         }
     }
 
-    fn close(&self) -> Queued {
+    fn close_on_overflow(&self) -> Queued {
         self.overflow.notify_one();
         Queued::Overflowed
     }
 }
 
-/// A queue whose frames are written to `output`, several at a time. What waits in it is
-/// counted in `waiting`, too. The writing half is closed when too much waits.
+/// Spawns a task that writes queued frames to `output` in batches, and returns the queue. Its
+/// frames are also counted in `total`. On overflow, `output` is closed.
 pub fn spawn_writer(
     output: impl AsyncWrite + Unpin + Send + 'static,
-    waiting: WaitingBytes,
+    total: WaitingBytes,
 ) -> FrameQueue {
-    let (frames, mut receiver) = mpsc::channel(QUEUE);
-    let load = QueueLoad { own: WaitingBytes::default(), all: waiting };
+    let (frames, mut receiver) = mpsc::channel(QUEUE_CAPACITY);
+    let usage = QueueUsage { connection: WaitingBytes::default(), total };
     let overflow = Arc::new(Notify::new());
-    let queue = FrameQueue { frames, load, overflow: Arc::clone(&overflow) };
+    let queue = FrameQueue { frames, usage, overflow: Arc::clone(&overflow) };
     tokio::spawn(async move {
         tokio::select! {
             () = write_frames(output, &mut receiver) => {}
             () = overflow.notified() => {}
         }
-        // A frame that is queued at this moment would stay, and count, until the last sender is gone.
+        // Otherwise frames queued meanwhile would remain counted until the last sender is dropped.
         receiver.close();
         while receiver.recv().await.is_some() {}
     });
@@ -149,32 +151,32 @@
 
 async fn write_frames(
     mut output: impl AsyncWrite + Unpin,
-    receiver: &mut mpsc::Receiver<WaitingFrame>,
+    receiver: &mut mpsc::Receiver<QueuedFrame>,
 ) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while receiver.recv_many(&mut batch, BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_BATCH_FRAMES);
+    while receiver.recv_many(&mut batch, MAX_BATCH_FRAMES).await > 0 {
         if write_all(&mut output, &mut batch).await.is_err() {
             return;
         }
     }
 }
 
-/// Writes frames with few system calls, and without a copy of what they share.
+/// Writes frames with few system calls and without copying their shared parts.
 async fn write_all(
     output: &mut (impl AsyncWrite + Unpin),
-    batch: &mut Vec<WaitingFrame>,
+    batch: &mut Vec<QueuedFrame>,
 ) -> io::Result<()> {
-    let mut gathered = Vec::new();
-    let mut shares = Vec::with_capacity(batch.len());
-    for WaitingFrame { frame, share } in batch.drain(..) {
-        shares.push(share);
-        let (own, shared) = frame.into_parts();
-        gathered.extend_from_slice(&own);
-        if !shared.is_empty() {
-            output.write_all(&gathered).await?;
-            output.write_all(&shared).await?;
-            gathered.clear();
+    let mut buffer = Vec::new();
+    let mut reservations = Vec::with_capacity(batch.len());
+    for QueuedFrame { frame, reservation } in batch.drain(..) {
+        reservations.push(reservation);
+        let (head, shared_tail) = frame.into_parts();
+        buffer.extend_from_slice(&head);
+        if !shared_tail.is_empty() {
+            output.write_all(&buffer).await?;
+            output.write_all(&shared_tail).await?;
+            buffer.clear();
         }
     }
-    output.write_all(&gathered).await
+    output.write_all(&buffer).await
 }
--- a/crates/transport/tests/frame.rs
+++ b/crates/transport/tests/frame.rs
@@ -1,13 +1,13 @@
-//! Frames of one connection: what they share, and what may wait for who does not read.
+//! Shared frame fields, and the limits of the frame queues when peers do not read.
 
-use calicohoist_transport::writer::{MOST_WAITING, MOST_WAITING_IN_ALL};
+use calicohoist_transport::writer::{MAX_QUEUED_BYTES, MAX_TOTAL_QUEUED_BYTES};
 use calicohoist_transport::{Frame, FrameReader, Queued, SharedField, WaitingBytes, spawn_writer};
 use tokio::io::AsyncReadExt;
 
 type Message = (u64, Vec<u8>);
 
 #[tokio::test]
-async fn a_shared_field_is_read_as_part_of_each_message() {
+async fn shared_field_is_decoded_in_each_message() {
     let (output, input) = tokio::io::duplex(64);
     let waiting = WaitingBytes::default();
     let queue = spawn_writer(output, waiting.clone());
@@ -20,36 +20,36 @@
         };
         assert_eq!(queue.send(frame.expect("encodes")), Queued::Taken);
     }
-    assert!(waiting.get() < 100, "the shared field is in memory once");
+    assert!(waiting.get() < 100, "the shared field is not counted per frame");
     let mut frames = FrameReader::new(input);
     for message in sent {
-        let received: Message = frames.next().await.expect("a whole frame");
+        let received: Message = frames.next().await.expect("a complete frame");
         assert!(received == message, "message {}", message.0);
     }
     assert_eq!(waiting.get(), 0);
 }
 
 fn large_frame() -> Frame {
-    Frame::encode(&vec![7_u8; MOST_WAITING / 8]).expect("encodes")
+    Frame::encode(&vec![7_u8; MAX_QUEUED_BYTES / 8]).expect("encodes")
 }
 
-/// The reader sees the end of the connection, and waits for nothing that does not come.
+/// A peer that does not read is disconnected, so that it does not wait for dropped frames.
 #[tokio::test]
-async fn who_does_not_read_is_closed_once_too_much_waits() {
+async fn connection_is_closed_when_its_queue_overflows() {
     let (output, mut input) = tokio::io::duplex(64);
     let waiting = WaitingBytes::default();
     let queue = spawn_writer(output, waiting.clone());
-    let taken = (0..100).take_while(|_| queue.send(large_frame()) == Queued::Taken).count();
-    assert!((6..=8).contains(&taken), "{taken} frames wait");
+    let queued = (0..100).take_while(|_| queue.send(large_frame()) == Queued::Taken).count();
+    assert!((6..=8).contains(&queued), "{queued} frames queued");
     let mut rest = Vec::new();
-    input.read_to_end(&mut rest).await.expect("closed in order");
-    assert!(rest.len() < MOST_WAITING, "{} bytes were written", rest.len());
+    input.read_to_end(&mut rest).await.expect("an orderly close");
+    assert!(rest.len() < MAX_QUEUED_BYTES, "{} bytes were written", rest.len());
     assert_eq!(queue.send(large_frame()), Queued::Closed);
     assert_eq!(waiting.get(), 0);
 }
 
 #[tokio::test]
-async fn connections_that_do_not_read_share_a_bound() {
+async fn connections_share_a_queue_limit() {
     const CONNECTIONS: usize = 200;
     let waiting = WaitingBytes::default();
     let mut open = Vec::new();
@@ -59,15 +59,15 @@
         while queue.send(large_frame()) == Queued::Taken {}
         open.push((queue, input));
     }
-    // Each connection may hold one frame besides.
-    let most = MOST_WAITING_IN_ALL + CONNECTIONS * MOST_WAITING / 4;
-    assert!(waiting.get() < most, "{} bytes wait", waiting.get());
+    // A connection with an empty queue accepts one frame even beyond the shared limit.
+    let limit = MAX_TOTAL_QUEUED_BYTES + CONNECTIONS * MAX_QUEUED_BYTES / 4;
+    assert!(waiting.get() < limit, "{} bytes queued", waiting.get());
 }
 
-/// A queue that is closed while other threads use it leaves nothing counted, and nothing counted
-/// twice: the bound is shared by all connections, and would otherwise close them all.
+/// Frames queued concurrently with a close must be released exactly once. A leak in the shared
+/// counter would eventually close all connections.
 #[tokio::test]
-async fn what_is_queued_while_a_connection_closes_is_counted_once() {
+async fn frames_queued_during_close_are_released_once() {
     const THREADS: usize = 4;
     for _ in 0..50 {
         let waiting = WaitingBytes::default();
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links hold a bounded number of bytes for a machine that is not there.
+//! Size limit of the message queue of a link to an unresponsive machine.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 const VERSIONS: VersionRange =
     VersionRange { oldest: ProtocolVersion::new(1), newest: ProtocolVersion::new(2) };
 
-/// A frame that looks the same in every version.
+/// A message with the same encoding in every version.
 struct EncodedFrame(Vec<u8>);
 
 impl LinkMessage for EncodedFrame {
@@ -30,37 +30,37 @@
     EncodedFrame(encode_frame(&vec![7_u8; bytes]).expect("encodes"))
 }
 
-/// A link that greets nobody.
+/// Opens a link with an empty greeting.
 fn open(address: SocketAddr) -> Link<EncodedFrame> {
     Link::open(address, LinkOpening::offer(VERSIONS, |_| Vec::new()))
 }
 
-/// An address at which nobody answers: its listener never accepts, and is full.
+/// Binds a listener that accepts no connections by itself.
 async fn listener() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     (listener.local_addr().expect("bound"), listener)
 }
 
-/// The writer does not run while the test does not yield: nothing is taken off the queue.
+/// The link task cannot run until the test yields, so nothing leaves the queue.
 #[tokio::test]
-async fn frames_beyond_the_bytes_that_may_wait_are_dropped() {
+async fn messages_beyond_the_queue_limit_are_dropped() {
     let (address, _listener) = listener().await;
     let link = open(address);
     let queued = (0..20).filter(|_| link.queue(message(MEGABYTE))).count();
-    assert!((2..=4).contains(&queued), "{queued} MB wait");
+    assert!((2..=4).contains(&queued), "{queued} MB queued");
 }
 
 #[tokio::test]
-async fn one_frame_is_taken_whatever_its_size_and_room_comes_back() {
+async fn large_message_is_accepted_when_the_queue_is_empty() {
     let (address, listener) = listener().await;
     let link = open(address);
     assert!(link.queue(message(6 * MEGABYTE)));
-    assert!(!link.queue(message(1)), "the large one waits");
+    assert!(!link.queue(message(1)), "the large message fills the queue");
     let (stream, _) = listener.accept().await.expect("the link connects");
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
     let version = choose(&mut frames, &mut output, VERSIONS).await;
-    assert_eq!(version.expect("agreed"), VERSIONS.newest);
+    assert_eq!(version.expect("negotiated"), VERSIONS.newest);
     let first: Vec<u8> = frames.next().await.expect("a frame");
     assert_eq!(first.len(), 6 * MEGABYTE);
     for size in [1, 3 * MEGABYTE, 2] {
--- a/crates/transport/tests/refusal.rs
+++ b/crates/transport/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Frames that cannot be read are counted; connections that broke are not.
+//! Unreadable frames are counted, connection errors are not.
 
 use std::io;
 
@@ -8,11 +8,11 @@
 static REFUSALS: RefusalLog = RefusalLog::new("test");
 
 #[test]
-fn every_refused_frame_counts_and_a_broken_connection_does_not() {
+fn refused_frames_are_counted_and_connection_errors_are_not() {
     for _ in 0..3 {
         REFUSALS.note("127.0.0.1:1", &FrameError::Checksum);
     }
     REFUSALS.note("127.0.0.1:1", &io::Error::from(io::ErrorKind::UnexpectedEof).into());
-    let shown = metrics::render();
-    assert!(shown.contains("calicohoist_frames_refused_total{link=\"test\"} 3"), "{shown}");
+    let rendered = metrics::render();
+    assert!(rendered.contains("calicohoist_frames_refused_total{link=\"test\"} 3"), "{rendered}");
 }
--- a/crates/transport/tests/version.rs
+++ b/crates/transport/tests/version.rs
@@ -1,4 +1,4 @@
-//! Which version of the protocol the two ends of a link agree on.
+//! Negotiation of the protocol version between the two ends of a connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,46 +10,46 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn range(oldest: u16, newest: u16) -> VersionRange {
     VersionRange { oldest: ProtocolVersion::new(oldest), newest: ProtocolVersion::new(newest) }
 }
 
-/// What both sides make of it when one offers and the other chooses.
-async fn agree(
+/// Returns the results of both sides of a negotiation.
+async fn negotiate(
     offered: VersionRange,
-    spoken: VersionRange,
+    supported: VersionRange,
 ) -> (Result<ProtocolVersion, VersionError>, Result<ProtocolVersion, VersionError>) {
-    let (mut opener, taker) = tokio::io::duplex(64);
-    let (input, mut output) = tokio::io::split(taker);
+    let (mut client, server) = tokio::io::duplex(64);
+    let (input, mut output) = tokio::io::split(server);
     let mut frames = FrameReader::new(input);
-    tokio::join!(offer(&mut opener, offered), choose(&mut frames, &mut output, spoken))
+    tokio::join!(offer(&mut client, offered), choose(&mut frames, &mut output, supported))
 }
 
 #[tokio::test]
-async fn both_sides_take_the_newest_version_that_they_have_in_common() {
-    for (offered, spoken, common) in [
+async fn both_sides_choose_the_newest_common_version() {
+    for (offered, supported, common) in [
         (range(1, 2), range(1, 2), 2),
         (range(1, 3), range(1, 2), 2),
         (range(2, 2), range(1, 3), 2),
         (range(1, 1), range(1, 9), 1),
     ] {
-        let (opener, taker) = agree(offered, spoken).await;
+        let (client, server) = negotiate(offered, supported).await;
         let common = ProtocolVersion::new(common);
-        assert_eq!((opener.expect("agreed"), taker.expect("agreed")), (common, common));
+        assert_eq!((client.expect("negotiated"), server.expect("negotiated")), (common, common));
     }
 }
 
 #[tokio::test]
-async fn without_a_common_version_both_sides_know_what_the_other_one_speaks() {
-    let (opener, taker) = agree(range(4, 5), range(1, 3)).await;
-    for (ended, ours, theirs) in
-        [(opener, range(4, 5), range(1, 3)), (taker, range(1, 3), range(4, 5))]
+async fn both_sides_report_the_versions_when_none_is_common() {
+    let (client, server) = negotiate(range(4, 5), range(1, 3)).await;
+    for (result, ours, theirs) in
+        [(client, range(4, 5), range(1, 3)), (server, range(1, 3), range(4, 5))]
     {
-        match ended {
-            Err(VersionError::NoneCommon { ours: known, theirs: told }) => {
-                assert_eq!((known, told), (ours, theirs));
+        match result {
+            Err(VersionError::NoCommonVersion { ours: local, theirs: remote }) => {
+                assert_eq!((local, remote), (ours, theirs));
             }
             other => panic!("{other:?}"),
         }
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_first_frame_that_is_no_offer_is_left_to_be_read_as_the_unnamed_version() {
+async fn first_frame_without_offer_is_kept_and_implies_the_legacy_version() {
     let message = (300_u64, "a question".to_owned());
     let bytes = encode_frame(&message).expect("encodes");
     let mut frames = FrameReader::new(bytes.as_slice());
@@ -67,22 +67,23 @@
 
     let mut frames = FrameReader::new(bytes.as_slice());
     let refused = choose(&mut frames, &mut tokio::io::sink(), range(2, 2)).await;
-    assert!(matches!(refused, Err(VersionError::NoneCommon { .. })), "{refused:?}");
+    assert!(matches!(refused, Err(VersionError::NoCommonVersion { .. })), "{refused:?}");
 }
 
-/// A machine whose build cannot read an offer; it hands out the bytes of the second connection.
-async fn older_machine(listener: TcpListener) -> Vec<u8> {
+/// Simulates a legacy build, which closes connections that begin with an offer. Returns the bytes
+/// received on the second connection.
+async fn legacy_machine(listener: TcpListener) -> Vec<u8> {
     let (mut first, _) = listener.accept().await.expect("accepts");
-    // It takes the whole frame for a message, cannot read it and closes.
+    // Reads the offer as a message, fails to decode it and closes the connection.
     let mut header = [0; 8];
     first.read_exact(&mut header).await.expect("a frame");
     let mut offered = vec![0; usize::from(header[0])];
     first.read_exact(&mut offered).await.expect("a frame");
     drop(first);
     let (mut second, _) = listener.accept().await.expect("accepts");
-    let mut taken = Vec::new();
-    second.read_to_end(&mut taken).await.expect("closed in order");
-    taken
+    let mut received = Vec::new();
+    second.read_to_end(&mut received).await.expect("an orderly close");
+    received
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
@@ -92,11 +93,11 @@
 }
 
 #[tokio::test]
-async fn a_build_that_closes_at_the_offer_is_spoken_to_in_the_unnamed_version() {
+async fn client_falls_back_to_the_legacy_version_after_an_orderly_close() {
     let (listener, address) = listen().await;
-    let machine = tokio::spawn(older_machine(listener));
-    let opened = connect(address, PATIENCE, PATIENCE, range(1, 2)).await;
-    let (mut stream, version) = opened.expect("connected anew");
+    let machine = tokio::spawn(legacy_machine(listener));
+    let opened = connect(address, TIMEOUT, TIMEOUT, range(1, 2)).await;
+    let (mut stream, version) = opened.expect("reconnected");
     assert_eq!(version, ProtocolVersion::UNNAMED);
     stream.write_all(b"as ever").await.expect("written");
     drop(stream);
@@ -104,35 +105,35 @@
 }
 
 #[tokio::test]
-async fn a_build_that_is_too_old_is_not_spoken_to() {
+async fn client_without_the_legacy_version_rejects_a_legacy_build() {
     let (listener, address) = listen().await;
-    let machine = tokio::spawn(older_machine(listener));
-    let opened = connect(address, PATIENCE, PATIENCE, range(2, 3)).await;
-    assert!(matches!(opened, Err(VersionError::NotAnswered)), "{opened:?}");
+    let machine = tokio::spawn(legacy_machine(listener));
+    let opened = connect(address, TIMEOUT, TIMEOUT, range(2, 3)).await;
+    assert!(matches!(opened, Err(VersionError::NoAnswer)), "{opened:?}");
     machine.abort();
 }
 
-/// It may come from anywhere on the way, and says nothing of the build at the other end.
+/// A reset may have other causes and does not indicate a legacy build.
 #[tokio::test]
-async fn a_reset_at_the_offer_is_not_taken_for_an_older_build() {
+async fn reset_after_the_offer_is_not_treated_as_a_legacy_build() {
     let (listener, address) = listen().await;
     let reset = async {
         let (stream, _) = listener.accept().await.expect("accepts");
         stream.readable().await.expect("an offer");
-        // Closed without lingering, a connection is reset.
+        // With zero linger, closing resets the connection.
         stream.set_zero_linger().expect("an option");
         drop(stream);
     };
-    let (opened, ()) = tokio::join!(connect(address, PATIENCE, PATIENCE, range(1, 2)), reset);
+    let (opened, ()) = tokio::join!(connect(address, TIMEOUT, TIMEOUT, range(1, 2)), reset);
     assert!(matches!(opened, Err(VersionError::Io(_))), "{opened:?}");
 }
 
 #[tokio::test]
-async fn an_answer_that_cannot_be_read_is_refused() {
-    let (mut opener, mut taker) = tokio::io::duplex(64);
+async fn answer_with_bad_checksum_is_rejected() {
+    let (mut client, mut server) = tokio::io::duplex(64);
     let garbled = async {
-        taker.write_all(&[5, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5]).await.expect("written");
+        server.write_all(&[5, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5]).await.expect("written");
     };
-    let (ended, ()) = tokio::join!(offer(&mut opener, range(1, 2)), garbled);
-    assert!(matches!(ended, Err(VersionError::Unreadable(FrameError::Checksum))), "{ended:?}");
+    let (result, ()) = tokio::join!(offer(&mut client, range(1, 2)), garbled);
+    assert!(matches!(result, Err(VersionError::Malformed(FrameError::Checksum))), "{result:?}");
 }
