--- a/crates/ledger/src/protocol/version.rs
+++ b/crates/ledger/src/protocol/version.rs
@@ -71,9 +71,9 @@
     ) -> Result<Self, FrameError> {
         match version {
             ProtocolVersion::UNNAMED => {
-                frames.next_noting::<ReplyV1>(on_bytes).await.map(Self::from)
+                frames.next_with_progress::<ReplyV1>(on_bytes).await.map(Self::from)
             }
-            _ => frames.next_noting(on_bytes).await,
+            _ => frames.next_with_progress(on_bytes).await,
         }
     }
 }
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -166,7 +166,7 @@
             distance = Some(hub.place.topology.distance(&hub.place.zone, &placement.zone));
             hub.place.loads.lock().note(&placement.zone, Instant::now());
         }
-        traffic::note(Peer::Asker, word_of(&question), distance, frames.last_len());
+        traffic::note(Peer::Asker, word_of(&question), distance, frames.last_frame_len());
         let (replies, waiting) = (replies.clone(), hub.waiting.clone());
         let back = Back { number, replies, waiting, distance, version, older: older.clone() };
         match question {
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -3,7 +3,7 @@
 use calicohoist_replication::{GroupMessage, ReplicaId};
 use calicohoist_routing::Distance;
 use calicohoist_transport::{
-    FrameError, FrameReader, LinkMessage, ProtocolVersion, encode_frame, frame_of,
+    FrameError, FrameReader, LinkMessage, ProtocolVersion, encode_frame, frame_payload,
 };
 use calicohoist_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
@@ -137,7 +137,7 @@
 
     fn into_frame(self, version: ProtocolVersion) -> Vec<u8> {
         if version != ProtocolVersion::UNNAMED {
-            return frame_of(&self.payload);
+            return frame_payload(&self.payload);
         }
         let parcel = decode(&self.payload).ok().and_then(PeerFrame::open);
         // It was encoded here, so it can be read. Without a frame it is as if it were lost.
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -27,7 +27,7 @@
 use calicohoist_replication::{GroupId, ReplicaId, StateMachine};
 use calicohoist_routing::{DrainedZones, Replica, ReplicaList, ReplicaState};
 use calicohoist_scheduler::Decision;
-use calicohoist_transport::{Frame, FrameReader, ProtocolVersion, bind, frame_of};
+use calicohoist_transport::{Frame, FrameReader, ProtocolVersion, bind, frame_payload};
 use calicohoist_types::Zone;
 use calicohoist_wire::encode;
 use support::older::{OlderGateway, OlderLeader, OlderMachine, sample};
@@ -91,7 +91,7 @@
     };
     let (listed, placed) = pair.follow_while(asked).await;
 
-    let framed = frame_of(&listed);
+    let framed = frame_payload(&listed);
     let mut frames = FrameReader::new(framed.as_slice());
     let reply = Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await.expect("read");
     let Answer::List { mark, list } = reply.answer else { panic!("{reply:?}") };
@@ -176,7 +176,7 @@
     let (output, input) = tokio::io::duplex(1 << 16);
     let queue = calicohoist_transport::spawn_writer(output, Default::default());
     queue.send(frame);
-    let payload = FrameReader::new(input).take_if(|_| true).await.expect("a whole frame");
+    let payload = FrameReader::new(input).next_payload_if(|_| true).await.expect("a whole frame");
     payload.expect("wanted").to_vec()
 }
 
@@ -199,7 +199,7 @@
 async fn every_message_of_the_build_before_is_read_and_written_as_it_was() {
     for name in support::older::names() {
         let bytes = sample(name);
-        let framed = frame_of(&bytes);
+        let framed = frame_payload(&bytes);
         let mut frames = FrameReader::new(framed.as_slice());
         let frame = match name.split('.').next() {
             Some("ask") => {
--- a/crates/ledger/tests/support/older.rs
+++ b/crates/ledger/tests/support/older.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use calicohoist_replication::{GroupMessage, Message, ReplicaId};
-use calicohoist_transport::{FrameReader, encode_frame, frame_of};
+use calicohoist_transport::{FrameReader, encode_frame, frame_payload};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -50,7 +50,7 @@
 
     /// Asks a question; the answer's bytes, or `None` when the connection was closed instead.
     pub async fn ask(&mut self, question: &[u8]) -> Option<Vec<u8>> {
-        self.0.write_all(&frame_of(question)).await.ok()?;
+        self.0.write_all(&frame_payload(question)).await.ok()?;
         tokio::time::timeout(LONG, payload(&mut self.0)).await.expect("in time")
     }
 }
@@ -89,7 +89,7 @@
                     let known = answers.iter().find(|(known, _)| known == question);
                     let Some((_, answer)) = known else { return };
                     let reply = [&[*number], answer.as_slice()].concat();
-                    if stream.write_all(&frame_of(&reply)).await.is_err() {
+                    if stream.write_all(&frame_payload(&reply)).await.is_err() {
                         return;
                     }
                 }
@@ -115,7 +115,7 @@
             }
         });
         let mut leader = TcpStream::connect(peer).await.expect("listens");
-        leader.write_all(&frame_of(&sample("peer.greeting"))).await.expect("written");
+        leader.write_all(&frame_payload(&sample("peer.greeting"))).await.expect("written");
         Self { messages, leader, leader_id: peer_id }
     }
 
--- a/crates/transport/src/frame.rs
+++ b/crates/transport/src/frame.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns the frame of a serialized message.
-pub fn frame_of(payload: &[u8]) -> Vec<u8> {
+pub fn frame_payload(payload: &[u8]) -> Vec<u8> {
     begin_frame(payload.len(), crc32c::crc32c(payload), payload)
 }
 
@@ -119,18 +119,18 @@
 pub struct FrameReader<R> {
     input: R,
     buffer: BytesMut,
-    last_len: usize,
+    last_frame_len: usize,
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
     /// Creates a reader of `input`.
     pub fn new(input: R) -> Self {
-        Self { input, buffer: BytesMut::new(), last_len: 0 }
+        Self { input, buffer: BytesMut::new(), last_frame_len: 0 }
     }
 
     /// Length of the last frame that was read, in bytes.
-    pub fn last_len(&self) -> usize {
-        self.last_len
+    pub fn last_frame_len(&self) -> usize {
+        self.last_frame_len
     }
 
     /// Reads the next message.
@@ -138,7 +138,7 @@
     /// # Errors
     /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, FrameError> {
-        self.next_noting(|| {}).await
+        self.next_with_progress(|| {}).await
     }
 
     /// Reads the next message and calls `on_bytes` whenever data arrives, even if the message is
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// See [`FrameError`]; the connection is unusable afterwards.
-    pub async fn next_noting<T: DeserializeOwned>(
+    pub async fn next_with_progress<T: DeserializeOwned>(
         &mut self,
         mut on_bytes: impl FnMut(),
     ) -> Result<T, FrameError> {
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     /// See [`FrameError`]; the connection is unusable afterwards.
-    pub async fn take_if(
+    pub async fn next_payload_if(
         &mut self,
         predicate: impl FnOnce(&[u8]) -> bool,
     ) -> Result<Option<Bytes>, FrameError> {
@@ -201,7 +201,7 @@
         let (length, checksum) = split_header(header);
         self.buffer.advance(HEADER_BYTES);
         let payload = self.buffer.split_to(length).freeze();
-        self.last_len = HEADER_BYTES + length;
+        self.last_frame_len = HEADER_BYTES + length;
         if crc32c::crc32c(&payload) != checksum {
             return Err(FrameError::Checksum);
         }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod writer;
 
 pub use calicohoist_wire::FrameError;
-pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_of};
+pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_payload};
 pub use link::{Link, LinkMessage, LinkOpening};
 pub use refusal::RefusalLog;
 pub use tcp::{bind, connect};
--- a/crates/transport/src/version.rs
+++ b/crates/transport/src/version.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::frame::{FrameReader, HEADER_BYTES, frame_of, split_header};
+use crate::frame::{FrameReader, HEADER_BYTES, frame_payload, split_header};
 use crate::tcp;
 
 /// First byte of an offer and of its answer. Messages of the legacy version begin with a
@@ -171,11 +171,11 @@
 {
     let legacy =
         VersionRange { oldest: ProtocolVersion::UNNAMED, newest: ProtocolVersion::UNNAMED };
-    let offered = match frames.take_if(|payload| payload.first() == Some(&HANDSHAKE_MARKER)).await?
-    {
-        Some(payload) => Some(decode_handshake::<VersionRange>(&payload)?),
-        None => None,
-    };
+    let offered =
+        match frames.next_payload_if(|payload| payload.first() == Some(&HANDSHAKE_MARKER)).await? {
+            Some(payload) => Some(decode_handshake::<VersionRange>(&payload)?),
+            None => None,
+        };
     let theirs = offered.unwrap_or(legacy);
     let common = ours.newest_common(theirs);
     if offered.is_some() {
@@ -186,7 +186,7 @@
 }
 
 fn encode_handshake<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    Ok(frame_of(&[&[HANDSHAKE_MARKER], encode(message)?.as_slice()].concat()))
+    Ok(frame_payload(&[&[HANDSHAKE_MARKER], encode(message)?.as_slice()].concat()))
 }
 
 fn decode_handshake<T: DeserializeOwned>(payload: &[u8]) -> Result<T, FrameError> {
