--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_transport::{
-    FrameQueue, FrameReader, ProtocolVersion, Queued, RefusalLog, WaitingBytes, spawn_writer,
+    FrameQueue, FrameReader, ProtocolVersion, Queued, RefusedFrameLog, WaitingBytes, spawn_writer,
     version,
 };
 use parking_lot::Mutex;
@@ -16,7 +16,7 @@
 
 use crate::protocol::{Answer, Ask, Question, Reply, SPOKEN};
 
-static REFUSALS: RefusalLog = RefusalLog::new("ledger");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("ledger");
 
 /// Within one zone or the next a connection opens in a few milliseconds.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
@@ -45,7 +45,7 @@
     pub(super) async fn open(address: SocketAddr) -> Option<Self> {
         let opened = version::connect(address, CONNECT_PATIENCE, USER_TIMEOUT, SPOKEN).await;
         let (stream, version) =
-            opened.inspect_err(|error| REFUSALS.note_version(address, error)).ok()?;
+            opened.inspect_err(|error| REFUSALS.record_version_error(address, error)).ok()?;
         let (input, output) = stream.into_split();
         let state = ConnectionState {
             is_open: AtomicBool::new(true),
@@ -130,7 +130,7 @@
             let _ = sender.send(answer);
         }
     };
-    REFUSALS.note(address, &error);
+    REFUSALS.record(address, &error);
     // Whoever waits sees that the connection broke, and nobody begins to.
     state.is_open.store(false, Ordering::Relaxed);
     state.waiting.lock().clear();
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -19,8 +19,8 @@
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, RefusalLog, VersionError,
-    WaitingBytes, spawn_writer, tcp,
+    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, RefusedFrameLog,
+    VersionError, WaitingBytes, spawn_writer, tcp,
 };
 use parking_lot::Mutex;
 use tokio::net::{TcpListener, TcpStream};
@@ -44,7 +44,7 @@
 const FIND_HOLD: Duration = Duration::from_millis(150);
 const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-static REFUSALS: RefusalLog = RefusalLog::new("gateway");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("gateway");
 
 static ANSWERED_BYTES: Counter = Counter::new(
     "calicohoist_ledger_answered_bytes_total",
@@ -142,7 +142,7 @@
             let hub = hub.clone();
             tokio::spawn(async move {
                 if let Err(error) = serve(stream, hub).await {
-                    REFUSALS.note_version(address, &error);
+                    REFUSALS.record_version_error(address, &error);
                 }
             });
         }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -11,7 +11,7 @@
 use calicohoist_replication::{GroupMessage, Message, ReplicaId};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    FrameReader, HEADER_BYTES, Link, LinkOpening, RefusalLog, VersionError,
+    FrameReader, HEADER_BYTES, Link, LinkOpening, RefusedFrameLog, VersionError,
 };
 use calicohoist_wire::encode;
 use tokio::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
 /// Messages that may wait between the replica's thread and the network's.
 pub const RING: usize = 4_096;
 
-static REFUSALS: RefusalLog = RefusalLog::new("ledger machine");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("ledger machine");
 
 /// Messages for one replica.
 #[derive(Debug)]
@@ -95,7 +95,7 @@
                 PeerReceiver { identity, replica: replica.clone(), peers: peers.clone() };
             tokio::spawn(async move {
                 if let Err(error) = receiver.read(stream).await {
-                    REFUSALS.note_version(address, &error);
+                    REFUSALS.record_version_error(address, &error);
                 }
             });
         }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,7 +13,7 @@
 pub use calicohoist_wire::FrameError;
 pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_payload};
 pub use link::{Link, LinkMessage, LinkOpening};
-pub use refusal::RefusalLog;
+pub use refusal::RefusedFrameLog;
 pub use tcp::{bind, connect};
 pub use version::{ProtocolVersion, VersionError, VersionRange};
 pub use writer::{FrameQueue, Queued, WaitingBytes, spawn_writer};
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
 
-use crate::refusal::RefusalLog;
+use crate::refusal::RefusedFrameLog;
 use crate::version::{self, ProtocolVersion, VersionRange};
 
 /// Maximum number of messages in the queue of a link. Further ones are dropped.
@@ -22,7 +22,7 @@
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-static REFUSALS: RefusalLog = RefusalLog::new("link");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("link");
 
 /// Message sent over a link. It is encoded once the protocol version has been negotiated.
 pub trait LinkMessage: Send + 'static {
@@ -133,7 +133,7 @@
                 }
             }
             Err(error) => {
-                REFUSALS.note_version(address, &error);
+                REFUSALS.record_version_error(address, &error);
                 tokio::time::sleep(RECONNECT_DELAY).await;
             }
         }
--- a/crates/transport/src/refusal.rs
+++ b/crates/transport/src/refusal.rs
@@ -21,29 +21,29 @@
 );
 
 /// Records frames of one kind of link that could not be read.
-pub struct RefusalLog {
+pub struct RefusedFrameLog {
     link: &'static str,
     last_logged: Mutex<Option<Instant>>,
 }
 
-impl RefusalLog {
+impl RefusedFrameLog {
     /// Creates a recorder for the kind of link shown as `link` in logs and metrics.
     pub const fn new(link: &'static str) -> Self {
         Self { link, last_logged: Mutex::new(None) }
     }
 
     /// Records a frame of `peer` that could not be read. Connection errors are ignored.
-    pub fn note(&self, peer: impl Display, error: &FrameError) {
+    pub fn record(&self, peer: impl Display, error: &FrameError) {
         if !matches!(error, FrameError::Io(_)) {
             self.report(peer, error);
         }
     }
 
     /// Records a failed version negotiation with `peer`. Connection errors are ignored.
-    pub fn note_version(&self, peer: impl Display, error: &VersionError) {
+    pub fn record_version_error(&self, peer: impl Display, error: &VersionError) {
         match error {
             VersionError::Io(_) => {}
-            VersionError::Malformed(error) => self.note(peer, error),
+            VersionError::Malformed(error) => self.record(peer, error),
             VersionError::NoAnswer | VersionError::NoCommonVersion { .. } => {
                 self.report(peer, error);
             }
