--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -11,7 +11,7 @@
 use calicohoist_replication::{GroupMessage, Message, ReplicaId};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    FrameReader, HEADER_BYTES, Link, LinkOpening, RefusedFrameLog, VersionError,
+    FrameReader, HEADER_BYTES, Link, LinkHandshake, RefusedFrameLog, VersionError,
 };
 use calicohoist_wire::encode;
 use tokio::net::{TcpListener, TcpStream};
@@ -56,7 +56,10 @@
         let link = links.entry(to.machine).or_insert_with(|| {
             let address = machine_address(to.machine, settings.ports.peers);
             let greeting = greeting.clone();
-            Link::open(address, LinkOpening::offer(SPOKEN, move |version| greeting.frame(version)))
+            Link::open(
+                address,
+                LinkHandshake::offer(SPOKEN, move |version| greeting.frame(version)),
+            )
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
         let kind = kind_of(&messages);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use calicohoist_wire::FrameError;
 pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_payload};
-pub use link::{Link, LinkMessage, LinkOpening};
+pub use link::{Link, LinkHandshake, LinkMessage};
 pub use refusal::RefusedFrameLog;
 pub use tcp::{bind, connect};
 pub use version::{ProtocolVersion, VersionError, VersionRange};
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -34,12 +34,12 @@
 }
 
 /// Start of each connection of a link: version negotiation, followed by a greeting.
-pub struct LinkOpening {
+pub struct LinkHandshake {
     versions: VersionRange,
     greeting: Box<dyn Fn(ProtocolVersion) -> Vec<u8> + Send + Sync>,
 }
 
-impl LinkOpening {
+impl LinkHandshake {
     /// Offers `versions`, then sends the frame that `greeting` returns for the negotiated version.
     pub fn offer(
         versions: VersionRange,
@@ -60,7 +60,7 @@
 
 impl<M: LinkMessage> Link<M> {
     /// Opens a link. Must be called within a Tokio runtime.
-    pub fn open(address: SocketAddr, handshake: LinkOpening) -> Self {
+    pub fn open(address: SocketAddr, handshake: LinkHandshake) -> Self {
         let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         let queued_bytes = Arc::new(AtomicUsize::new(0));
         let messages = LinkReceiver { messages, queued_bytes: Arc::clone(&queued_bytes) };
@@ -110,7 +110,7 @@
 /// removed machines consume no resources.
 async fn run<M: LinkMessage>(
     address: SocketAddr,
-    handshake: LinkOpening,
+    handshake: LinkHandshake,
     mut messages: LinkReceiver<M>,
 ) {
     loop {
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -4,7 +4,7 @@
 
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    FrameReader, Link, LinkMessage, LinkOpening, ProtocolVersion, VersionRange, encode_frame,
+    FrameReader, Link, LinkHandshake, LinkMessage, ProtocolVersion, VersionRange, encode_frame,
 };
 use tokio::net::TcpListener;
 
@@ -32,7 +32,7 @@
 
 /// Opens a link with an empty greeting.
 fn open(address: SocketAddr) -> Link<EncodedFrame> {
-    Link::open(address, LinkOpening::offer(VERSIONS, |_| Vec::new()))
+    Link::open(address, LinkHandshake::offer(VERSIONS, |_| Vec::new()))
 }
 
 /// Binds a listener that accepts no connections by itself.
