--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_transport::{
-    FrameQueue, FrameReader, ProtocolVersion, Queued, RefusedFrameLog, WaitingBytes, spawn_writer,
+    FrameQueue, FrameReader, ProtocolVersion, Queued, QueuedBytes, RefusedFrameLog, spawn_writer,
     version,
 };
 use parking_lot::Mutex;
@@ -52,7 +52,7 @@
             waiting: Mutex::default(),
             heard: Mutex::new(Instant::now()),
         };
-        let questions = spawn_writer(output, WaitingBytes::default());
+        let questions = spawn_writer(output, QueuedBytes::default());
         let connection = Self { questions, state: Arc::new(state), version };
         let state = Arc::clone(&connection.state);
         tokio::spawn(read_answers(FrameReader::new(input), version, state, address));
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -19,8 +19,8 @@
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, RefusedFrameLog,
-    VersionError, WaitingBytes, spawn_writer, tcp,
+    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, QueuedBytes,
+    RefusedFrameLog, VersionError, spawn_writer, tcp,
 };
 use parking_lot::Mutex;
 use tokio::net::{TcpListener, TcpStream};
@@ -81,7 +81,7 @@
     /// Replicas that fail; of use on the leader only.
     failures: Arc<FailureDesk>,
     /// Answers that wait on all connections.
-    waiting: WaitingBytes,
+    waiting: QueuedBytes,
     shared: Arc<Mutex<SharedAnswers>>,
     older: OlderGateways,
     /// Where this machine and its askers are.
@@ -108,7 +108,7 @@
             turns,
             limits,
             failures: Arc::default(),
-            waiting: WaitingBytes::default(),
+            waiting: QueuedBytes::default(),
             shared: Arc::default(),
             older: OlderGateways::default(),
             place: Arc::new(place),
@@ -214,7 +214,7 @@
 pub(super) struct Back {
     number: u64,
     replies: FrameQueue,
-    waiting: WaitingBytes,
+    waiting: QueuedBytes,
     /// How far the asker is, once that is known.
     distance: Option<Distance>,
     version: ProtocolVersion,
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -131,7 +131,7 @@
 }
 
 impl LinkMessage for QueuedFrame {
-    fn waiting_bytes(&self) -> usize {
+    fn queued_bytes(&self) -> usize {
         self.payload.len()
     }
 
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -27,7 +27,7 @@
 /// Message sent over a link. It is encoded once the protocol version has been negotiated.
 pub trait LinkMessage: Send + 'static {
     /// Memory held by the message while it is queued, in bytes.
-    fn waiting_bytes(&self) -> usize;
+    fn queued_bytes(&self) -> usize;
 
     /// Encodes the message as a frame in the given version.
     fn into_frame(self, version: ProtocolVersion) -> Vec<u8>;
@@ -70,7 +70,7 @@
 
     /// Queues a message. Returns `false` if it was dropped.
     pub fn queue(&self, message: M) -> bool {
-        let bytes = message.waiting_bytes();
+        let bytes = message.queued_bytes();
         let before = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let has_room = before == 0 || before + bytes <= MAX_QUEUED_BYTES;
         let is_queued = has_room && self.queue.try_send(message).is_ok();
@@ -93,7 +93,7 @@
     async fn recv_batch(&mut self) -> Vec<M> {
         let mut batch = Vec::new();
         self.messages.recv_many(&mut batch, MAX_BATCH_FRAMES).await;
-        let bytes = batch.iter().map(M::waiting_bytes).sum();
+        let bytes = batch.iter().map(M::queued_bytes).sum();
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
         batch
     }
@@ -101,7 +101,7 @@
     /// Discards the queued messages, which are outdated after a connection failure.
     fn discard_queued(&mut self) {
         while let Ok(message) = self.messages.try_recv() {
-            self.queued_bytes.fetch_sub(message.waiting_bytes(), Ordering::Relaxed);
+            self.queued_bytes.fetch_sub(message.queued_bytes(), Ordering::Relaxed);
         }
     }
 }
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -23,9 +23,9 @@
 
 /// Shared counter of the memory held by queued frames of one or more connections, in bytes.
 #[derive(Clone, Debug, Default)]
-pub struct WaitingBytes(Arc<AtomicUsize>);
+pub struct QueuedBytes(Arc<AtomicUsize>);
 
-impl WaitingBytes {
+impl QueuedBytes {
     /// Returns the current count.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
@@ -62,9 +62,9 @@
 #[derive(Clone, Debug)]
 struct QueueUsage {
     /// Queued bytes of this connection.
-    connection: WaitingBytes,
+    connection: QueuedBytes,
     /// Queued bytes of all connections that share the counter.
-    total: WaitingBytes,
+    total: QueuedBytes,
 }
 
 impl QueueUsage {
@@ -131,10 +131,10 @@
 /// frames are also counted in `total`. On overflow, `output` is closed.
 pub fn spawn_writer(
     output: impl AsyncWrite + Unpin + Send + 'static,
-    total: WaitingBytes,
+    total: QueuedBytes,
 ) -> FrameQueue {
     let (frames, mut receiver) = mpsc::channel(QUEUE_CAPACITY);
-    let usage = QueueUsage { connection: WaitingBytes::default(), total };
+    let usage = QueueUsage { connection: QueuedBytes::default(), total };
     let overflow = Arc::new(Notify::new());
     let queue = FrameQueue { frames, usage, overflow: Arc::clone(&overflow) };
     tokio::spawn(async move {
--- a/crates/transport/tests/frame.rs
+++ b/crates/transport/tests/frame.rs
@@ -1,7 +1,7 @@
 //! Shared frame fields, and the limits of the frame queues when peers do not read.
 
 use calicohoist_transport::writer::{MAX_QUEUED_BYTES, MAX_TOTAL_QUEUED_BYTES};
-use calicohoist_transport::{Frame, FrameReader, Queued, SharedField, WaitingBytes, spawn_writer};
+use calicohoist_transport::{Frame, FrameReader, Queued, QueuedBytes, SharedField, spawn_writer};
 use tokio::io::AsyncReadExt;
 
 type Message = (u64, Vec<u8>);
@@ -9,7 +9,7 @@
 #[tokio::test]
 async fn shared_field_is_decoded_in_each_message() {
     let (output, input) = tokio::io::duplex(64);
-    let waiting = WaitingBytes::default();
+    let waiting = QueuedBytes::default();
     let queue = spawn_writer(output, waiting.clone());
     let field = SharedField::encode(&vec![7_u8; 100_000]).expect("encodes");
     let sent: Vec<Message> = vec![(1, vec![7; 100_000]), (2, vec![9; 10]), (300, vec![7; 100_000])];
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn connection_is_closed_when_its_queue_overflows() {
     let (output, mut input) = tokio::io::duplex(64);
-    let waiting = WaitingBytes::default();
+    let waiting = QueuedBytes::default();
     let queue = spawn_writer(output, waiting.clone());
     let queued = (0..100).take_while(|_| queue.send(large_frame()) == Queued::Taken).count();
     assert!((6..=8).contains(&queued), "{queued} frames queued");
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn connections_share_a_queue_limit() {
     const CONNECTIONS: usize = 200;
-    let waiting = WaitingBytes::default();
+    let waiting = QueuedBytes::default();
     let mut open = Vec::new();
     for _ in 0..CONNECTIONS {
         let (output, input) = tokio::io::duplex(64);
@@ -70,7 +70,7 @@
 async fn frames_queued_during_close_are_released_once() {
     const THREADS: usize = 4;
     for _ in 0..50 {
-        let waiting = WaitingBytes::default();
+        let waiting = QueuedBytes::default();
         let (output, input) = tokio::io::duplex(64);
         let queue = spawn_writer(output, waiting.clone());
         let senders: Vec<_> = (0..THREADS)
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -17,7 +17,7 @@
 struct EncodedFrame(Vec<u8>);
 
 impl LinkMessage for EncodedFrame {
-    fn waiting_bytes(&self) -> usize {
+    fn queued_bytes(&self) -> usize {
         self.0.len()
     }
 
