--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_transport::{
-    FrameQueue, FrameReader, ProtocolVersion, Queued, QueuedBytes, RefusedFrameLog, spawn_writer,
-    version,
+    FrameQueue, FrameReader, ProtocolVersion, QueuedBytes, RefusedFrameLog, SendOutcome,
+    spawn_writer, version,
 };
 use parking_lot::Mutex;
 use tokio::net::tcp::OwnedReadHalf;
@@ -89,7 +89,7 @@
         if !self.is_open() {
             return None;
         }
-        (self.questions.send(frame) == Queued::Taken).then_some(pending)
+        (self.questions.send(frame) == SendOutcome::Queued).then_some(pending)
     }
 }
 
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -19,8 +19,8 @@
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{
-    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, QueuedBytes,
-    RefusedFrameLog, VersionError, spawn_writer, tcp,
+    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, QueuedBytes, RefusedFrameLog,
+    SendOutcome, VersionError, spawn_writer, tcp,
 };
 use parking_lot::Mutex;
 use tokio::net::{TcpListener, TcpStream};
@@ -262,7 +262,7 @@
                 traffic::note(Peer::Gateway, bulk, self.distance, frame.len());
                 let queued = self.replies.send(frame);
                 WAITING.show(self.waiting.get() as u64);
-                if queued == Queued::Overflowed {
+                if queued == SendOutcome::Overflowed {
                     emit!(Event::AnswersNotTaken; answer = bulk, waiting = self.waiting.get());
                 }
             }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,4 +16,4 @@
 pub use refusal::RefusedFrameLog;
 pub use tcp::{bind, connect};
 pub use version::{ProtocolVersion, VersionError, VersionRange};
-pub use writer::{FrameQueue, Queued, QueuedBytes, spawn_writer};
+pub use writer::{FrameQueue, QueuedBytes, SendOutcome, spawn_writer};
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -42,9 +42,9 @@
 
 /// Result of [`FrameQueue::send`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Queued {
+pub enum SendOutcome {
     /// The frame was queued.
-    Taken,
+    Queued,
     /// The queue was full. The frame was dropped, and the connection is closed.
     Overflowed,
     /// The connection was already closed.
@@ -61,9 +61,9 @@
 
 #[derive(Clone, Debug)]
 struct QueueUsage {
-    /// Queued bytes of this connection.
+    /// SendOutcome bytes of this connection.
     connection: QueuedBytes,
-    /// Queued bytes of all connections that share the counter.
+    /// SendOutcome bytes of all connections that share the counter.
     total: QueuedBytes,
 }
 
@@ -105,25 +105,25 @@
 
 impl FrameQueue {
     /// Queues a frame.
-    pub fn send(&self, frame: Frame) -> Queued {
+    pub fn send(&self, frame: Frame) -> SendOutcome {
         let bytes = frame.unshared_bytes();
         if self.frames.is_closed() {
-            return Queued::Closed;
+            return SendOutcome::Closed;
         }
         if !self.usage.has_room(bytes) {
             return self.close_on_overflow();
         }
         let reservation = self.usage.reserve(bytes);
         match self.frames.try_send(QueuedFrame { frame, reservation }) {
-            Ok(()) => Queued::Taken,
-            Err(TrySendError::Closed(_)) => Queued::Closed,
+            Ok(()) => SendOutcome::Queued,
+            Err(TrySendError::Closed(_)) => SendOutcome::Closed,
             Err(TrySendError::Full(_)) => self.close_on_overflow(),
         }
     }
 
-    fn close_on_overflow(&self) -> Queued {
+    fn close_on_overflow(&self) -> SendOutcome {
         self.overflow.notify_one();
-        Queued::Overflowed
+        SendOutcome::Overflowed
     }
 }
 
--- a/crates/transport/tests/frame.rs
+++ b/crates/transport/tests/frame.rs
@@ -1,7 +1,9 @@
 //! Shared frame fields, and the limits of the frame queues when peers do not read.
 
 use calicohoist_transport::writer::{MAX_QUEUED_BYTES, MAX_TOTAL_QUEUED_BYTES};
-use calicohoist_transport::{Frame, FrameReader, Queued, QueuedBytes, SharedField, spawn_writer};
+use calicohoist_transport::{
+    Frame, FrameReader, QueuedBytes, SendOutcome, SharedField, spawn_writer,
+};
 use tokio::io::AsyncReadExt;
 
 type Message = (u64, Vec<u8>);
@@ -18,7 +20,7 @@
             100_000 => Frame::with_shared(&message.0, &field),
             _ => Frame::encode(message),
         };
-        assert_eq!(queue.send(frame.expect("encodes")), Queued::Taken);
+        assert_eq!(queue.send(frame.expect("encodes")), SendOutcome::Queued);
     }
     assert!(waiting.get() < 100, "the shared field is not counted per frame");
     let mut frames = FrameReader::new(input);
@@ -39,12 +41,12 @@
     let (output, mut input) = tokio::io::duplex(64);
     let waiting = QueuedBytes::default();
     let queue = spawn_writer(output, waiting.clone());
-    let queued = (0..100).take_while(|_| queue.send(large_frame()) == Queued::Taken).count();
+    let queued = (0..100).take_while(|_| queue.send(large_frame()) == SendOutcome::Queued).count();
     assert!((6..=8).contains(&queued), "{queued} frames queued");
     let mut rest = Vec::new();
     input.read_to_end(&mut rest).await.expect("an orderly close");
     assert!(rest.len() < MAX_QUEUED_BYTES, "{} bytes were written", rest.len());
-    assert_eq!(queue.send(large_frame()), Queued::Closed);
+    assert_eq!(queue.send(large_frame()), SendOutcome::Closed);
     assert_eq!(waiting.get(), 0);
 }
 
@@ -56,7 +58,7 @@
     for _ in 0..CONNECTIONS {
         let (output, input) = tokio::io::duplex(64);
         let queue = spawn_writer(output, waiting.clone());
-        while queue.send(large_frame()) == Queued::Taken {}
+        while queue.send(large_frame()) == SendOutcome::Queued {}
         open.push((queue, input));
     }
     // A connection with an empty queue accepts one frame even beyond the shared limit.
@@ -76,7 +78,9 @@
         let senders: Vec<_> = (0..THREADS)
             .map(|_| {
                 let queue = queue.clone();
-                std::thread::spawn(move || while queue.send(large_frame()) != Queued::Closed {})
+                std::thread::spawn(
+                    move || while queue.send(large_frame()) != SendOutcome::Closed {},
+                )
             })
             .collect();
         drop(input);
