--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -77,7 +77,7 @@
     /// Sends a question; `None` when the connection is broken or its queue is full.
     pub(super) fn ask(&self, number: u64, question: &Question) -> Option<PendingAnswer> {
         let (sender, receiver) = oneshot::channel();
-        if self.version == ProtocolVersion::UNNAMED
+        if self.version == ProtocolVersion::LEGACY
             && let Some(answer) = question.answer_for_v1()
         {
             let _ = sender.send(answer);
--- a/crates/ledger/src/protocol/version.rs
+++ b/crates/ledger/src/protocol/version.rs
@@ -18,7 +18,7 @@
 pub const NEWEST: ProtocolVersion = ProtocolVersion::new(2);
 /// Versions that this build speaks: machines are replaced one after the other, so that those of the
 /// build before go on beside it.
-pub const SPOKEN: VersionRange = VersionRange { oldest: ProtocolVersion::UNNAMED, newest: NEWEST };
+pub const SPOKEN: VersionRange = VersionRange { oldest: ProtocolVersion::LEGACY, newest: NEWEST };
 
 impl Ask {
     /// Its frame in this version.
@@ -27,7 +27,7 @@
     /// When it cannot be represented or is too long.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => Frame::encode(&AskV1::from(self)),
+            ProtocolVersion::LEGACY => Frame::encode(&AskV1::from(self)),
             _ => Frame::encode(&self),
         }
     }
@@ -41,7 +41,7 @@
         version: ProtocolVersion,
     ) -> Result<Self, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => frames.next::<AskV1>().await.map(Self::from),
+            ProtocolVersion::LEGACY => frames.next::<AskV1>().await.map(Self::from),
             _ => frames.next().await,
         }
     }
@@ -54,7 +54,7 @@
     /// When it cannot be represented or is too long.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => Frame::encode(&ReplyV1::from(self)),
+            ProtocolVersion::LEGACY => Frame::encode(&ReplyV1::from(self)),
             _ => Frame::encode(&self),
         }
     }
@@ -70,7 +70,7 @@
         on_bytes: impl FnMut(),
     ) -> Result<Self, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => {
+            ProtocolVersion::LEGACY => {
                 frames.next_with_progress::<ReplyV1>(on_bytes).await.map(Self::from)
             }
             _ => frames.next_with_progress(on_bytes).await,
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -30,7 +30,7 @@
     pub(super) fn frame(&self, version: ProtocolVersion) -> Vec<u8> {
         let Self { from, name, .. } = self;
         let frame = match version {
-            ProtocolVersion::UNNAMED => {
+            ProtocolVersion::LEGACY => {
                 encode_frame(&GreetingV1 { from: *from, name: name.clone() })
             }
             _ => encode_frame(self),
@@ -56,7 +56,7 @@
         frames: &mut FrameReader<OwnedReadHalf>,
         version: ProtocolVersion,
     ) -> Result<Self, FrameError> {
-        if version == ProtocolVersion::UNNAMED {
+        if version == ProtocolVersion::LEGACY {
             let GreetingV1 { from, name } = frames.next().await?;
             return Ok(Self { replica: from, name, zone: None });
         }
@@ -119,7 +119,7 @@
         version: ProtocolVersion,
     ) -> Result<Self, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => frames.next().await,
+            ProtocolVersion::LEGACY => frames.next().await,
             _ => frames.next::<PeerFrame>().await?.open().ok_or(FrameError::Unpack),
         }
     }
@@ -136,7 +136,7 @@
     }
 
     fn into_frame(self, version: ProtocolVersion) -> Vec<u8> {
-        if version != ProtocolVersion::UNNAMED {
+        if version != ProtocolVersion::LEGACY {
             return frame_payload(&self.payload);
         }
         let parcel = decode(&self.payload).ok().and_then(PeerFrame::open);
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -93,7 +93,7 @@
 
     let framed = frame_payload(&listed);
     let mut frames = FrameReader::new(framed.as_slice());
-    let reply = Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await.expect("read");
+    let reply = Reply::read(&mut frames, ProtocolVersion::LEGACY, || {}).await.expect("read");
     let Answer::List { mark, list } = reply.answer else { panic!("{reply:?}") };
     let told: Vec<_> = list.replicas.iter().map(|told| (told.id.as_str(), told.state)).collect();
     assert_eq!(told, [("r1", ReplicaState::Ready), ("r2", ReplicaState::Draining)]);
@@ -203,14 +203,14 @@
         let mut frames = FrameReader::new(framed.as_slice());
         let frame = match name.split('.').next() {
             Some("ask") => {
-                let ask = Ask::read(&mut frames, ProtocolVersion::UNNAMED).await;
+                let ask = Ask::read(&mut frames, ProtocolVersion::LEGACY).await;
                 ask.unwrap_or_else(|error| panic!("{name}: {error}"))
-                    .encode(ProtocolVersion::UNNAMED)
+                    .encode(ProtocolVersion::LEGACY)
             }
             Some("reply") => {
-                let reply = Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await;
+                let reply = Reply::read(&mut frames, ProtocolVersion::LEGACY, || {}).await;
                 let reply = reply.unwrap_or_else(|error| panic!("{name}: {error}"));
-                reply.encode(ProtocolVersion::UNNAMED)
+                reply.encode(ProtocolVersion::LEGACY)
             }
             _ => continue,
         };
@@ -227,7 +227,7 @@
     ] {
         let told = sample(told);
         let reply = Reply { number: told[0].into(), answer };
-        let frame = reply.encode(ProtocolVersion::UNNAMED).expect("encodes");
+        let frame = reply.encode(ProtocolVersion::LEGACY).expect("encodes");
         assert_eq!(payload_of(frame).await, told);
     }
 }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -327,11 +327,11 @@
     let lag = || peers.lag([NEWER, OTHER]);
     note(NEWER, NEWEST);
     assert_eq!(lag(), Some(FleetLag::UnheardMachine(ip)));
-    note(OTHER, ProtocolVersion::UNNAMED);
+    note(OTHER, ProtocolVersion::LEGACY);
     assert_eq!(lag(), Some(FleetLag::Machine(ip)));
     note(OTHER, NEWEST);
     assert_eq!(lag(), None);
-    note(OTHER, ProtocolVersion::UNNAMED);
+    note(OTHER, ProtocolVersion::LEGACY);
     assert_eq!(lag(), Some(FleetLag::Machine(ip)), "it went back");
 }
 
--- a/crates/transport/src/version.rs
+++ b/crates/transport/src/version.rs
@@ -3,7 +3,7 @@
 //! The process that opens a connection offers the versions that it supports, and the other one
 //! chooses the newest common version. Builds that predate the negotiation send a message as the
 //! first frame, which differs from an offer in its first byte. They close a connection that begins
-//! with an offer; the opener then reconnects and uses [`ProtocolVersion::UNNAMED`].
+//! with an offer; the opener then reconnects and uses [`ProtocolVersion::LEGACY`].
 
 use std::fmt;
 use std::io;
@@ -37,7 +37,7 @@
 
 impl ProtocolVersion {
     /// Version of builds that predate the negotiation.
-    pub const UNNAMED: Self = Self(1);
+    pub const LEGACY: Self = Self(1);
 
     /// Creates a version from its number, starting at 1.
     pub const fn new(number: u16) -> Self {
@@ -132,9 +132,9 @@
     let offered = timeout(ANSWER_TIMEOUT, offer(&mut stream, ours)).await;
     match offered.unwrap_or_else(|_| Err(io::Error::from(io::ErrorKind::TimedOut).into())) {
         Ok(version) => Ok((stream, version)),
-        Err(VersionError::NoAnswer) if ours.contains(ProtocolVersion::UNNAMED) => {
+        Err(VersionError::NoAnswer) if ours.contains(ProtocolVersion::LEGACY) => {
             let stream = tcp::connect(address, connect_timeout, user_timeout).await?;
-            Ok((stream, ProtocolVersion::UNNAMED))
+            Ok((stream, ProtocolVersion::LEGACY))
         }
         Err(error) => Err(error),
     }
@@ -169,8 +169,7 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let legacy =
-        VersionRange { oldest: ProtocolVersion::UNNAMED, newest: ProtocolVersion::UNNAMED };
+    let legacy = VersionRange { oldest: ProtocolVersion::LEGACY, newest: ProtocolVersion::LEGACY };
     let offered =
         match frames.next_payload_if(|payload| payload.first() == Some(&HANDSHAKE_MARKER)).await? {
             Some(payload) => Some(decode_handshake::<VersionRange>(&payload)?),
--- a/crates/transport/tests/version.rs
+++ b/crates/transport/tests/version.rs
@@ -62,7 +62,7 @@
     let bytes = encode_frame(&message).expect("encodes");
     let mut frames = FrameReader::new(bytes.as_slice());
     let version = choose(&mut frames, &mut tokio::io::sink(), range(1, 2)).await;
-    assert_eq!(version.expect("known"), ProtocolVersion::UNNAMED);
+    assert_eq!(version.expect("known"), ProtocolVersion::LEGACY);
     assert_eq!(frames.next::<(u64, String)>().await.expect("left"), message);
 
     let mut frames = FrameReader::new(bytes.as_slice());
@@ -98,7 +98,7 @@
     let machine = tokio::spawn(legacy_machine(listener));
     let opened = connect(address, TIMEOUT, TIMEOUT, range(1, 2)).await;
     let (mut stream, version) = opened.expect("reconnected");
-    assert_eq!(version, ProtocolVersion::UNNAMED);
+    assert_eq!(version, ProtocolVersion::LEGACY);
     stream.write_all(b"as ever").await.expect("written");
     drop(stream);
     assert_eq!(machine.await.expect("no panic"), b"as ever");
