--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -17,7 +17,7 @@
 use calicohoist_scheduler::PlacementRequest;
 use calicohoist_telemetry::metrics::{Counter, Gauge};
 use calicohoist_telemetry::{Event, emit};
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{
     Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, QueuedBytes, RefusedFrameLog,
     SendOutcome, VersionError, spawn_writer, tcp,
@@ -152,7 +152,7 @@
 async fn serve(stream: TcpStream, hub: Hub) -> Result<(), VersionError> {
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
-    let version = choose(&mut frames, &mut output, SPOKEN).await?;
+    let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
     let older = (version < NEWEST).then(|| Arc::new(hub.clone()));
     let replies = spawn_writer(output, hub.waiting.clone());
     let mut distance = None;
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 use calicohoist_replication::{GroupMessage, Message, ReplicaId};
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{
     FrameReader, HEADER_BYTES, Link, LinkHandshake, RefusedFrameLog, VersionError,
 };
@@ -116,7 +116,7 @@
     async fn read(self, stream: TcpStream) -> Result<(), VersionError> {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        let version = choose(&mut frames, &mut output, SPOKEN).await?;
+        let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
         let card = PeerCard::read(&mut frames, version).await?;
         let from = card.replica;
         self.peers.note(&card, version);
--- a/crates/ledger/tests/client.rs
+++ b/crates/ledger/tests/client.rs
@@ -11,7 +11,7 @@
 use calicohoist_ledger::client::{ClientTiming, LedgerClient};
 use calicohoist_ledger::commands::{Reservation, ReserveTurn};
 use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{FrameReader, encode_frame};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -98,7 +98,7 @@
     async fn serve(self: Arc<Self>, position: usize, stream: TcpStream) {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        if choose(&mut frames, &mut output, SPOKEN).await.is_err() {
+        if accept_offer(&mut frames, &mut output, SPOKEN).await.is_err() {
             return;
         }
         let output = Arc::new(tokio::sync::Mutex::new(output));
--- a/crates/transport/src/version.rs
+++ b/crates/transport/src/version.rs
@@ -160,7 +160,7 @@
 ///
 /// # Errors
 /// See [`VersionError`].
-pub async fn choose<R, W>(
+pub async fn accept_offer<R, W>(
     frames: &mut FrameReader<R>,
     output: &mut W,
     ours: VersionRange,
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{
     FrameReader, Link, LinkHandshake, LinkMessage, ProtocolVersion, VersionRange, encode_frame,
 };
@@ -59,7 +59,7 @@
     let (stream, _) = listener.accept().await.expect("the link connects");
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
-    let version = choose(&mut frames, &mut output, VERSIONS).await;
+    let version = accept_offer(&mut frames, &mut output, VERSIONS).await;
     assert_eq!(version.expect("negotiated"), VERSIONS.newest);
     let first: Vec<u8> = frames.next().await.expect("a frame");
     assert_eq!(first.len(), 6 * MEGABYTE);
--- a/crates/transport/tests/version.rs
+++ b/crates/transport/tests/version.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use calicohoist_transport::version::{choose, connect, offer};
+use calicohoist_transport::version::{accept_offer, connect, offer};
 use calicohoist_transport::{
     FrameError, FrameReader, ProtocolVersion, VersionError, VersionRange, encode_frame,
 };
@@ -24,7 +24,7 @@
     let (mut client, server) = tokio::io::duplex(64);
     let (input, mut output) = tokio::io::split(server);
     let mut frames = FrameReader::new(input);
-    tokio::join!(offer(&mut client, offered), choose(&mut frames, &mut output, supported))
+    tokio::join!(offer(&mut client, offered), accept_offer(&mut frames, &mut output, supported))
 }
 
 #[tokio::test]
@@ -61,12 +61,12 @@
     let message = (300_u64, "a question".to_owned());
     let bytes = encode_frame(&message).expect("encodes");
     let mut frames = FrameReader::new(bytes.as_slice());
-    let version = choose(&mut frames, &mut tokio::io::sink(), range(1, 2)).await;
+    let version = accept_offer(&mut frames, &mut tokio::io::sink(), range(1, 2)).await;
     assert_eq!(version.expect("known"), ProtocolVersion::LEGACY);
     assert_eq!(frames.next::<(u64, String)>().await.expect("left"), message);
 
     let mut frames = FrameReader::new(bytes.as_slice());
-    let refused = choose(&mut frames, &mut tokio::io::sink(), range(2, 2)).await;
+    let refused = accept_offer(&mut frames, &mut tokio::io::sink(), range(2, 2)).await;
     assert!(matches!(refused, Err(VersionError::NoCommonVersion { .. })), "{refused:?}");
 }
 
