--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -137,7 +137,7 @@
 pub async fn accept(listener: TcpListener, hub: Hub) {
     loop {
         if let Ok((stream, address)) = listener.accept().await
-            && tcp::prepare(&stream, USER_TIMEOUT).is_ok()
+            && tcp::configure(&stream, USER_TIMEOUT).is_ok()
         {
             let hub = hub.clone();
             tokio::spawn(async move {
--- a/crates/proxy/src/front/connections.rs
+++ b/crates/proxy/src/front/connections.rs
@@ -25,7 +25,7 @@
 pub async fn accept(listener: TcpListener, app: Arc<App>, closing: watch::Receiver<bool>) {
     loop {
         if let Ok((stream, _)) = listener.accept().await
-            && tcp::prepare(&stream, USER_TIMEOUT).is_ok()
+            && tcp::configure(&stream, USER_TIMEOUT).is_ok()
         {
             tokio::spawn(serve(stream, Arc::clone(&app), closing.clone()));
         }
--- a/crates/transport/src/tcp.rs
+++ b/crates/transport/src/tcp.rs
@@ -22,7 +22,7 @@
 ) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     let stream = tokio::time::timeout(connect_timeout, socket.connect(address)).await??;
-    prepare(&stream, user_timeout)?;
+    configure(&stream, user_timeout)?;
     Ok(stream)
 }
 
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// When a socket option cannot be set.
-pub fn prepare(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
+pub fn configure(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let millis = u32::try_from(user_timeout.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, millis)?;
