--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -132,7 +132,7 @@
         let machine = machine_number(settings.ip);
         let seeds: Vec<u32> = settings.seeds.iter().copied().map(machine_number).collect();
         let (disk, founders) = match recovered.disk {
-            Some(disk) => (disk, recovered.founders.clone()),
+            Some(disk) => (disk, recovered.initial_machines.clone()),
             None => {
                 let disk = new_identity(settings);
                 let founders = if disk == 0 { seeds.clone() } else { Vec::new() };
--- a/crates/replication/src/storage/log.rs
+++ b/crates/replication/src/storage/log.rs
@@ -56,7 +56,7 @@
     /// Identity of the data folder; `None` for a new folder.
     pub disk: Option<u32>,
     /// Machines of the initial membership, if the folder was created at bootstrap.
-    pub founders: Vec<u32>,
+    pub initial_machines: Vec<u32>,
     /// Recovered groups.
     pub groups: BTreeMap<GroupId, RecoveredGroup>,
     /// Stored segments.
@@ -90,8 +90,7 @@
         let replayed = log.replay()?;
         let (disk, initial_machines) = log.read_identity()?;
         let segments = log.list_segments()?;
-        let mut recovered =
-            Recovered { disk, founders: initial_machines, groups: BTreeMap::new(), segments };
+        let mut recovered = Recovered { disk, initial_machines, groups: BTreeMap::new(), segments };
         for (group, replay) in replayed {
             let snapshot = log.read_snapshot(group, replay.snapshot)?;
             let recovered_group = RecoveredGroup {
