--- a/crates/lab/tests/ledger_members/cluster.rs
+++ b/crates/lab/tests/ledger_members/cluster.rs
@@ -298,7 +298,7 @@
             };
             let is_for_this_disk = node.id() == to;
             let is_wanted = |message: &GroupMessage| {
-                is_for_this_disk || calicohoist_replication::node::is_for_machine(message)
+                is_for_this_disk || calicohoist_replication::node::is_addressed_to_machine(message)
             };
             let messages: Vec<GroupMessage> = messages.into_iter().filter(is_wanted).collect();
             let is_chunk = |wanted: &&GroupMessage| {
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -127,7 +127,10 @@
             let messages: Vec<GroupMessage> = if is_for_us {
                 messages
             } else {
-                messages.into_iter().filter(calicohoist_replication::node::is_for_machine).collect()
+                messages
+                    .into_iter()
+                    .filter(calicohoist_replication::node::is_addressed_to_machine)
+                    .collect()
             };
             if !messages.is_empty() {
                 self.replica.frame(from, messages);
--- a/crates/replication/src/node/mod.rs
+++ b/crates/replication/src/node/mod.rs
@@ -513,6 +513,6 @@
 
 /// Whether a message is addressed to a machine regardless of its disk id. This holds for the
 /// messages that a replica exchanges with the group before it joins.
-pub fn is_for_machine(message: &GroupMessage) -> bool {
+pub fn is_addressed_to_machine(message: &GroupMessage) -> bool {
     matches!(message.message, Message::Join | Message::LeaderHint { .. })
 }
