--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -593,7 +593,7 @@
         let membership = raft.membership();
         let is_member = membership.all().any(|replica| Some(replica.machine) == number);
         let has_votes = membership.voters.len() > 2 * self.tolerated_losses;
-        let is_settled = raft.has_settled_membership();
+        let is_settled = raft.is_membership_committed();
         Some(!is_member && has_votes && is_settled)
     }
 
--- a/crates/replication/src/raft/membership.rs
+++ b/crates/replication/src/raft/membership.rs
@@ -332,7 +332,7 @@
     }
 
     /// Whether the newest membership is committed.
-    pub fn has_settled_membership(&self) -> bool {
+    pub fn is_membership_committed(&self) -> bool {
         !self.has_pending_membership_change()
     }
 
