--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -61,17 +61,17 @@
 
 #[derive(Clone, Debug)]
 struct QueueUsage {
-    /// SendOutcome bytes of this connection.
+    /// Queued bytes of this connection.
     connection: QueuedBytes,
-    /// SendOutcome bytes of all connections that share the counter.
+    /// Queued bytes of all connections that share the counter.
     total: QueuedBytes,
 }
 
 impl QueueUsage {
     fn has_room(&self, bytes: usize) -> bool {
-        let connection = self.connection.get();
-        connection == 0
-            || (connection + bytes <= MAX_QUEUED_BYTES
+        let queued = self.connection.get();
+        queued == 0
+            || (queued + bytes <= MAX_QUEUED_BYTES
                 && self.total.get() + bytes <= MAX_TOTAL_QUEUED_BYTES)
     }
 
--- a/crates/transport/tests/frame.rs
+++ b/crates/transport/tests/frame.rs
@@ -11,8 +11,8 @@
 #[tokio::test]
 async fn shared_field_is_decoded_in_each_message() {
     let (output, input) = tokio::io::duplex(64);
-    let waiting = QueuedBytes::default();
-    let queue = spawn_writer(output, waiting.clone());
+    let queued_bytes = QueuedBytes::default();
+    let queue = spawn_writer(output, queued_bytes.clone());
     let field = SharedField::encode(&vec![7_u8; 100_000]).expect("encodes");
     let sent: Vec<Message> = vec![(1, vec![7; 100_000]), (2, vec![9; 10]), (300, vec![7; 100_000])];
     for message in &sent {
@@ -22,13 +22,13 @@
         };
         assert_eq!(queue.send(frame.expect("encodes")), SendOutcome::Queued);
     }
-    assert!(waiting.get() < 100, "the shared field is not counted per frame");
+    assert!(queued_bytes.get() < 100, "the shared field is not counted per frame");
     let mut frames = FrameReader::new(input);
     for message in sent {
         let received: Message = frames.next().await.expect("a complete frame");
         assert!(received == message, "message {}", message.0);
     }
-    assert_eq!(waiting.get(), 0);
+    assert_eq!(queued_bytes.get(), 0);
 }
 
 fn large_frame() -> Frame {
@@ -39,31 +39,31 @@
 #[tokio::test]
 async fn connection_is_closed_when_its_queue_overflows() {
     let (output, mut input) = tokio::io::duplex(64);
-    let waiting = QueuedBytes::default();
-    let queue = spawn_writer(output, waiting.clone());
+    let queued_bytes = QueuedBytes::default();
+    let queue = spawn_writer(output, queued_bytes.clone());
     let queued = (0..100).take_while(|_| queue.send(large_frame()) == SendOutcome::Queued).count();
     assert!((6..=8).contains(&queued), "{queued} frames queued");
     let mut rest = Vec::new();
     input.read_to_end(&mut rest).await.expect("an orderly close");
     assert!(rest.len() < MAX_QUEUED_BYTES, "{} bytes were written", rest.len());
     assert_eq!(queue.send(large_frame()), SendOutcome::Closed);
-    assert_eq!(waiting.get(), 0);
+    assert_eq!(queued_bytes.get(), 0);
 }
 
 #[tokio::test]
 async fn connections_share_a_queue_limit() {
     const CONNECTIONS: usize = 200;
-    let waiting = QueuedBytes::default();
+    let queued_bytes = QueuedBytes::default();
     let mut open = Vec::new();
     for _ in 0..CONNECTIONS {
         let (output, input) = tokio::io::duplex(64);
-        let queue = spawn_writer(output, waiting.clone());
+        let queue = spawn_writer(output, queued_bytes.clone());
         while queue.send(large_frame()) == SendOutcome::Queued {}
         open.push((queue, input));
     }
     // A connection with an empty queue accepts one frame even beyond the shared limit.
     let limit = MAX_TOTAL_QUEUED_BYTES + CONNECTIONS * MAX_QUEUED_BYTES / 4;
-    assert!(waiting.get() < limit, "{} bytes queued", waiting.get());
+    assert!(queued_bytes.get() < limit, "{} bytes queued", queued_bytes.get());
 }
 
 /// Frames queued concurrently with a close must be released exactly once. A leak in the shared
@@ -72,9 +72,9 @@
 async fn frames_queued_during_close_are_released_once() {
     const THREADS: usize = 4;
     for _ in 0..50 {
-        let waiting = QueuedBytes::default();
+        let queued_bytes = QueuedBytes::default();
         let (output, input) = tokio::io::duplex(64);
-        let queue = spawn_writer(output, waiting.clone());
+        let queue = spawn_writer(output, queued_bytes.clone());
         let senders: Vec<_> = (0..THREADS)
             .map(|_| {
                 let queue = queue.clone();
@@ -87,6 +87,6 @@
         while !senders.iter().all(std::thread::JoinHandle::is_finished) {
             tokio::task::yield_now().await;
         }
-        assert_eq!(waiting.get(), 0);
+        assert_eq!(queued_bytes.get(), 0);
     }
 }
