--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_transport::{
-    FrameQueue, FrameReader, ProtocolVersion, Queued, RefusalLog, WaitingBytes, spawn_writer,
-    version,
+    FrameQueue, FrameReader, ProtocolVersion, QueuedBytes, RefusedFrameLog, SendOutcome,
+    spawn_writer, version,
 };
 use parking_lot::Mutex;
 use tokio::net::tcp::OwnedReadHalf;
@@ -16,7 +16,7 @@
 
 use crate::protocol::{Answer, Ask, Question, Reply, SPOKEN};
 
-static REFUSALS: RefusalLog = RefusalLog::new("ledger");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("ledger");
 
 /// Within one zone or the next a connection opens in a few milliseconds.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
@@ -45,14 +45,14 @@
     pub(super) async fn open(address: SocketAddr) -> Option<Self> {
         let opened = version::connect(address, CONNECT_PATIENCE, USER_TIMEOUT, SPOKEN).await;
         let (stream, version) =
-            opened.inspect_err(|error| REFUSALS.note_version(address, error)).ok()?;
+            opened.inspect_err(|error| REFUSALS.record_version_error(address, error)).ok()?;
         let (input, output) = stream.into_split();
         let state = ConnectionState {
             is_open: AtomicBool::new(true),
             waiting: Mutex::default(),
             heard: Mutex::new(Instant::now()),
         };
-        let questions = spawn_writer(output, WaitingBytes::default());
+        let questions = spawn_writer(output, QueuedBytes::default());
         let connection = Self { questions, state: Arc::new(state), version };
         let state = Arc::clone(&connection.state);
         tokio::spawn(read_answers(FrameReader::new(input), version, state, address));
@@ -77,7 +77,7 @@
     /// Sends a question; `None` when the connection is broken or its queue is full.
     pub(super) fn ask(&self, number: u64, question: &Question) -> Option<PendingAnswer> {
         let (sender, receiver) = oneshot::channel();
-        if self.version == ProtocolVersion::UNNAMED
+        if self.version == ProtocolVersion::LEGACY
             && let Some(answer) = question.answer_for_v1()
         {
             let _ = sender.send(answer);
@@ -89,7 +89,7 @@
         if !self.is_open() {
             return None;
         }
-        (self.questions.send(frame) == Queued::Taken).then_some(pending)
+        (self.questions.send(frame) == SendOutcome::Queued).then_some(pending)
     }
 }
 
@@ -130,7 +130,7 @@
             let _ = sender.send(answer);
         }
     };
-    REFUSALS.note(address, &error);
+    REFUSALS.record(address, &error);
     // Whoever waits sees that the connection broke, and nobody begins to.
     state.is_open.store(false, Ordering::Relaxed);
     state.waiting.lock().clear();
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -17,10 +17,10 @@
 use calicohoist_scheduler::PlacementRequest;
 use calicohoist_telemetry::metrics::{Counter, Gauge};
 use calicohoist_telemetry::{Event, emit};
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{
-    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, Queued, RefusalLog, VersionError,
-    WaitingBytes, spawn_writer, tcp,
+    Frame, FrameError, FrameQueue, FrameReader, ProtocolVersion, QueuedBytes, RefusedFrameLog,
+    SendOutcome, VersionError, spawn_writer, tcp,
 };
 use parking_lot::Mutex;
 use tokio::net::{TcpListener, TcpStream};
@@ -44,7 +44,7 @@
 const FIND_HOLD: Duration = Duration::from_millis(150);
 const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-static REFUSALS: RefusalLog = RefusalLog::new("gateway");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("gateway");
 
 static ANSWERED_BYTES: Counter = Counter::new(
     "calicohoist_ledger_answered_bytes_total",
@@ -81,7 +81,7 @@
     /// Replicas that fail; of use on the leader only.
     failures: Arc<FailureDesk>,
     /// Answers that wait on all connections.
-    waiting: WaitingBytes,
+    waiting: QueuedBytes,
     shared: Arc<Mutex<SharedAnswers>>,
     older: OlderGateways,
     /// Where this machine and its askers are.
@@ -108,7 +108,7 @@
             turns,
             limits,
             failures: Arc::default(),
-            waiting: WaitingBytes::default(),
+            waiting: QueuedBytes::default(),
             shared: Arc::default(),
             older: OlderGateways::default(),
             place: Arc::new(place),
@@ -137,12 +137,12 @@
 pub async fn accept(listener: TcpListener, hub: Hub) {
     loop {
         if let Ok((stream, address)) = listener.accept().await
-            && tcp::prepare(&stream, USER_TIMEOUT).is_ok()
+            && tcp::configure(&stream, USER_TIMEOUT).is_ok()
         {
             let hub = hub.clone();
             tokio::spawn(async move {
                 if let Err(error) = serve(stream, hub).await {
-                    REFUSALS.note_version(address, &error);
+                    REFUSALS.record_version_error(address, &error);
                 }
             });
         }
@@ -152,7 +152,7 @@
 async fn serve(stream: TcpStream, hub: Hub) -> Result<(), VersionError> {
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
-    let version = choose(&mut frames, &mut output, SPOKEN).await?;
+    let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
     let older = (version < NEWEST).then(|| Arc::new(hub.clone()));
     let replies = spawn_writer(output, hub.waiting.clone());
     let mut distance = None;
@@ -166,7 +166,7 @@
             distance = Some(hub.place.topology.distance(&hub.place.zone, &placement.zone));
             hub.place.loads.lock().note(&placement.zone, Instant::now());
         }
-        traffic::note(Peer::Asker, word_of(&question), distance, frames.last_len());
+        traffic::note(Peer::Asker, word_of(&question), distance, frames.last_frame_len());
         let (replies, waiting) = (replies.clone(), hub.waiting.clone());
         let back = Back { number, replies, waiting, distance, version, older: older.clone() };
         match question {
@@ -214,7 +214,7 @@
 pub(super) struct Back {
     number: u64,
     replies: FrameQueue,
-    waiting: WaitingBytes,
+    waiting: QueuedBytes,
     /// How far the asker is, once that is known.
     distance: Option<Distance>,
     version: ProtocolVersion,
@@ -262,7 +262,7 @@
                 traffic::note(Peer::Gateway, bulk, self.distance, frame.len());
                 let queued = self.replies.send(frame);
                 WAITING.show(self.waiting.get() as u64);
-                if queued == Queued::Overflowed {
+                if queued == SendOutcome::Overflowed {
                     emit!(Event::AnswersNotTaken; answer = bulk, waiting = self.waiting.get());
                 }
             }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -9,9 +9,9 @@
 use std::collections::HashMap;
 
 use calicohoist_replication::{GroupMessage, Message, ReplicaId};
-use calicohoist_transport::version::choose;
+use calicohoist_transport::version::accept_offer;
 use calicohoist_transport::{
-    FrameReader, HEADER_BYTES, Link, LinkOpening, RefusalLog, VersionError,
+    FrameReader, HEADER_BYTES, Link, LinkHandshake, RefusedFrameLog, VersionError,
 };
 use calicohoist_wire::encode;
 use tokio::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
 /// Messages that may wait between the replica's thread and the network's.
 pub const RING: usize = 4_096;
 
-static REFUSALS: RefusalLog = RefusalLog::new("ledger machine");
+static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("ledger machine");
 
 /// Messages for one replica.
 #[derive(Debug)]
@@ -56,7 +56,10 @@
         let link = links.entry(to.machine).or_insert_with(|| {
             let address = machine_address(to.machine, settings.ports.peers);
             let greeting = greeting.clone();
-            Link::open(address, LinkOpening::offer(SPOKEN, move |version| greeting.frame(version)))
+            Link::open(
+                address,
+                LinkHandshake::offer(SPOKEN, move |version| greeting.frame(version)),
+            )
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
         let kind = kind_of(&messages);
@@ -95,7 +98,7 @@
                 PeerReceiver { identity, replica: replica.clone(), peers: peers.clone() };
             tokio::spawn(async move {
                 if let Err(error) = receiver.read(stream).await {
-                    REFUSALS.note_version(address, &error);
+                    REFUSALS.record_version_error(address, &error);
                 }
             });
         }
@@ -113,7 +116,7 @@
     async fn read(self, stream: TcpStream) -> Result<(), VersionError> {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        let version = choose(&mut frames, &mut output, SPOKEN).await?;
+        let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
         let card = PeerCard::read(&mut frames, version).await?;
         let from = card.replica;
         self.peers.note(&card, version);
@@ -124,7 +127,10 @@
             let messages: Vec<GroupMessage> = if is_for_us {
                 messages
             } else {
-                messages.into_iter().filter(calicohoist_replication::node::is_for_machine).collect()
+                messages
+                    .into_iter()
+                    .filter(calicohoist_replication::node::is_addressed_to_machine)
+                    .collect()
             };
             if !messages.is_empty() {
                 self.replica.frame(from, messages);
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -132,7 +132,7 @@
         let machine = machine_number(settings.ip);
         let seeds: Vec<u32> = settings.seeds.iter().copied().map(machine_number).collect();
         let (disk, founders) = match recovered.disk {
-            Some(disk) => (disk, recovered.founders.clone()),
+            Some(disk) => (disk, recovered.initial_machines.clone()),
             None => {
                 let disk = new_identity(settings);
                 let founders = if disk == 0 { seeds.clone() } else { Vec::new() };
@@ -593,7 +593,7 @@
         let membership = raft.membership();
         let is_member = membership.all().any(|replica| Some(replica.machine) == number);
         let has_votes = membership.voters.len() > 2 * self.tolerated_losses;
-        let is_settled = raft.has_settled_membership();
+        let is_settled = raft.is_membership_committed();
         Some(!is_member && has_votes && is_settled)
     }
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,7 @@
-//! Checked frames between processes over asynchronous TCP.
+//! Checksummed frames between processes over asynchronous TCP.
 //!
-//! The same frames as those of `calicohoist-wire`: length, CRC-32C and a bincode
-//! payload. This crate serves event-driven processes, that one serves threads.
+//! The frame format is that of `calicohoist-wire`: length, CRC-32C and a bincode payload. This
+//! crate is for asynchronous code, `calicohoist-wire` for blocking code.
 
 pub mod frame;
 pub mod link;
@@ -11,9 +11,9 @@
 pub mod writer;
 
 pub use calicohoist_wire::FrameError;
-pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_of};
-pub use link::{Link, LinkMessage, LinkOpening};
-pub use refusal::RefusalLog;
+pub use frame::{Frame, FrameReader, HEADER_BYTES, SharedField, encode_frame, frame_payload};
+pub use link::{Link, LinkHandshake, LinkMessage};
+pub use refusal::RefusedFrameLog;
 pub use tcp::{bind, connect};
 pub use version::{ProtocolVersion, VersionError, VersionRange};
-pub use writer::{FrameQueue, Queued, WaitingBytes, spawn_writer};
+pub use writer::{FrameQueue, QueuedBytes, SendOutcome, spawn_writer};
