--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,9 +1,8 @@
-//! When a turn runs, and where.
+//! Admission control for turns.
 //!
-//! Replicas admit what reaches them in the order of arrival, and every turn that runs
-//! slows the others down. [`TurnScheduler`] keeps turns back while the replicas are busy
-//! and lets them go in an order of its own: what can still be in time before what cannot,
-//! programs under way before new ones, urgent routes before others.
+//! [`TurnScheduler`] queues turns while replicas are busy, because every running turn slows down
+//! the others on its replica. Turns that can still meet their program's deadline are admitted
+//! first, then those of running programs before new ones, then those of more urgent routes.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,167 +10,171 @@
 use calicohoist_routing::{ColdTolerance, Replica};
 use serde::{Deserialize, Serialize};
 
-use crate::placement::{FleetView, Placement, PlacementRequest, Placer, RunLimit, TurnRun};
+use crate::placement::{ConcurrencyLimit, FleetView, Placement, PlacementRequest, Placer, TurnRun};
 use crate::speed::EngineSpeed;
 
-/// Turns that may wait at a time.
+/// Maximum number of waiting turns.
 const MAX_WAITING: usize = 1_000;
-/// Longest time that a turn waits.
+/// Maximum time that a turn waits.
 const MAX_WAIT: Duration = Duration::from_millis(1_800);
-/// Share of the time left to a turn that it may wait.
-const WAIT_SHARE: f64 = 0.45;
-/// When a refused turn may come back: many turns end within this time.
-const COME_BACK_AFTER: Duration = Duration::from_millis(300);
-/// Share of the time until its finish that a new program needs itself. One that has waited
-/// for the rest of it counts as late.
-const NEEDED_SHARE: f64 = 0.8;
-/// New programs begin while a turn takes at most so many times as long as at its best.
-/// Measured: see the rounds in `docs/DECISIONS.md`.
-const MOST_SLOWDOWN: f64 = 2.8;
+/// Maximum wait as a fraction of the time left until the turn's deadline.
+const MAX_WAIT_FRACTION: f64 = 0.45;
+/// Delay after which a refused turn may be retried.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Fraction of the time until its deadline that a new program is expected to run for. A program
+/// that has waited for longer than the rest is considered late.
+const EXPECTED_RUN_FRACTION: f64 = 0.8;
+/// New programs are admitted only to replicas whose turns take at most this many times as long as
+/// they would alone.
+const MAX_SLOWDOWN: f64 = 2.8;
 
-/// How long a new leader waits for the gateways' reports of load.
-const REPORTS_WITHIN: Duration = Duration::from_millis(60);
-/// How long turns are counted that an earlier leader placed and whose ends nobody tells.
-const INHERITED_FOR: Duration = Duration::from_millis(1_500);
+/// Time for which a new leader waits for load reports from the gateways.
+const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time for which turns placed by an earlier leader count as load unless they are reported as
+/// ended.
+const INHERITED_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
-/// What becomes of a turn.
+/// Outcome of scheduling a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// It runs at this replica.
+    /// The turn runs on this replica.
     Run(String),
-    /// It runs at this replica, which is cold, if it is sent there within
-    /// [`calicohoist_routing::COLD_PLACEMENT_LIFE`] after it was placed.
+    /// The turn runs on this replica, which is cold. The decision is void unless the turn is sent
+    /// within [`calicohoist_routing::COLD_PLACEMENT_LIFE`] after its placement.
     RunCold {
-        /// The replica.
+        /// Identity of the replica.
         replica: String,
-        /// Time from the arrival of the question until the turn was placed, in ms.
+        /// Time between the request for a placement and the placement, in ms.
         waited_ms: u64,
     },
-    /// No replica is known to take it; whoever asks may know better.
+    /// The leader knows no eligible replica; the gateway chooses one by itself.
     RunAnywhere,
-    /// It waits.
+    /// The turn is queued.
     Wait,
-    /// It does not run now; it may come back after this time.
+    /// The turn is refused and may be retried after this delay.
     Refuse(Duration),
 }
 
-/// A turn that waits for a replica.
+/// A queued turn.
 #[derive(Clone, Debug)]
 struct WaitingTurn {
     request: PlacementRequest,
-    /// When it was asked for last.
-    arrived: Instant,
-    give_up: Instant,
-    /// When its program should be over.
-    finish: Instant,
-    /// When it must have begun for that.
-    begin_by: Instant,
+    /// Time of the latest request for a placement.
+    requested_at: Instant,
+    expires_at: Instant,
+    /// Time by which the turn's program is supposed to end.
+    program_deadline: Instant,
+    /// Latest start that is expected to meet the program's deadline.
+    latest_start: Instant,
 }
 
-/// Order among waiting turns: the least goes first.
+/// Sort key of waiting turns; the smallest is admitted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_late: bool,
     is_new: bool,
     priority: u8,
-    finish: Instant,
+    program_deadline: Instant,
 }
 
 impl WaitingTurn {
     fn new(request: PlacementRequest, now: Instant) -> Self {
         let left = Duration::from_millis(request.left_ms);
-        let finish_left = request.finish_ms.map_or(left, Duration::from_millis);
-        let needed =
-            if request.is_under_way { Duration::ZERO } else { finish_left.mul_f64(NEEDED_SHARE) };
-        let finish = now + finish_left;
+        let program_left = request.finish_ms.map_or(left, Duration::from_millis);
+        let expected_run = if request.is_under_way {
+            Duration::ZERO
+        } else {
+            program_left.mul_f64(EXPECTED_RUN_FRACTION)
+        };
+        let program_deadline = now + program_left;
         Self {
-            arrived: now,
-            give_up: now + left.mul_f64(WAIT_SHARE).min(MAX_WAIT),
-            finish,
-            begin_by: finish.checked_sub(needed).unwrap_or(now),
+            requested_at: now,
+            expires_at: now + left.mul_f64(MAX_WAIT_FRACTION).min(MAX_WAIT),
+            program_deadline,
+            latest_start: program_deadline.checked_sub(expected_run).unwrap_or(now),
             request,
         }
     }
 
     fn rank(&self, now: Instant) -> Rank {
         Rank {
-            is_late: self.begin_by <= now,
+            is_late: self.latest_start <= now,
             is_new: !self.request.is_under_way,
             priority: self.request.priority,
-            finish: self.finish,
+            program_deadline: self.program_deadline,
         }
     }
 
-    /// The decision that follows from a placement; `None` while there is no room.
-    fn decision(&self, placed: Placement, now: Instant) -> Option<Decision> {
-        match placed {
-            Placement::At(replica) => Some(Decision::Run(replica)),
-            Placement::AtCold(replica) => {
-                let waited = now.saturating_duration_since(self.arrived).as_millis();
+    /// Converts a placement into a decision; `None` if no replica has capacity.
+    fn decision_for(&self, placement: Placement, now: Instant) -> Option<Decision> {
+        match placement {
+            Placement::Warm(replica) => Some(Decision::Run(replica)),
+            Placement::Cold(replica) => {
+                let waited = now.saturating_duration_since(self.requested_at).as_millis();
                 let waited_ms = u64::try_from(waited).unwrap_or_default();
                 Some(Decision::RunCold { replica, waited_ms })
             }
             Placement::NoReplica => Some(Decision::RunAnywhere),
-            Placement::NoRoom => None,
+            Placement::NoCapacity => None,
         }
     }
 
-    /// Whether there is no room for this turn when there is none for the other: both may go to
-    /// the same replicas, and the same limit holds for both.
-    fn needs_same_room(&self, other: &Self) -> bool {
+    /// Whether both turns have the same eligible replicas and the same limit, so that neither can
+    /// be placed if the other cannot.
+    fn competes_with(&self, other: &Self) -> bool {
         self.request.service == other.request.service
             && self.request.homes == other.request.homes
             && self.request.is_under_way == other.request.is_under_way
     }
 
-    fn limit(&self) -> RunLimit {
+    fn limit(&self) -> ConcurrencyLimit {
         if self.request.is_under_way {
-            RunLimit::Unlimited
+            ConcurrencyLimit::Unlimited
         } else {
-            RunLimit::Slowdown(MOST_SLOWDOWN)
+            ConcurrencyLimit::MaxSlowdown(MAX_SLOWDOWN)
         }
     }
 }
 
-/// Decides when and where turns run, and learns from their ends.
+/// Decides when and where turns run.
 #[derive(Debug, Default)]
 pub struct TurnScheduler {
     placer: Placer,
     waiting: HashMap<String, WaitingTurn>,
-    /// Before this moment nothing is decided: the loads of replicas are still coming in.
-    opens: Option<Instant>,
+    /// Time before which no decision is made, because load reports are still arriving.
+    paused_until: Option<Instant>,
 }
 
 impl TurnScheduler {
-    /// A scheduler that knows of no turn, with what may come on top of the limits of cold
+    /// Creates a scheduler without turns; `cold_tolerance` is added to the rate limits of cold
     /// replicas.
     pub fn new(cold_tolerance: ColdTolerance) -> Self {
         Self { placer: Placer::default().with_cold_tolerance(cold_tolerance), ..Self::default() }
     }
 
-    /// Begins a term as leader: turns under way are those that gateways will tell of.
+    /// Starts a term as leader. Turns under way are counted from the gateways' reports.
     pub fn begin_term(&mut self, now: Instant) {
         self.placer.begin_term(now);
         self.dismiss();
-        self.opens = Some(now + REPORTS_WITHIN);
+        self.paused_until = Some(now + LOAD_REPORT_TIMEOUT);
     }
 
-    /// Forgets the turns that wait: another leader decides about them.
+    /// Drops the queue when another leader takes over.
     pub fn dismiss(&mut self) {
         self.waiting.clear();
     }
 
-    /// Counts what a gateway has under way since before this term.
+    /// Adds the turns that a gateway had under way before this term.
     pub fn inherit(&mut self, loads: &[(String, u32)], now: Instant) {
-        self.placer.inherit(loads, now, INHERITED_FOR);
+        self.placer.inherit(loads, now, INHERITED_LOAD_TTL);
     }
 
-    /// Learns what a replica has read.
+    /// Records a turn that ran, for the prefix index and the speed estimates.
     pub fn learn(&mut self, run: &TurnRun) {
         self.placer.learn(run);
     }
 
-    /// What becomes of a turn that arrives, or is asked for again.
+    /// Handles a request to place a turn, which may be repeated.
     pub fn arrive(
         &mut self,
         turn: &str,
@@ -180,106 +183,107 @@
         now: Instant,
     ) -> Decision {
         if let Some(waiting) = self.waiting.get_mut(turn) {
-            // Whoever asks again counts the time from this question on.
-            waiting.arrived = now;
+            // The wait is measured from the latest request.
+            waiting.requested_at = now;
             return Decision::Wait;
         }
         if self.waiting.len() >= MAX_WAITING {
-            return Decision::Refuse(COME_BACK_AFTER);
+            return Decision::Refuse(RETRY_DELAY);
         }
-        let arrived = WaitingTurn::new(request, now);
-        let rank = arrived.rank(now);
-        // A turn of a program under way finds room at every warm replica. It waits only for cold
-        // ones, and so only behind turns that wait for the same.
+        let candidate = WaitingTurn::new(request, now);
+        let rank = candidate.rank(now);
+        // A warm replica always has capacity for a turn of a running program. Such a turn queues
+        // only for cold replicas, behind turns that compete for the same ones.
         let is_ahead = |waiting: &WaitingTurn| {
-            let competes = !arrived.request.is_under_way || waiting.needs_same_room(&arrived);
+            let competes = !candidate.request.is_under_way || waiting.competes_with(&candidate);
             competes && waiting.rank(now) < rank
         };
         let must_queue = self.waiting.values().any(is_ahead);
-        if self.is_open(now) && (!must_queue || self.placer.is_placed(turn)) {
-            let placed = self.placer.place(turn, &arrived.request, view, arrived.limit(), now);
-            if let Some(decision) = arrived.decision(placed, now) {
+        if self.is_ready(now) && (!must_queue || self.placer.is_placed(turn)) {
+            let placement =
+                self.placer.place(turn, &candidate.request, view, candidate.limit(), now);
+            if let Some(decision) = candidate.decision_for(placement, now) {
                 return decision;
             }
         }
-        self.waiting.insert(turn.to_owned(), arrived);
+        self.waiting.insert(turn.to_owned(), candidate);
         Decision::Wait
     }
 
-    /// Decides about waiting turns, as far as something can be decided now. A turn without room
-    /// is passed over for those that may find some elsewhere, and keeps its rank.
+    /// Decides on waiting turns in order of rank. A turn for which no replica has capacity stays
+    /// queued and does not block turns with other eligible replicas.
     pub fn decide(&mut self, view: &FleetView<'_>, now: Instant) -> Vec<(String, Decision)> {
-        let mut decided = Vec::new();
-        let mut passed = Vec::new();
-        while self.is_open(now)
-            && let Some(turn) = self.first(&passed, now)
+        let mut decisions = Vec::new();
+        let mut skipped = Vec::new();
+        while self.is_ready(now)
+            && let Some(turn) = self.next_turn(&skipped, now)
         {
             let waiting = &self.waiting[&turn];
             let limit = waiting.limit();
-            let placed = self.placer.place(&turn, &waiting.request, view, limit, now);
-            let Some(decision) = waiting.decision(placed, now) else {
-                passed.push(turn);
+            let placement = self.placer.place(&turn, &waiting.request, view, limit, now);
+            let Some(decision) = waiting.decision_for(placement, now) else {
+                skipped.push(turn);
                 continue;
             };
             self.waiting.remove(&turn);
-            decided.push((turn, decision));
+            decisions.push((turn, decision));
         }
-        self.give_up(now, &mut decided);
-        decided
+        self.expire(now, &mut decisions);
+        decisions
     }
 
-    /// A turn has ended, whether or not it ever ran; see [`Placer::end`].
+    /// Records the end of a turn, whether or not it ran; see [`Placer::end`].
     pub fn end(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
         self.waiting.remove(turn);
         self.placer.end(turn, ran_at, now);
     }
 
-    /// A replica is known to fail until then.
+    /// Marks a replica as failing until `until`.
     pub fn note_failing(&mut self, replica: &str, until: Instant) {
         self.placer.note_failing(replica, until);
     }
 
-    /// Forgets what is known of replicas that are not in `replicas`.
+    /// Drops the state of replicas that are not in `replicas`.
     pub fn retain(&mut self, replicas: &[Replica]) {
         self.placer.retain(replicas);
     }
 
-    /// What is learned of engines, by service.
+    /// Returns the speed estimates by service.
     pub fn speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
         self.placer.speeds()
     }
 
-    /// How many times as long as the fastest the replicas of a service take on the average.
+    /// Returns the mean time per token of a service's replicas relative to the fastest one.
     pub fn spread(&self, service: &str) -> f64 {
         self.placer.spread(service)
     }
 
-    /// Turns that wait.
+    /// Returns the number of waiting turns.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    fn is_open(&self, now: Instant) -> bool {
-        self.opens.is_none_or(|opens| opens <= now)
+    fn is_ready(&self, now: Instant) -> bool {
+        self.paused_until.is_none_or(|paused_until| paused_until <= now)
     }
 
-    /// The waiting turn of the first rank that may find room although the `passed` ones did not.
-    fn first(&self, passed: &[String], now: Instant) -> Option<String> {
-        let may_find_room = |(_, waiting): &(&String, &WaitingTurn)| {
-            !passed.iter().any(|turn| self.waiting[turn].needs_same_room(waiting))
+    /// Returns the first waiting turn, by rank, that does not compete with any of `skipped`.
+    fn next_turn(&self, skipped: &[String], now: Instant) -> Option<String> {
+        let may_have_capacity = |(_, waiting): &(&String, &WaitingTurn)| {
+            !skipped.iter().any(|turn| self.waiting[turn].competes_with(waiting))
         };
-        let candidates = self.waiting.iter().filter(may_find_room);
+        let candidates = self.waiting.iter().filter(may_have_capacity);
         let first = candidates.min_by_key(|(turn, waiting)| (waiting.rank(now), *turn));
         first.map(|(turn, _)| turn.clone())
     }
 
-    fn give_up(&mut self, now: Instant, decided: &mut Vec<(String, Decision)>) {
-        let is_over = |waiting: &WaitingTurn| waiting.give_up <= now;
-        let over = self.waiting.iter().filter(|(_, waiting)| is_over(waiting));
-        let over: Vec<String> = over.map(|(turn, _)| turn.clone()).collect();
-        for turn in over {
+    fn expire(&mut self, now: Instant, decisions: &mut Vec<(String, Decision)>) {
+        let is_expired = |waiting: &WaitingTurn| waiting.expires_at <= now;
+        let expired = self.waiting.iter().filter(|(_, waiting)| is_expired(waiting));
+        let expired: Vec<String> = expired.map(|(turn, _)| turn.clone()).collect();
+        for turn in expired {
             self.waiting.remove(&turn);
-            decided.push((turn, Decision::Refuse(COME_BACK_AFTER)));
+            decisions.push((turn, Decision::Refuse(RETRY_DELAY)));
         }
     }
 }
--- a/crates/scheduler/src/cold.rs
+++ b/crates/scheduler/src/cold.rs
@@ -1,8 +1,9 @@
-//! How many turns a replica gets that has just started.
+//! Rate limit for replicas that have just started.
 //!
-//! A cold replica fails when it gets as much as the others, and an idle one is the cheapest for
-//! every turn that waits. [`ColdGate`] counts what was placed where and lets no more through to a cold
-//! replica than its service's limit allows, however late a gateway sends what was placed.
+//! A cold replica is idle and therefore the cheapest choice for every waiting turn, but fails
+//! under the load of a warm one. [`ColdLimiter`] counts placements by replica and keeps the
+//! arrivals at a cold replica within its service's limit, taking into account that placed turns
+//! arrive with a delay.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,91 +12,91 @@
 
 use crate::placement::FleetView;
 
-/// The limit is counted over this span.
-const WINDOW: Duration = Duration::from_secs(1);
-/// Longest time between a placement and its arrival at the replica: its life
-/// ([`calicohoist_routing::COLD_PLACEMENT_LIFE`]) and the way there with a new connection. What
-/// was placed within a window and this may arrive within one window.
-const ARRIVAL_SPREAD: Duration = Duration::from_millis(500);
-/// A leader that lost its quorum places for so long beside the next one: the longest election
-/// timeout, rounded up.
-const STEP_DOWN: Duration = Duration::from_millis(500);
-/// How long a new leader places nothing at cold replicas. By then all that an earlier leader
-/// placed there has arrived, and no longer counts in any window.
-const TERM_HOLD: Duration = WINDOW.saturating_add(ARRIVAL_SPREAD).saturating_add(STEP_DOWN);
-/// Extra cost of a cold replica, as a share of the time that a turn takes alone. An assumption:
-/// nobody measures how slow a cold replica is.
-pub const COLD_SLOWNESS: f64 = 0.5;
-
-/// Whether a turn may go to a replica.
+/// Window over which the limit is counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// Maximum time between a placement and its arrival at the replica: the lifetime of the placement
+/// ([`calicohoist_routing::COLD_PLACEMENT_LIFE`]) and the network delay with a new connection.
+/// Placements made within a window extended by this time may arrive within a single window.
+const MAX_ARRIVAL_DELAY: Duration = Duration::from_millis(500);
+/// Time for which a deposed leader may still place turns: the longest election timeout, rounded
+/// up.
+const LEADER_OVERLAP: Duration = Duration::from_millis(500);
+/// Time for which a new leader places no turns on cold replicas, so that the placements of
+/// earlier leaders have arrived and left every window.
+const TERM_START_HOLD: Duration =
+    RATE_WINDOW.saturating_add(MAX_ARRIVAL_DELAY).saturating_add(LEADER_OVERLAP);
+/// Cost penalty of a cold replica, as a fraction of the time that a turn takes alone.
+pub const COLD_PENALTY: f64 = 0.5;
+
+/// Whether the rate limit admits a turn to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdAdmission {
-    /// The replica is warm.
+    /// The replica is warm and not limited.
     Warm,
-    /// It is cold, and bears one more.
+    /// The replica is cold and below its limit.
     Cold,
-    /// It is cold, and bears none now.
-    Closed,
+    /// The replica is cold and has reached its limit.
+    AtLimit,
 }
 
-/// Requests that may be placed at a cold replica.
+/// Maximum numbers of placements at a cold replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ColdQuota {
-    /// Within [`WINDOW`]: the limit without its tolerance.
+    /// Within [`RATE_WINDOW`]: the limit without the tolerance.
     steady: usize,
-    /// Within [`WINDOW`] and [`ARRIVAL_SPREAD`] together, all of which may arrive within one
-    /// second: the limit with its tolerance.
-    most: usize,
+    /// Within [`RATE_WINDOW`] plus [`MAX_ARRIVAL_DELAY`], all of which may arrive within one
+    /// second: the limit with the tolerance.
+    burst: usize,
 }
 
 impl ColdQuota {
-    fn of(limit: &ColdLimit, tolerance: &ColdTolerance) -> Self {
-        // A limit that is no number lets nothing through.
-        let most = (limit.per_second * tolerance.overshoot + tolerance.slack).max(0.0) as usize;
-        let steady = (limit.per_second.max(1.0) as usize).min(most);
-        Self { steady, most }
+    fn new(limit: &ColdLimit, tolerance: &ColdTolerance) -> Self {
+        // A limit that is NaN admits nothing.
+        let burst = (limit.per_second * tolerance.overshoot + tolerance.slack).max(0.0) as usize;
+        let steady = (limit.per_second.max(1.0) as usize).min(burst);
+        Self { steady, burst }
     }
 }
 
-/// Counts what is placed at replicas of services with a limit for cold ones.
+/// Counts placements and limits those at cold replicas.
 #[derive(Clone, Debug, Default)]
-pub struct ColdGate {
+pub struct ColdLimiter {
     tolerance: ColdTolerance,
-    /// Before this moment cold replicas get nothing.
-    opens: Option<Instant>,
-    /// What was placed lately, by replica, oldest first; at warm ones too, which may turn out to
-    /// have been cold.
-    placed: HashMap<String, VecDeque<Instant>>,
-    returned: ReturnedZones,
-    /// Replicas that failed, each with the time from which the list shows whether they have
-    /// started again.
-    restarting: HashMap<String, Instant>,
+    /// Time before which nothing is placed on cold replicas.
+    blocked_until: Option<Instant>,
+    /// Recent placements by replica, oldest first. Warm replicas are included, since a replica
+    /// may turn out to have been cold.
+    placements: HashMap<String, VecDeque<Instant>>,
+    returned_zones: ReturnedZones,
+    /// Failed replicas, each with the time until which it counts as cold because it may have
+    /// restarted unnoticed.
+    cold_after_failure: HashMap<String, Instant>,
 }
 
-impl ColdGate {
-    /// A gate that has let nothing through.
+impl ColdLimiter {
+    /// Creates a limiter without placements.
     pub fn new(tolerance: ColdTolerance) -> Self {
         Self { tolerance, ..Self::default() }
     }
 
-    /// Begins a term as leader: what an earlier one placed may still be on its way.
+    /// Starts a term as leader. Placements by an earlier leader may still be in flight.
     pub fn begin_term(&mut self, now: Instant) {
-        self.placed.clear();
-        self.opens = Some(now + TERM_HOLD);
+        self.placements.clear();
+        self.blocked_until = Some(now + TERM_START_HOLD);
     }
 
-    /// Takes in which zones are drained: replicas of one that is given back count as cold for a
-    /// moment.
-    pub fn note_fleet(&mut self, view: &FleetView<'_>, now: Instant) {
-        self.returned.note(view.drained, now);
+    /// Updates the drained zones. The replicas of a zone that is no longer drained count as cold
+    /// for a short time.
+    pub fn update_drained_zones(&mut self, view: &FleetView<'_>, now: Instant) {
+        self.returned_zones.note(view.drained, now);
     }
 
-    /// A replica is known to fail until `until`, and may start again after that.
+    /// Marks a replica as failing until `until`; it may restart after that.
     pub fn note_failing(&mut self, replica: &str, until: Instant) {
-        self.restarting.insert(replica.to_owned(), until + LIST_SETTLES);
+        self.cold_after_failure.insert(replica.to_owned(), until + LIST_SETTLES);
     }
 
-    /// Whether a turn may go there now; without a limit nothing binds.
+    /// Checks the rate limit of a replica. Services without a limit are not restricted.
     pub fn admit(
         &self,
         replica: &Replica,
@@ -106,47 +107,48 @@
         let Some(limit) = limit.filter(|_| self.is_cold(replica, view, now)) else {
             return ColdAdmission::Warm;
         };
-        let quota = ColdQuota::of(limit, &self.tolerance);
-        let is_open = self.opens.is_none_or(|opens| opens <= now);
-        let has_room = self.placed_within(&replica.id, WINDOW, now) < quota.steady
-            && self.placed_within(&replica.id, WINDOW + ARRIVAL_SPREAD, now) < quota.most;
-        if is_open && has_room { ColdAdmission::Cold } else { ColdAdmission::Closed }
+        let quota = ColdQuota::new(limit, &self.tolerance);
+        let is_unblocked = self.blocked_until.is_none_or(|blocked_until| blocked_until <= now);
+        let has_capacity = self.placements_within(&replica.id, RATE_WINDOW, now) < quota.steady
+            && self.placements_within(&replica.id, RATE_WINDOW + MAX_ARRIVAL_DELAY, now)
+                < quota.burst;
+        if is_unblocked && has_capacity { ColdAdmission::Cold } else { ColdAdmission::AtLimit }
     }
 
-    /// Counts a turn that is placed now.
-    pub fn note_placed(&mut self, replica: &str, limit: Option<&ColdLimit>, now: Instant) {
+    /// Records a placement.
+    pub fn record_placement(&mut self, replica: &str, limit: Option<&ColdLimit>, now: Instant) {
         if limit.is_none() {
             return;
         }
-        let placed = self.placed.entry(replica.to_owned()).or_default();
-        placed.push_back(now);
-        forget_before(placed, now);
+        let placements = self.placements.entry(replica.to_owned()).or_default();
+        placements.push_back(now);
+        drop_expired(placements, now);
     }
 
-    /// Forgets what lies further back than a limit reaches.
+    /// Drops placements that are too old to count.
     pub fn expire(&mut self, now: Instant) {
-        self.placed.retain(|_, placed| {
-            forget_before(placed, now);
-            !placed.is_empty()
+        self.placements.retain(|_, placements| {
+            drop_expired(placements, now);
+            !placements.is_empty()
         });
-        self.restarting.retain(|_, until| now < *until);
+        self.cold_after_failure.retain(|_, until| now < *until);
     }
 
     fn is_cold(&self, replica: &Replica, view: &FleetView<'_>, now: Instant) -> bool {
         view.cold.is_cold(&replica.id, now)
-            || self.returned.contains(&replica.zone, now)
-            || self.restarting.get(&replica.id).is_some_and(|until| now < *until)
+            || self.returned_zones.contains(&replica.zone, now)
+            || self.cold_after_failure.get(&replica.id).is_some_and(|until| now < *until)
     }
 
-    fn placed_within(&self, replica: &str, span: Duration, now: Instant) -> usize {
-        let placed = self.placed.get(replica);
-        let newest = placed.into_iter().flat_map(|placed| placed.iter().rev());
+    fn placements_within(&self, replica: &str, span: Duration, now: Instant) -> usize {
+        let placements = self.placements.get(replica);
+        let newest = placements.into_iter().flat_map(|placements| placements.iter().rev());
         newest.take_while(|at| now < **at + span).count()
     }
 }
 
-fn forget_before(placed: &mut VecDeque<Instant>, now: Instant) {
-    while placed.front().is_some_and(|at| *at + WINDOW + ARRIVAL_SPREAD <= now) {
-        placed.pop_front();
+fn drop_expired(placements: &mut VecDeque<Instant>, now: Instant) {
+    while placements.front().is_some_and(|at| *at + RATE_WINDOW + MAX_ARRIVAL_DELAY <= now) {
+        placements.pop_front();
     }
 }
--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -1,57 +1,57 @@
-//! The routing cost: an estimate of how long a call's first token would take.
+//! Routing cost: the estimated time to the first token of a call.
 
-/// How much each part of the cost weighs, in milliseconds.
+/// Weights of the cost terms, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostWeights {
-    /// Time to compute one prompt token that the engine does not hold.
-    pub per_missing_token: f64,
-    /// Time that a running or waiting call occupies one slot.
+    /// Time to compute one prompt token that is not cached by the engine.
+    pub per_uncached_token: f64,
+    /// Time that a running or waiting call occupies a slot.
     pub per_call: f64,
-    /// Extra time to reach an engine in another zone.
-    pub other_zone: f64,
+    /// Extra latency to an engine in another zone.
+    pub cross_zone: f64,
 }
 
 impl Default for CostWeights {
     fn default() -> Self {
-        Self { per_missing_token: 0.25, per_call: 600.0, other_zone: 3.0 }
+        Self { per_uncached_token: 0.25, per_call: 600.0, cross_zone: 3.0 }
     }
 }
 
-/// What is known of one engine when a call is routed.
+/// State of one engine when a call is routed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostInputs {
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Of these, tokens that the engine is believed to hold.
+    /// Prompt tokens that are estimated to be cached by the engine.
     pub held_tokens: u64,
-    /// Calls running there.
+    /// Running calls.
     pub running: u32,
-    /// Calls waiting there.
+    /// Waiting calls.
     pub waiting: u32,
-    /// Calls that run there at a time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it is in the gateway's own zone.
+    /// Whether the engine is in the gateway's zone.
     pub same_zone: bool,
 }
 
-/// Estimated milliseconds until the first token.
+/// Estimates the time to the first token, in milliseconds.
 pub fn cost_millis(inputs: &CostInputs, weights: &CostWeights) -> f64 {
-    let missing = inputs.prompt_tokens.saturating_sub(inputs.held_tokens);
-    let compute = missing as f64 * weights.per_missing_token;
+    let uncached = inputs.prompt_tokens.saturating_sub(inputs.held_tokens);
+    let compute = uncached as f64 * weights.per_uncached_token;
     let ahead = f64::from(inputs.running) + f64::from(inputs.waiting);
     let slots = f64::from(inputs.slots.max(1));
-    let beyond_slots = (ahead + 1.0 - slots).max(0.0);
-    let queueing = beyond_slots / slots * weights.per_call;
-    // Calls that share a batch slow each other down even when a slot is free.
-    let sharing = ahead.min(slots) / slots * weights.per_call * SHARING;
-    let distance = if inputs.same_zone { 0.0 } else { weights.other_zone };
-    compute + queueing + sharing + distance
+    let excess_calls = (ahead + 1.0 - slots).max(0.0);
+    let queueing = excess_calls / slots * weights.per_call;
+    // Calls in the same batch slow each other down even when a slot is free.
+    let contention = ahead.min(slots) / slots * weights.per_call * BATCH_CONTENTION;
+    let network = if inputs.same_zone { 0.0 } else { weights.cross_zone };
+    compute + queueing + contention + network
 }
 
-/// Part of a call's time by which a full batch delays it.
-const SHARING: f64 = 0.2;
+/// Slowdown by a full batch, as a fraction of the time of a call.
+const BATCH_CONTENTION: f64 = 0.2;
 
-/// The cheapest of `candidates`; the first one among equals.
+/// Returns the cheapest candidate, or the first of several with the same cost.
 pub fn choose<T>(
     candidates: impl IntoIterator<Item = (T, CostInputs)>,
     weights: &CostWeights,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,18 +1,22 @@
-//! Pure scheduling decisions.
+//! Scheduling algorithms without I/O.
 //!
-//! - [`admission`]: when a turn runs, by a process that sees all of them;
-//! - [`placement`]: where it runs;
-//! - [`cold`]: how many turns a replica gets that has just started;
-//! - [`pace`]: how fast replicas are against others of their service;
-//! - [`prefix`]: what replicas are believed to hold of prompts;
-//! - [`failures`]: which replicas fail one request after the other;
-//! - [`speed`]: how fast engines are, learned from turns that ended;
-//! - [`cost`]: what routing a call to an engine would cost;
-//! - [`queue`]: which waiting call an engine takes next;
-//! - [`ownership`]: which gateway keeps an engine's queue;
-//! - [`retry`]: how many retries a gateway may make, and how long it waits.
+//! A program is an agent that sends a sequence of requests, called turns, to replicas of a
+//! service. Gateways forward the turns; an elected leader decides when and where each of them
+//! runs. The modules:
 //!
-//! Nothing here reads a clock, draws a random number or knows its callers.
+//! - [`admission`]: order in which waiting turns are admitted;
+//! - [`placement`]: choice of the replica that runs a turn;
+//! - [`cold`]: rate limit for replicas that have just started;
+//! - [`relative_speed`]: speed of replicas relative to others of their service;
+//! - [`prefix`]: estimated contents of the replicas' prefix caches;
+//! - [`outliers`]: ejection of replicas that fail repeatedly;
+//! - [`speed`]: engine speed estimated from completed turns;
+//! - [`cost`]: cost estimate for routing a call to an engine;
+//! - [`queue`]: order of the calls that wait for one engine;
+//! - [`ownership`]: assignment of engine queues to gateways;
+//! - [`retry`]: retry budget, backoff and queue timeout.
+//!
+//! All functions are deterministic: time and randomness are passed in by the caller.
 
 pub mod admission;
 pub mod cold;
@@ -27,12 +31,12 @@
 pub mod speed;
 
 pub use admission::{Decision, TurnScheduler};
-pub use cold::{ColdAdmission, ColdGate};
+pub use cold::{ColdAdmission, ColdLimiter};
 pub use cost::{CostInputs, CostWeights, choose, cost_millis};
 pub use failures::FailureBoard;
 pub use ownership::owner_of;
 pub use placement::{
-    FleetView, Placement, PlacementRequest, PlacementWeights, Placer, RunLimit, TurnRun,
+    ConcurrencyLimit, FleetView, Placement, PlacementRequest, PlacementWeights, Placer, TurnRun,
 };
 pub use prefix::{PrefixIndex, PromptPart};
 pub use queue::{EngineQueue, QueueEntry, QueueFull};
--- a/crates/scheduler/src/ownership.rs
+++ b/crates/scheduler/src/ownership.rs
@@ -1,15 +1,15 @@
-//! Rendezvous hashing: every gateway computes the same owner of an engine, and
-//! when a gateway comes or goes only that gateway's engines move.
+//! Rendezvous hashing of engines to gateways. Every gateway computes the same owner of an engine,
+//! and only the engines of a gateway that joins or leaves are reassigned.
 
 use calicohoist_types::{EngineId, NodeId};
 
-/// The gateway that keeps `engine`'s queue.
+/// Returns the gateway that owns the queue of `engine`.
 pub fn owner_of<'a>(
     engine: &EngineId,
     nodes: impl IntoIterator<Item = &'a NodeId>,
 ) -> Option<&'a NodeId> {
-    let weighed = nodes.into_iter().map(|node| (weight(engine, node), node));
-    weighed.max().map(|(_, node)| node)
+    let weighted = nodes.into_iter().map(|node| (weight(engine, node), node));
+    weighted.max().map(|(_, node)| node)
 }
 
 fn weight(engine: &EngineId, node: &NodeId) -> u64 {
@@ -17,7 +17,7 @@
     hasher.update(engine.as_str().as_bytes());
     hasher.update(&[0]);
     hasher.update(node.as_str().as_bytes());
-    let mut first = [0; 8];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(first)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(prefix)
 }
--- a/crates/scheduler/src/pace.rs
+++ b/crates/scheduler/src/pace.rs
@@ -1,12 +1,11 @@
-//! How fast replicas of one service are against each other.
+//! Speed of replicas relative to others of their service.
 //!
-//! The load that this answers: a service whose engines are of several builds. Taken as equal, the
-//! slow ones get as many turns as the fast ones, and programs are late on them while the fast ones
-//! have room.
+//! The replicas of a service may run on different hardware. With equal shares of the turns,
+//! programs on slow replicas would be late while fast ones have capacity.
 //!
-//! [`PaceBoard`] learns the best time for a token of each replica, which says what its machine can
-//! do whatever runs beside, and compares it with the others of its service. Replicas that differ
-//! little count as equal, so that a service of one build is served as if nothing were learned.
+//! [`RelativeSpeedTracker`] compares the best time per token of each replica, which hardly
+//! depends on its load. Small differences are ignored, so that turns of a homogeneous service are
+//! placed as if all replicas were equal.
 
 use std::time::{Duration, Instant};
 
@@ -14,112 +13,115 @@
 
 use crate::speed::{EngineSpeed, RunSample};
 
-/// The slowest replica must take so many times as long as the fastest for a service to count as
-/// uneven. Best times of equal engines differ by what they happened to run.
-const UNEVEN_FROM: f64 = 1.4;
-/// Most that is believed of a replica against the fastest.
-const MOST_SLOWNESS: f64 = 8.0;
-/// Time between two comparisons.
-const WEIGH_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum ratio of the slowest to the fastest time per token for a service to count as
+/// heterogeneous.
+const HETEROGENEITY_THRESHOLD: f64 = 1.4;
+/// Maximum ratio of a replica's time per token to the fastest.
+const MAX_RELATIVE_TIME: f64 = 8.0;
+/// Minimum time between two comparisons.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many times as long a replica takes for the same work as others of its service.
+/// Speed of a replica relative to the others of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReplicaPace {
-    /// As the fastest.
-    pub against_best: f64,
-    /// Time that a turn takes there now, in ms; `None` where the service's figure holds.
+pub struct RelativeSpeed {
+    /// Time per token relative to the fastest replica; at least 1.
+    pub relative_token_time: f64,
+    /// Mean duration of a turn on this replica, in ms; `None` if the service's mean applies.
     pub turn_ms: Option<f64>,
 }
 
-impl ReplicaPace {
-    /// As long as any other.
-    pub const EVEN: Self = Self { against_best: 1.0, turn_ms: None };
+impl RelativeSpeed {
+    /// Speed of a replica in a homogeneous service.
+    pub const EQUAL: Self = Self { relative_token_time: 1.0, turn_ms: None };
 }
 
-/// What is learned of one replica.
+/// Speed estimate of one replica.
 #[derive(Debug)]
-struct LearnedReplica {
+struct ReplicaEstimate {
     service: String,
     speed: EngineSpeed,
 }
 
-/// A service whose replicas differ, with times for a token in ms.
+/// A service whose replicas differ in speed; times per token in ms.
 #[derive(Clone, Copy, Debug)]
-struct UnevenService {
+struct HeterogeneousService {
     best_ms: f64,
     mean_ms: f64,
 }
 
 /// Compares the replicas of each service.
 #[derive(Debug, Default)]
-pub struct PaceBoard {
-    replicas: HashMap<String, LearnedReplica>,
-    uneven: HashMap<String, UnevenService>,
-    weighed: Option<Instant>,
+pub struct RelativeSpeedTracker {
+    replicas: HashMap<String, ReplicaEstimate>,
+    heterogeneous: HashMap<String, HeterogeneousService>,
+    last_compared: Option<Instant>,
 }
 
-impl PaceBoard {
-    /// Notes a run that ended whole.
-    pub fn note_run(&mut self, replica: &str, service: &str, sample: RunSample) {
-        let unknown =
-            || LearnedReplica { service: service.to_owned(), speed: EngineSpeed::default() };
-        let learned = self.replicas.entry(replica.to_owned()).or_insert_with(unknown);
-        learned.speed.note_run(sample);
+impl RelativeSpeedTracker {
+    /// Records a completed turn.
+    pub fn record_sample(&mut self, replica: &str, service: &str, sample: RunSample) {
+        let new_estimate =
+            || ReplicaEstimate { service: service.to_owned(), speed: EngineSpeed::default() };
+        let estimate = self.replicas.entry(replica.to_owned()).or_insert_with(new_estimate);
+        estimate.speed.record_sample(sample);
     }
 
-    /// Compares the replicas anew, now and then.
-    pub fn weigh(&mut self, now: Instant) {
-        if self.weighed.is_some_and(|at| now < at + WEIGH_INTERVAL) {
+    /// Compares the replicas again if the last comparison is old enough.
+    pub fn compare(&mut self, now: Instant) {
+        if self.last_compared.is_some_and(|at| now < at + COMPARE_INTERVAL) {
             return;
         }
-        self.weighed = Some(now);
+        self.last_compared = Some(now);
         let mut times: HashMap<&str, Vec<f64>> = HashMap::default();
-        for learned in self.replicas.values() {
-            if let Some(token_ms) = learned.speed.token_ms() {
-                times.entry(&learned.service).or_default().push(token_ms);
+        for estimate in self.replicas.values() {
+            if let Some(token_ms) = estimate.speed.best_token_ms() {
+                times.entry(&estimate.service).or_default().push(token_ms);
             }
         }
-        let uneven = times
-            .into_iter()
-            .filter_map(|(service, times)| Some((service.to_owned(), UnevenService::of(&times)?)));
-        self.uneven = uneven.collect();
+        let heterogeneous = times.into_iter().filter_map(|(service, times)| {
+            Some((service.to_owned(), HeterogeneousService::from_times(&times)?))
+        });
+        self.heterogeneous = heterogeneous.collect();
     }
 
-    /// How a replica compares; one that is not known yet is taken for one of the mean.
-    pub fn of(&self, service: &str, replica: &str) -> ReplicaPace {
-        let Some(uneven) = self.uneven.get(service) else {
-            return ReplicaPace::EVEN;
+    /// Returns the relative speed of a replica. Unknown replicas are assumed to have the mean
+    /// speed of the service.
+    pub fn get(&self, service: &str, replica: &str) -> RelativeSpeed {
+        let Some(heterogeneous) = self.heterogeneous.get(service) else {
+            return RelativeSpeed::EQUAL;
         };
-        let learned = self.replicas.get(replica);
-        let token_ms = learned.and_then(|learned| learned.speed.token_ms());
-        let most_ms = uneven.best_ms * MOST_SLOWNESS;
-        let token_ms = token_ms.map_or(uneven.mean_ms, |token_ms| token_ms.min(most_ms));
-        ReplicaPace {
-            against_best: (token_ms / uneven.best_ms).max(1.0),
-            turn_ms: learned.and_then(|learned| learned.speed.turn_ms()),
+        let estimate = self.replicas.get(replica);
+        let token_ms = estimate.and_then(|estimate| estimate.speed.best_token_ms());
+        let max_ms = heterogeneous.best_ms * MAX_RELATIVE_TIME;
+        let token_ms = token_ms.map_or(heterogeneous.mean_ms, |token_ms| token_ms.min(max_ms));
+        RelativeSpeed {
+            relative_token_time: (token_ms / heterogeneous.best_ms).max(1.0),
+            turn_ms: estimate.and_then(|estimate| estimate.speed.turn_ms()),
         }
     }
 
-    /// How many times as long as the fastest the replicas of a service take on the average.
+    /// Returns the mean time per token of a service's replicas relative to the fastest one.
     pub fn spread(&self, service: &str) -> f64 {
-        self.uneven.get(service).map_or(1.0, |uneven| uneven.mean_ms / uneven.best_ms)
+        self.heterogeneous
+            .get(service)
+            .map_or(1.0, |heterogeneous| heterogeneous.mean_ms / heterogeneous.best_ms)
     }
 
-    /// Forgets the replicas for which `is_listed` is false.
+    /// Drops the replicas for which `is_listed` is false.
     pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.replicas.retain(|replica, _| is_listed(replica));
     }
 }
 
-impl UnevenService {
-    /// `None` while the replicas count as equal.
-    fn of(times: &[f64]) -> Option<Self> {
+impl HeterogeneousService {
+    /// Compares times per token; `None` if the differences are small.
+    fn from_times(times: &[f64]) -> Option<Self> {
         let best_ms = times.iter().copied().fold(f64::INFINITY, f64::min);
         let worst_ms = times.iter().copied().fold(0.0, f64::max);
-        if worst_ms < best_ms * UNEVEN_FROM {
+        if worst_ms < best_ms * HETEROGENEITY_THRESHOLD {
             return None;
         }
-        let bounded = times.iter().map(|token_ms| token_ms.min(best_ms * MOST_SLOWNESS));
-        Some(Self { best_ms, mean_ms: bounded.sum::<f64>() / times.len() as f64 })
+        let capped = times.iter().map(|token_ms| token_ms.min(best_ms * MAX_RELATIVE_TIME));
+        Some(Self { best_ms, mean_ms: capped.sum::<f64>() / times.len() as f64 })
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,10 +1,10 @@
-//! Placement of turns by a process that sees all of them.
+//! Placement of turns on replicas by the leader.
 //!
-//! [`Placer`] counts the turns under way at each replica and keeps an index of the
-//! prompts that each holds. It places a turn where the time that it takes, and the time
-//! by which it delays the turns already there, are least.
+//! [`Placer`] tracks the turns under way on each replica and an index of the prompts that each
+//! has cached. It places a turn on the replica with the least cost: the time that the turn takes
+//! there plus the delay that it causes to the turns already running.
 //!
-//! All of it is soft state: whoever begins with an empty placer places by load alone.
+//! All state is soft. A placer that starts empty places turns by load alone.
 
 use std::time::{Duration, Instant};
 
@@ -15,192 +15,193 @@
 use foldhash::{HashMap, HashSet};
 use serde::{Deserialize, Serialize};
 
-use crate::cold::{COLD_SLOWNESS, ColdAdmission, ColdGate};
-use crate::pace::{PaceBoard, ReplicaPace};
-use crate::prefix::{Memory, PrefixIndex, PromptPart, Unread};
+use crate::cold::{COLD_PENALTY, ColdAdmission, ColdLimiter};
+use crate::pace::{RelativeSpeed, RelativeSpeedTracker};
+use crate::prefix::{PrefixCache, PrefixIndex, PromptPart, UncachedTokens};
 use crate::speed::{EngineSpeed, RunSample};
 
-/// Silence of a replica with turns under way from which it is suspected: some turn ends
-/// every tenth of a second or so where several run, and most are shorter than this.
-const SUSPECT_AFTER: Duration = Duration::from_millis(800);
-/// How long a replica stays suspected after a turn ended that it never answered.
-const SUSPECT_FOR: Duration = Duration::from_millis(1_500);
-
-/// A replica is little loaded when at most one in so many of its slots is taken.
-const SPREADING_LOAD: u32 = 3;
-/// Time between two such readings at one replica.
-const SPREADING_INTERVAL: Duration = Duration::from_millis(100);
-/// Share of a memory up to which shared parts are spread.
-const SPREADING_MEMORY: f64 = 0.7;
-/// Share of the cost of reading that is not counted where shared parts are spread.
-const SPREADING_DISCOUNT: f64 = 0.95;
-
-/// One turn more than slots is let to a replica for so many slots.
-const RESERVE_SLOTS: u32 = 12;
-/// Whatever the slowdown, one in so many slots is used.
-const LEAST_SLOTS: u32 = 4;
-
-/// How often turns are sought whose end nobody told.
+/// Time without a completed turn after which a replica with turns under way is suspected to have
+/// failed.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time for which a replica stays suspected after a turn on it ended without an answer.
+const SUSPECT_DURATION: Duration = Duration::from_millis(1_500);
+
+/// Shared prompt parts are replicated only to replicas with at most one in this many slots taken.
+const REPLICATION_LOAD_DIVISOR: u32 = 3;
+/// Minimum time between two replications to the same replica.
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum cache usage up to which shared parts are replicated, as a fraction of the capacity.
+const REPLICATION_MAX_CACHE_USE: f64 = 0.7;
+/// Fraction of the prefill cost of shared parts that is waived for a replication.
+const REPLICATION_DISCOUNT: f64 = 0.95;
+
+/// The concurrency limit may exceed the slots by one turn per this many slots.
+const SLOTS_PER_EXTRA_TURN: u32 = 12;
+/// The concurrency limit is at least the slots divided by this.
+const MIN_LIMIT_DIVISOR: u32 = 4;
+
+/// Minimum time between two scans for expired turns.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A turn that asks for a replica.
+/// Request to place a turn on a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// The service that runs it.
+    /// Service that runs the turn.
     pub service: String,
-    /// Zone of the gateway that sends it.
+    /// Zone of the gateway.
     pub zone: String,
-    /// Replicas to which that gateway keeps a free connection.
+    /// Replicas to which the gateway has an idle connection.
     pub connected: Vec<String>,
-    /// Its prompt.
+    /// Prompt of the turn.
     pub prompt: Vec<PromptPart>,
-    /// Tokens that the memory of one replica holds.
+    /// Prefix cache capacity of one replica, in tokens.
     pub memory_tokens: u64,
-    /// Time after which the turn has ended in any case, in ms.
+    /// Time until the turn's deadline, in ms.
     pub left_ms: u64,
-    /// Time until the turn's program should be over, in ms; 0 when it should be by now, `None`
-    /// without such a time.
+    /// Time until the deadline of the turn's program, in ms; 0 if it has passed, `None` without
+    /// one.
     pub finish_ms: Option<u64>,
-    /// Rank of its route; 0 is the most urgent.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its program has begun with an earlier turn.
+    /// Whether an earlier turn of the program has started.
     pub is_under_way: bool,
-    /// Where it may run.
+    /// Regions in which the turn may run.
     pub homes: HomeRegions,
-    /// What cold replicas of the service bear, as the gateway's configuration says; `None`
-    /// without a limit.
+    /// Rate limit for cold replicas of the service, from the gateway's configuration; `None` for
+    /// no limit.
     pub cold: Option<ColdLimit>,
 }
 
-/// The replicas and what is known of them from outside, as of one moment.
+/// Snapshot of the replicas and their state.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView<'a> {
-    /// All that are listed.
+    /// All listed replicas.
     pub replicas: &'a [Replica],
-    /// Where zones lie.
+    /// Topology of the zones.
     pub topology: &'a Topology,
-    /// Zones whose replicas get nothing.
+    /// Zones that receive no turns.
     pub drained: &'a DrainedZones,
-    /// Replicas that have just started.
+    /// Replicas that have started recently.
     pub cold: &'a ColdReplicas,
 }
 
 impl<'a> FleetView<'a> {
-    /// Replicas of which nothing more is known: all are warm, no zone is drained.
-    pub fn of(replicas: &'a [Replica]) -> Self {
+    /// Creates a view without cold replicas, drained zones or a topology.
+    pub fn from_replicas(replicas: &'a [Replica]) -> Self {
         static TOPOLOGY: Topology = Topology::empty();
         static DRAINED: DrainedZones = DrainedZones::none();
         static COLD: ColdReplicas = ColdReplicas::none();
         Self { replicas, topology: &TOPOLOGY, drained: &DRAINED, cold: &COLD }
     }
 
-    /// The replicas that may get this turn.
-    fn open_to(&self, request: &PlacementRequest) -> Vec<&'a Replica> {
+    /// Returns the replicas that are eligible for a turn.
+    fn eligible_for(&self, request: &PlacementRequest) -> Vec<&'a Replica> {
         let rules = EligibilityRules {
             topology: self.topology,
             homes: &request.homes,
             drained: self.drained,
         };
-        let is_open =
+        let is_eligible =
             |replica: &&Replica| replica.service == request.service && rules.admits(replica);
-        self.replicas.iter().filter(is_open).collect()
+        self.replicas.iter().filter(is_eligible).collect()
     }
 }
 
-/// Where a turn ran, and what its replica has read by it.
+/// Record of a turn that ran on a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRun {
-    /// The replica.
+    /// Replica that ran the turn.
     pub replica: String,
-    /// The prompt; its last part includes what was generated.
+    /// Prompt, whose last part includes the generated tokens.
     pub prompt: Vec<PromptPart>,
-    /// Tokens that the memory of one replica holds.
+    /// Prefix cache capacity of one replica, in tokens.
     pub memory_tokens: u64,
-    /// The service.
+    /// Service of the replica.
     pub service: String,
-    /// How long it took, when it ended whole.
+    /// Measurement of the turn, if it completed.
     pub sample: Option<RunSample>,
 }
 
-/// How many turns may be under way at a replica for one more to go there.
+/// Limit on the concurrent turns of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RunLimit {
-    /// Any number.
+pub enum ConcurrencyLimit {
+    /// No limit.
     Unlimited,
-    /// As many as keep each turn within this many times the time that it takes alone: a
-    /// quarter of the replica's slots at least, its slots and a reserve at most.
-    Slowdown(f64),
+    /// Limits turns to this many times the duration that they have alone. The limit is at least a
+    /// quarter of the replica's slots, and at most its slots plus a few.
+    MaxSlowdown(f64),
 }
 
-impl RunLimit {
-    fn turns(self, slots: u32, speed: &EngineSpeed) -> u32 {
+impl ConcurrencyLimit {
+    fn max_turns(self, slots: u32, speed: &EngineSpeed) -> u32 {
         match self {
             Self::Unlimited => u32::MAX,
-            Self::Slowdown(slowdown) => {
-                let least = slots.div_ceil(LEAST_SLOTS);
-                let turns = speed.turns_within(slowdown);
-                turns.map_or(slots, |turns| turns.round() as u32).clamp(least, with_reserve(slots))
+            Self::MaxSlowdown(slowdown) => {
+                let min_turns = slots.div_ceil(MIN_LIMIT_DIVISOR);
+                let turns = speed.concurrency_at(slowdown);
+                turns
+                    .map_or(slots, |turns| turns.round() as u32)
+                    .clamp(min_turns, with_headroom(slots))
             }
         }
     }
 }
 
-/// The slots, and a turn that is on its way while another ends.
-fn with_reserve(slots: u32) -> u32 {
-    slots.max(1) + slots.div_ceil(RESERVE_SLOTS)
+/// Slots plus headroom for turns that arrive while others end.
+fn with_headroom(slots: u32) -> u32 {
+    slots.max(1) + slots.div_ceil(SLOTS_PER_EXTRA_TURN)
 }
 
-/// What came of the search for a replica.
+/// Result of a placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// This replica is the best one.
-    At(String),
-    /// This replica is the best one, and cold: the turn has to be sent there within
+    /// Placed on a warm replica.
+    Warm(String),
+    /// Placed on a cold replica. The turn has to be sent within
     /// [`calicohoist_routing::COLD_PLACEMENT_LIFE`].
-    AtCold(String),
-    /// Every replica that takes work has reached the limit.
-    NoRoom,
-    /// No replica takes work.
+    Cold(String),
+    /// All eligible replicas have reached their limit.
+    NoCapacity,
+    /// No replica is eligible.
     NoReplica,
 }
 
-fn placement_at(replica: String, admission: ColdAdmission) -> Placement {
+fn placement_for(replica: String, admission: ColdAdmission) -> Placement {
     match admission {
-        ColdAdmission::Warm => Placement::At(replica),
-        ColdAdmission::Cold | ColdAdmission::Closed => Placement::AtCold(replica),
+        ColdAdmission::Warm => Placement::Warm(replica),
+        ColdAdmission::Cold | ColdAdmission::AtLimit => Placement::Cold(replica),
     }
 }
 
-/// What waiting, reading and sharing a replica cost.
+/// Weights of the placement cost.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementWeights {
-    /// Time that one turn holds a slot, in ms, while nothing is learned of it.
+    /// Duration of a turn, in ms, until it is estimated.
     pub turn_ms: f64,
-    /// Delay that a running turn brings to a further one, as a share of a turn's time.
-    pub delay_share: f64,
-    /// Time that one generated token takes alone, in ms, while nothing is learned of it.
+    /// Delay that each running turn adds to another one, as a fraction of the duration of a turn
+    /// alone.
+    pub contention: f64,
+    /// Time per generated token without contention, in ms, until it is estimated.
     pub token_ms: f64,
-    /// Prompt tokens that a replica reads in the time of one generated token.
-    pub reads_per_token: f64,
-    /// Share of the reading time that each running turn loses by it.
-    pub reading_disturbs: f64,
-    /// Cost of leaving the zone of the gateway.
-    pub zone_crossing: Duration,
-    /// Cost of leaving the region of the gateway. The turn's history and answer go over the
-    /// link that is slowest and dearest, and so do those of the turns after it, which follow
-    /// the prompt that was read: more than reading a history anew nearby, less than a
-    /// noticeable wait.
-    pub region_crossing: Duration,
-    /// Cost of a new connection: a way there and back, and a place at the replica.
-    pub connecting: Duration,
-    /// Cost of a replica that shows no sign of work.
-    pub suspicion: Duration,
+    /// Prompt tokens that a replica prefills in the time of one generated token.
+    pub prefill_ratio: f64,
+    /// Increase of the prefill cost with each running turn, as a fraction.
+    pub prefill_interference: f64,
+    /// Cost of leaving the gateway's zone.
+    pub cross_zone: Duration,
+    /// Cost of leaving the gateway's region. The turns that follow use the same link, since they
+    /// are placed where their prompt is cached.
+    pub cross_region: Duration,
+    /// Cost of a new connection: a round trip and the replica's resources.
+    pub connection_setup: Duration,
+    /// Cost of a replica that is suspected to have failed.
+    pub suspect_penalty: Duration,
 }
 
 impl PlacementWeights {
-    /// Cost of going so far.
-    fn crossing(&self, distance: Distance) -> Duration {
-        distance.cost(self.zone_crossing, self.region_crossing)
+    /// Cost of the distance to a replica.
+    fn network_cost(&self, distance: Distance) -> Duration {
+        distance.cost(self.cross_zone, self.cross_region)
     }
 }
 
@@ -208,127 +209,126 @@
     fn default() -> Self {
         Self {
             turn_ms: 250.0,
-            delay_share: 0.12,
+            contention: 0.12,
             token_ms: 3.125,
-            reads_per_token: 200.0,
-            reading_disturbs: 1.0,
-            zone_crossing: Duration::from_millis(2),
-            region_crossing: Duration::from_millis(60),
-            connecting: Duration::from_millis(3),
-            suspicion: Duration::from_secs(1),
+            prefill_ratio: 200.0,
+            prefill_interference: 1.0,
+            cross_zone: Duration::from_millis(2),
+            cross_region: Duration::from_millis(60),
+            connection_setup: Duration::from_millis(3),
+            suspect_penalty: Duration::from_secs(1),
         }
     }
 }
 
-/// A turn under way.
+/// Turn under way.
 #[derive(Clone, Debug)]
 struct PlacedTurn {
     replica: String,
     service: String,
-    /// Turns that were under way there as it began.
-    beside: u32,
-    began: Instant,
-    ends_by: Instant,
+    /// Number of turns on the replica when this one was placed.
+    concurrent_turns: u32,
+    placed_at: Instant,
+    deadline: Instant,
 }
 
-/// Turns at a replica that somebody else placed; nobody may tell of their ends.
+/// Turns placed by an earlier leader, whose ends may never be reported.
 #[derive(Clone, Copy, Debug)]
 struct InheritedLoad {
     turns: u32,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// When a replica last showed that it works.
+/// Liveness of a replica, as observed from the turns on it.
 #[derive(Clone, Copy, Debug)]
-struct Signs {
-    last: Instant,
+struct Liveness {
+    last_activity: Instant,
     suspected_until: Option<Instant>,
 }
 
-/// What is known of one replica, but for its memory.
+/// State of one replica except its prefix cache.
 #[derive(Clone, Copy, Debug, Default)]
-struct ReplicaView {
-    /// Turns under way there that were placed in this term.
-    placed: u32,
-    /// Turns that an earlier leader placed there.
+struct ReplicaStatus {
+    /// Turns under way that were placed in this term.
+    placed_turns: u32,
+    /// Turns that were placed by an earlier leader.
     inherited: Option<InheritedLoad>,
-    signs: Option<Signs>,
-    /// Until when it is known to fail.
-    fails_until: Option<Instant>,
-    /// When it was last given shared parts to read.
-    spread: Option<Instant>,
+    liveness: Option<Liveness>,
+    /// Time until which the replica is known to fail.
+    failing_until: Option<Instant>,
+    /// Time of the latest replication of shared prompt parts to the replica.
+    last_replication: Option<Instant>,
 }
 
-impl ReplicaView {
+impl ReplicaStatus {
     fn load(&self) -> u32 {
-        self.placed + self.inherited.map_or(0, |inherited| inherited.turns)
+        self.placed_turns + self.inherited.map_or(0, |inherited| inherited.turns)
     }
 
-    /// Whether the replica is known to fail, or has turns and shows no sign of working on
-    /// them.
+    /// Whether the replica is known to fail, or has turns under way but has completed none
+    /// recently.
     fn is_suspected(&self, now: Instant) -> bool {
-        if self.fails_until.is_some_and(|until| now < until) {
+        if self.failing_until.is_some_and(|until| now < until) {
             return true;
         }
-        let Some(signs) = self.signs else {
+        let Some(liveness) = self.liveness else {
             return false;
         };
-        let is_silent = self.load() > 0 && now >= signs.last + SUSPECT_AFTER;
-        is_silent || signs.suspected_until.is_some_and(|until| now < until)
+        let is_stalled = self.load() > 0 && now >= liveness.last_activity + SUSPECT_TIMEOUT;
+        is_stalled || liveness.suspected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the replica may read shared parts that others hold, so that it has them
-    /// when it is needed: it did not do so just now, is little loaded, and its memory has
-    /// room.
-    fn may_spread(
+    /// Whether shared prompt parts may be replicated to the replica ahead of demand. Requires a
+    /// low load, free cache capacity and no other recent replication.
+    fn may_replicate_shared(
         &self,
         replica: &Replica,
-        holds: u64,
-        unread: u64,
+        cached: u64,
+        uncached: u64,
         request: &PlacementRequest,
         now: Instant,
     ) -> bool {
-        let has_rested = self.spread.is_none_or(|at| now >= at + SPREADING_INTERVAL);
-        let is_calm = self.load() * SPREADING_LOAD <= replica.slots;
-        let full = request.memory_tokens as f64 * SPREADING_MEMORY;
-        has_rested && is_calm && (holds + unread) as f64 <= full
+        let interval_passed =
+            self.last_replication.is_none_or(|at| now >= at + REPLICATION_INTERVAL);
+        let has_low_load = self.load() * REPLICATION_LOAD_DIVISOR <= replica.slots;
+        let max_tokens = request.memory_tokens as f64 * REPLICATION_MAX_CACHE_USE;
+        interval_passed && has_low_load && (cached + uncached) as f64 <= max_tokens
     }
 }
 
-/// A replica that takes work, with all that its cost depends on: looked up once for each
-/// placement, since a leader places hundreds of turns a second among a hundred replicas.
+/// Eligible replica with the inputs of its cost, collected once per placement.
 #[derive(Clone, Copy)]
 struct PlacementCandidate<'a> {
     replica: &'a Replica,
     distance: Distance,
-    /// Whether the gateway keeps a free connection to it.
+    /// Whether the gateway has an idle connection to the replica.
     is_connected: bool,
-    view: ReplicaView,
-    memory: Option<&'a Memory>,
-    pace: ReplicaPace,
+    status: ReplicaStatus,
+    cache: Option<&'a PrefixCache>,
+    relative_speed: RelativeSpeed,
 }
 
 impl PlacementCandidate<'_> {
-    fn holds(&self) -> u64 {
-        self.memory.map_or(0, Memory::tokens)
+    fn cached_tokens(&self) -> u64 {
+        self.cache.map_or(0, PrefixCache::tokens)
     }
 
-    fn unread(&self, prompt: &[PromptPart]) -> Unread {
-        self.memory.map_or_else(|| Memory::default().unread(prompt), |known| known.unread(prompt))
+    fn uncached(&self, prompt: &[PromptPart]) -> UncachedTokens {
+        self.cache
+            .map_or_else(|| PrefixCache::default().uncached(prompt), |cache| cache.uncached(prompt))
     }
 }
 
-/// How far replicas are from the gateway that asks, and to which of them it is connected. Looked
-/// up once for each placement: a gateway has dozens of free connections, and hundreds of replicas
-/// lie in a few zones, so that a search for each replica would take most of a placement's time.
-struct GatewayWays<'a> {
+/// Distances and connections from one gateway to replicas, collected once per placement.
+/// Distances are cached by zone, since many replicas share a few zones.
+struct GatewayProximity<'a> {
     topology: &'a Topology,
     zone: &'a str,
     connected: HashSet<&'a str>,
     distances: HashMap<&'a str, Distance>,
 }
 
-impl<'a> GatewayWays<'a> {
+impl<'a> GatewayProximity<'a> {
     fn new(request: &'a PlacementRequest, topology: &'a Topology) -> Self {
         let connected = request.connected.iter().map(String::as_str).collect();
         Self { topology, zone: &request.zone, connected, distances: HashMap::default() }
@@ -344,298 +344,306 @@
     }
 }
 
-/// Places turns, and learns from where they ran.
+/// Places turns and tracks the state of replicas.
 #[derive(Debug, Default)]
 pub struct Placer {
     weights: PlacementWeights,
     turns: HashMap<String, PlacedTurn>,
-    views: HashMap<String, ReplicaView>,
-    index: PrefixIndex,
-    /// What is learned of engines, by service.
+    statuses: HashMap<String, ReplicaStatus>,
+    prefix_index: PrefixIndex,
+    /// Speed estimates by service.
     speeds: HashMap<String, EngineSpeed>,
-    /// How fast replicas are against others of their service.
-    paces: PaceBoard,
-    /// What cold replicas get.
-    cold: ColdGate,
-    expired_at: Option<Instant>,
+    /// Speed of replicas relative to others of their service.
+    relative_speeds: RelativeSpeedTracker,
+    /// Rate limit of cold replicas.
+    cold_limiter: ColdLimiter,
+    last_expiry: Option<Instant>,
 }
 
 impl Placer {
-    /// A placer that knows of no turn.
+    /// Creates a placer without turns.
     pub fn new(weights: PlacementWeights) -> Self {
         Self { weights, ..Self::default() }
     }
 
-    /// The same placer with `tolerance` on top of the limits of cold replicas.
+    /// Adds `tolerance` to the rate limits of cold replicas.
     pub fn with_cold_tolerance(self, tolerance: ColdTolerance) -> Self {
-        Self { cold: ColdGate::new(tolerance), ..self }
+        Self { cold_limiter: ColdLimiter::new(tolerance), ..self }
     }
 
-    /// The replica for a turn, among those of `view` that are below the limit. A turn
-    /// that is asked for again stays where it was placed.
+    /// Places a turn on a replica of `view` that is below the limit. A repeated request returns
+    /// the same replica.
     pub fn place(
         &mut self,
         turn: &str,
         request: &PlacementRequest,
         view: &FleetView<'_>,
-        limit: RunLimit,
+        limit: ConcurrencyLimit,
         now: Instant,
     ) -> Placement {
         self.expire(now);
-        self.paces.weigh(now);
-        self.cold.note_fleet(view, now);
-        let open = view.open_to(request);
-        if let Some((replica, admission)) = self.placed_before(turn, &open, request, view, now) {
-            // It may be sent there a second time, so it counts a second time.
-            self.cold.note_placed(&replica.id, request.cold.as_ref(), now);
-            return placement_at(replica.id.clone(), admission);
+        self.relative_speeds.compare(now);
+        self.cold_limiter.update_drained_zones(view, now);
+        let eligible = view.eligible_for(request);
+        if let Some((replica, admission)) =
+            self.existing_placement(turn, &eligible, request, view, now)
+        {
+            // The turn may be sent a second time, so it is counted again.
+            self.cold_limiter.record_placement(&replica.id, request.cold.as_ref(), now);
+            return placement_for(replica.id.clone(), admission);
         }
-        if open.is_empty() {
+        if eligible.is_empty() {
             return Placement::NoReplica;
         }
-        let Some((replica, admission)) = self.cheapest(open, request, view, limit, now) else {
-            return Placement::NoRoom;
+        let Some((replica, admission)) = self.cheapest(eligible, request, view, limit, now) else {
+            return Placement::NoCapacity;
         };
-        self.cold.note_placed(&replica, request.cold.as_ref(), now);
-        self.begin(turn, &replica, request, now);
-        placement_at(replica, admission)
+        self.cold_limiter.record_placement(&replica, request.cold.as_ref(), now);
+        self.start_turn(turn, &replica, request, now);
+        placement_for(replica, admission)
     }
 
-    /// The replica where a turn was placed before, if it may still get it.
-    fn placed_before<'a>(
+    /// Returns the replica where a turn was placed before, if it is still admitted there.
+    fn existing_placement<'a>(
         &self,
         turn: &str,
-        open: &[&'a Replica],
+        eligible: &[&'a Replica],
         request: &PlacementRequest,
         view: &FleetView<'_>,
         now: Instant,
     ) -> Option<(&'a Replica, ColdAdmission)> {
         let placed = self.turns.get(turn)?;
-        let replica = open.iter().find(|replica| replica.id == placed.replica)?;
-        let admission = self.cold.admit(replica, request.cold.as_ref(), view, now);
-        (admission != ColdAdmission::Closed).then_some((*replica, admission))
+        let replica = eligible.iter().find(|replica| replica.id == placed.replica)?;
+        let admission = self.cold_limiter.admit(replica, request.cold.as_ref(), view, now);
+        (admission != ColdAdmission::AtLimit).then_some((*replica, admission))
     }
 
-    /// The cheapest of the `open` replicas that are below the limit and may get one more turn.
+    /// Returns the cheapest of the `eligible` replicas that are below the limits.
     fn cheapest(
         &self,
-        open: Vec<&Replica>,
+        eligible: Vec<&Replica>,
         request: &PlacementRequest,
         view: &FleetView<'_>,
-        limit: RunLimit,
+        limit: ConcurrencyLimit,
         now: Instant,
     ) -> Option<(String, ColdAdmission)> {
         let speed = self.speed(&request.service);
-        let mut ways = GatewayWays::new(request, view.topology);
-        // Of equals, the one whose memory has most room.
+        let mut proximity = GatewayProximity::new(request, view.topology);
+        // Among equal costs, the replica with the fewest cached tokens wins.
         let rank = |(candidate, admission): &(PlacementCandidate<'_>, ColdAdmission)| {
             let cost = self.cost(candidate, request, &speed, now);
-            let slowness = match admission {
+            let penalty = match admission {
                 ColdAdmission::Warm => Duration::ZERO,
-                ColdAdmission::Cold | ColdAdmission::Closed => self.cold_slowness(&speed),
+                ColdAdmission::Cold | ColdAdmission::AtLimit => self.cold_penalty(&speed),
             };
-            (cost + slowness, candidate.holds())
+            (cost + penalty, candidate.cached_tokens())
         };
-        let candidates = open.into_iter().filter_map(|replica| {
-            let candidate = self.candidate(replica, &mut ways);
-            let is_below = candidate.view.load() < limit.turns(candidate.replica.slots, &speed);
-            let admission =
-                is_below.then(|| self.cold.admit(replica, request.cold.as_ref(), view, now))?;
-            (admission != ColdAdmission::Closed).then_some((candidate, admission))
+        let candidates = eligible.into_iter().filter_map(|replica| {
+            let candidate = self.candidate(replica, &mut proximity);
+            let is_below_limit =
+                candidate.status.load() < limit.max_turns(candidate.replica.slots, &speed);
+            let admission = is_below_limit
+                .then(|| self.cold_limiter.admit(replica, request.cold.as_ref(), view, now))?;
+            (admission != ColdAdmission::AtLimit).then_some((candidate, admission))
         });
         let (chosen, admission) = candidates.min_by_key(rank)?;
         Some((chosen.replica.id.clone(), admission))
     }
 
-    /// Extra cost of a cold replica.
-    fn cold_slowness(&self, speed: &EngineSpeed) -> Duration {
-        let alone_ms = speed.alone_ms().unwrap_or(self.weights.turn_ms);
-        Duration::from_secs_f64(alone_ms * COLD_SLOWNESS / 1_000.0)
+    /// Cost penalty of a cold replica.
+    fn cold_penalty(&self, speed: &EngineSpeed) -> Duration {
+        let uncontended_ms = speed.alone_ms().unwrap_or(self.weights.turn_ms);
+        Duration::from_secs_f64(uncontended_ms * COLD_PENALTY / 1_000.0)
     }
 
     fn candidate<'a>(
         &'a self,
         replica: &'a Replica,
-        ways: &mut GatewayWays<'a>,
+        proximity: &mut GatewayProximity<'a>,
     ) -> PlacementCandidate<'a> {
         PlacementCandidate {
             replica,
-            distance: ways.distance(&replica.zone),
-            is_connected: ways.is_connected(&replica.id),
-            view: self.views.get(&replica.id).copied().unwrap_or_default(),
-            memory: self.index.memory(&replica.id),
-            pace: self.paces.of(&replica.service, &replica.id),
+            distance: proximity.distance(&replica.zone),
+            is_connected: proximity.is_connected(&replica.id),
+            status: self.statuses.get(&replica.id).copied().unwrap_or_default(),
+            cache: self.prefix_index.cache(&replica.id),
+            relative_speed: self.relative_speeds.get(&replica.service, &replica.id),
         }
     }
 
-    /// A turn has ended. `ran_at` is the replica that ran it, which may be another than
-    /// the one it was placed on. `None` when no replica answered.
+    /// Records the end of a turn. `ran_at` is the replica that ran it, which may differ from the
+    /// placement, or `None` if no replica answered.
     pub fn end(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
-        let placed = self.forget(turn);
+        let placed = self.remove_turn(turn);
         let Some(ran_at) = ran_at else {
             if let Some(placed) = placed {
-                self.note_unanswered(&placed, now);
+                self.suspect_if_stalled(&placed, now);
             }
             return;
         };
         if let Some(placed) = placed.as_ref().filter(|placed| placed.replica == ran_at) {
-            self.note_running(placed);
+            self.record_concurrency(placed);
         }
         if placed.is_none()
-            && let Some(view) = self.views.get_mut(ran_at)
-            && let Some(inherited) = &mut view.inherited
+            && let Some(status) = self.statuses.get_mut(ran_at)
+            && let Some(inherited) = &mut status.inherited
         {
             inherited.turns = inherited.turns.saturating_sub(1);
         }
-        self.view(ran_at).signs = Some(Signs { last: now, suspected_until: None });
+        self.status_mut(ran_at).liveness =
+            Some(Liveness { last_activity: now, suspected_until: None });
     }
 
-    /// A replica is known to fail until then.
+    /// Marks a replica as failing until `until`.
     pub fn note_failing(&mut self, replica: &str, until: Instant) {
-        self.view(replica).fails_until = Some(until);
-        self.cold.note_failing(replica, until);
+        self.status_mut(replica).failing_until = Some(until);
+        self.cold_limiter.note_failing(replica, until);
     }
 
-    /// What is known of a replica, to be changed.
-    fn view(&mut self, replica: &str) -> &mut ReplicaView {
-        self.views.entry(replica.to_owned()).or_default()
+    fn status_mut(&mut self, replica: &str) -> &mut ReplicaStatus {
+        self.statuses.entry(replica.to_owned()).or_default()
     }
 
-    /// What is learned of a service's engines.
     fn speed(&self, service: &str) -> EngineSpeed {
         self.speeds.get(service).copied().unwrap_or_default()
     }
 
-    /// What is learned of engines, by service.
+    /// Returns the speed estimates by service.
     pub fn speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
         self.speeds.iter().map(|(service, speed)| (service.as_str(), speed))
     }
 
-    /// How many times as long as the fastest the replicas of a service take on the average.
+    /// Returns the mean time per token of a service's replicas relative to the fastest one.
     pub fn spread(&self, service: &str) -> f64 {
-        self.paces.spread(service)
+        self.relative_speeds.spread(service)
     }
 
-    fn note_running(&mut self, placed: &PlacedTurn) {
-        let turns = f64::midpoint(f64::from(placed.beside), f64::from(self.load(&placed.replica)));
-        self.speeds.entry(placed.service.clone()).or_default().note_running(turns);
+    fn record_concurrency(&mut self, placed: &PlacedTurn) {
+        let turns = f64::midpoint(
+            f64::from(placed.concurrent_turns),
+            f64::from(self.load(&placed.replica)),
+        );
+        self.speeds.entry(placed.service.clone()).or_default().record_concurrency(turns);
     }
 
-    /// Learns what a replica has read, whoever placed the turn there.
+    /// Records a turn that ran, whether or not this leader placed it.
     pub fn learn(&mut self, run: &TurnRun) {
-        self.index.note(&run.replica, &run.prompt, run.memory_tokens);
+        self.prefix_index.record(&run.replica, &run.prompt, run.memory_tokens);
         if let Some(sample) = run.sample {
-            self.speeds.entry(run.service.clone()).or_default().note_run(sample);
-            self.paces.note_run(&run.replica, &run.service, sample);
+            self.speeds.entry(run.service.clone()).or_default().record_sample(sample);
+            self.relative_speeds.record_sample(&run.replica, &run.service, sample);
         }
     }
 
-    /// Begins anew with the turns under way, and keeps what is known of prompts.
+    /// Drops the turns under way and keeps the prefix index and the speed estimates.
     pub fn begin_term(&mut self, now: Instant) {
         self.turns.clear();
-        self.cold.begin_term(now);
-        for view in self.views.values_mut() {
-            *view = ReplicaView { spread: view.spread, ..ReplicaView::default() };
+        self.cold_limiter.begin_term(now);
+        for status in self.statuses.values_mut() {
+            *status = ReplicaStatus {
+                last_replication: status.last_replication,
+                ..ReplicaStatus::default()
+            };
         }
-        self.speeds.values_mut().for_each(EngineSpeed::forget_running);
+        self.speeds.values_mut().for_each(EngineSpeed::reset_concurrency);
     }
 
-    /// Counts turns that another leader placed, until they end or `lasting` is over.
-    pub fn inherit(&mut self, loads: &[(String, u32)], now: Instant, lasting: Duration) {
+    /// Adds turns placed by an earlier leader, until they end or `ttl` has passed.
+    pub fn inherit(&mut self, loads: &[(String, u32)], now: Instant, ttl: Duration) {
         for (replica, turns) in loads {
-            let none = InheritedLoad { turns: 0, until: now };
-            let inherited = self.view(replica).inherited.get_or_insert(none);
+            let none = InheritedLoad { turns: 0, expires_at: now };
+            let inherited = self.status_mut(replica).inherited.get_or_insert(none);
             inherited.turns += turns;
-            inherited.until = now + lasting;
+            inherited.expires_at = now + ttl;
         }
     }
 
-    /// Forgets what is known of replicas that are not in `replicas`, but for turns under
-    /// way there.
+    /// Drops the state of replicas that are not in `replicas`, except for turns under way there.
     pub fn retain(&mut self, replicas: &[Replica]) {
         let listed: HashSet<&str> = replicas.iter().map(|replica| replica.id.as_str()).collect();
-        self.index.retain(|id| listed.contains(id));
-        self.paces.retain(|id| listed.contains(id));
-        for (id, view) in &mut self.views {
+        self.prefix_index.retain(|id| listed.contains(id));
+        self.relative_speeds.retain(|id| listed.contains(id));
+        for (id, status) in &mut self.statuses {
             if !listed.contains(id.as_str()) {
-                view.signs = None;
-                view.spread = None;
+                status.liveness = None;
+                status.last_replication = None;
             }
         }
-        self.views.retain(|id, view| view.load() > 0 || listed.contains(id.as_str()));
+        self.statuses.retain(|id, status| status.load() > 0 || listed.contains(id.as_str()));
     }
 
-    /// Whether a turn is under way.
+    /// Returns whether a turn is under way.
     pub fn is_placed(&self, turn: &str) -> bool {
         self.turns.contains_key(turn)
     }
 
-    /// Turns under way at a replica.
+    /// Returns the number of turns under way on a replica.
     pub fn load(&self, replica: &str) -> u32 {
-        self.views.get(replica).map_or(0, ReplicaView::load)
+        self.statuses.get(replica).map_or(0, ReplicaStatus::load)
     }
 
-    fn begin(&mut self, turn: &str, replica: &str, request: &PlacementRequest, now: Instant) {
-        self.forget(turn);
+    fn start_turn(&mut self, turn: &str, replica: &str, request: &PlacementRequest, now: Instant) {
+        self.remove_turn(turn);
         let shared = request.prompt.split_last().map_or(&[][..], |(_, shared)| shared);
-        let reads_shared = self.index.unread(replica, shared) > 0;
-        // The next turns may come before this one ends.
-        self.index.note(replica, &request.prompt, request.memory_tokens);
-        let view = self.view(replica);
-        if reads_shared {
-            view.spread = Some(now);
+        let prefills_shared = self.prefix_index.uncached(replica, shared) > 0;
+        // Recorded now, since related turns may be placed before this one ends.
+        self.prefix_index.record(replica, &request.prompt, request.memory_tokens);
+        let status = self.status_mut(replica);
+        if prefills_shared {
+            status.last_replication = Some(now);
         }
-        let beside = view.load();
-        if view.placed == 0 {
-            let fresh = Signs { last: now, suspected_until: None };
-            view.signs.get_or_insert(fresh).last = now;
+        let concurrent_turns = status.load();
+        if status.placed_turns == 0 {
+            let initial = Liveness { last_activity: now, suspected_until: None };
+            status.liveness.get_or_insert(initial).last_activity = now;
         }
-        view.placed += 1;
+        status.placed_turns += 1;
         let placed = PlacedTurn {
             replica: replica.to_owned(),
             service: request.service.clone(),
-            beside,
-            began: now,
-            ends_by: now + Duration::from_millis(request.left_ms),
+            concurrent_turns,
+            placed_at: now,
+            deadline: now + Duration::from_millis(request.left_ms),
         };
         self.turns.insert(turn.to_owned(), placed);
     }
 
-    /// A turn ended that nobody answered: its caller left, or every replica refused.
-    fn note_unanswered(&mut self, placed: &PlacedTurn, now: Instant) {
-        if now < placed.began + SUSPECT_AFTER {
+    /// Suspects the replica of a turn that ended without an answer, if it has completed no other
+    /// since.
+    fn suspect_if_stalled(&mut self, placed: &PlacedTurn, now: Instant) {
+        if now < placed.placed_at + SUSPECT_TIMEOUT {
             return;
         }
-        if let Some(view) = self.views.get_mut(&placed.replica)
-            && let Some(signs) = &mut view.signs
-            && signs.last <= placed.began
+        if let Some(status) = self.statuses.get_mut(&placed.replica)
+            && let Some(liveness) = &mut status.liveness
+            && liveness.last_activity <= placed.placed_at
         {
-            signs.suspected_until = Some(now + SUSPECT_FOR);
+            liveness.suspected_until = Some(now + SUSPECT_DURATION);
         }
     }
 
-    fn forget(&mut self, turn: &str) -> Option<PlacedTurn> {
+    fn remove_turn(&mut self, turn: &str) -> Option<PlacedTurn> {
         let placed = self.turns.remove(turn)?;
-        if let Some(view) = self.views.get_mut(&placed.replica) {
-            view.placed = view.placed.saturating_sub(1);
+        if let Some(status) = self.statuses.get_mut(&placed.replica) {
+            status.placed_turns = status.placed_turns.saturating_sub(1);
         }
         Some(placed)
     }
 
-    /// Drops turns whose time is over and whose end nobody told; looks seldom.
+    /// Drops expired turns and inherited load, at most once per [`EXPIRY_INTERVAL`].
     fn expire(&mut self, now: Instant) {
-        if self.expired_at.is_some_and(|at| now < at + EXPIRY_INTERVAL) {
+        if self.last_expiry.is_some_and(|at| now < at + EXPIRY_INTERVAL) {
             return;
         }
-        self.expired_at = Some(now);
-        self.cold.expire(now);
-        for view in self.views.values_mut() {
-            view.inherited = view.inherited.filter(|inherited| now < inherited.until);
+        self.last_expiry = Some(now);
+        self.cold_limiter.expire(now);
+        for status in self.statuses.values_mut() {
+            status.inherited = status.inherited.filter(|inherited| now < inherited.expires_at);
         }
-        let ended = self.turns.iter().filter(|(_, placed)| placed.ends_by <= now);
+        let ended = self.turns.iter().filter(|(_, placed)| placed.deadline <= now);
         let ended: Vec<String> = ended.map(|(turn, _)| turn.clone()).collect();
         for turn in ended {
-            self.forget(&turn);
+            self.remove_turn(&turn);
         }
     }
 
@@ -647,32 +655,42 @@
         now: Instant,
     ) -> Duration {
         let weights = &self.weights;
-        let PlacementCandidate { replica, view, pace, .. } = candidate;
+        let PlacementCandidate { replica, status, relative_speed, .. } = candidate;
         let slots = replica.slots.max(1);
-        let load = view.load();
+        let load = status.load();
         let running = load.min(slots);
-        let ahead = (load + 1).saturating_sub(slots);
-        let turn_ms = pace.turn_ms.or(speed.turn_ms()).unwrap_or(weights.turn_ms);
-        let waiting_ms = turn_ms * f64::from(ahead) / f64::from(slots);
-        let unread = candidate.unread(&request.prompt);
-        let spared = if view.may_spread(replica, candidate.holds(), unread.all, request, now) {
-            unread.shared as f64 * SPREADING_DISCOUNT
+        let queued = (load + 1).saturating_sub(slots);
+        let turn_ms = relative_speed.turn_ms.or(speed.turn_ms()).unwrap_or(weights.turn_ms);
+        let waiting_ms = turn_ms * f64::from(queued) / f64::from(slots);
+        let uncached = candidate.uncached(&request.prompt);
+        let waived = if status.may_replicate_shared(
+            replica,
+            candidate.cached_tokens(),
+            uncached.all,
+            request,
+            now,
+        ) {
+            uncached.shared as f64 * REPLICATION_DISCOUNT
         } else {
             0.0
         };
-        let disturbed = 1.0 + weights.reading_disturbs * f64::from(running);
-        let token_ms = speed.token_ms().unwrap_or(weights.token_ms) * pace.against_best;
-        let read_ms = token_ms / weights.reads_per_token;
-        let reading_ms = (unread.all as f64 - spared) * read_ms * disturbed;
-        let alone_ms = speed.alone_ms().unwrap_or(weights.turn_ms) * pace.against_best;
-        let sharing_ms = alone_ms * weights.delay_share * f64::from(running);
-        // The time that the turn takes alone differs where replicas do; it moves no turn where they
-        // are equal.
-        let own_ms = alone_ms + waiting_ms + reading_ms + sharing_ms;
-        let slowness = Duration::from_secs_f64(own_ms / 1_000.0);
-        let crossing = weights.crossing(candidate.distance);
-        let connecting = if candidate.is_connected { Duration::ZERO } else { weights.connecting };
-        let suspicion = if view.is_suspected(now) { weights.suspicion } else { Duration::ZERO };
-        slowness + crossing + connecting + suspicion
+        let interference = 1.0 + weights.prefill_interference * f64::from(running);
+        let token_ms =
+            speed.best_token_ms().unwrap_or(weights.token_ms) * relative_speed.relative_token_time;
+        let prefill_token_ms = token_ms / weights.prefill_ratio;
+        let prefill_ms = (uncached.all as f64 - waived) * prefill_token_ms * interference;
+        let uncontended_ms =
+            speed.alone_ms().unwrap_or(weights.turn_ms) * relative_speed.relative_token_time;
+        let contention_ms = uncontended_ms * weights.contention * f64::from(running);
+        // Includes the uncontended duration, which differs between the replicas of a
+        // heterogeneous service.
+        let turn_cost_ms = uncontended_ms + waiting_ms + prefill_ms + contention_ms;
+        let turn_cost = Duration::from_secs_f64(turn_cost_ms / 1_000.0);
+        let network_cost = weights.network_cost(candidate.distance);
+        let connection_setup =
+            if candidate.is_connected { Duration::ZERO } else { weights.connection_setup };
+        let suspect_penalty =
+            if status.is_suspected(now) { weights.suspect_penalty } else { Duration::ZERO };
+        turn_cost + network_cost + connection_setup + suspect_penalty
     }
 }
--- a/crates/scheduler/src/prefix.rs
+++ b/crates/scheduler/src/prefix.rs
@@ -1,144 +1,148 @@
-//! What each replica is believed to hold of prompts.
+//! Estimated contents of the replicas' prefix caches.
 //!
-//! A prompt is a list of parts; a replica that ran it holds them for as long as its
-//! memory allows. The index is an estimate kept from what was placed where: replicas
-//! are not asked. A wrong entry costs reading a prompt anew and nothing else.
+//! A prompt is a list of parts. A replica that ran a prompt caches its parts until they are
+//! evicted. The index is derived from placements and completed turns; replicas are not queried.
+//! An error in the estimate only costs the computation of a prompt that was believed to be
+//! cached.
 
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
 
-/// One part of a prompt. Prompts that share a part have it under one identity, and a
-/// part that belongs to one line of turns grows from turn to turn.
+/// Part of a prompt. Parts that are common to several prompts have the same id. The part that
+/// belongs to a single conversation grows with each turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
     /// Identity of the part.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// Share of a full memory that stays when the oldest parts give way.
-const KEPT_OF_FULL: f64 = 0.9;
+/// Fraction of the capacity that remains in use after an eviction.
+const EVICTION_TARGET: f64 = 0.9;
 
 #[derive(Clone, Copy, Debug)]
-struct HeldPart {
+struct CachedPart {
     tokens: u32,
     last_use: u64,
 }
 
-/// What one replica holds.
+/// Estimated prefix cache of one replica.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Memory {
-    parts: HashMap<u64, HeldPart>,
+pub(crate) struct PrefixCache {
+    parts: HashMap<u64, CachedPart>,
     tokens: u64,
 }
 
-impl Memory {
-    /// Tokens that are held in all.
+impl PrefixCache {
+    /// Number of cached tokens.
     pub(crate) fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Tokens of the prompt that would have to be read, and those among them of parts that
-    /// other prompts may share: all but the last one.
-    pub(crate) fn unread(&self, prompt: &[PromptPart]) -> Unread {
+    /// Counts the tokens of a prompt that are not cached.
+    pub(crate) fn uncached(&self, prompt: &[PromptPart]) -> UncachedTokens {
         let shared = prompt.split_last().map_or(prompt, |(_, shared)| shared);
-        Unread {
-            all: tokens_of(prompt) - self.held(prompt),
-            shared: tokens_of(shared) - self.held(shared),
+        UncachedTokens {
+            all: total_tokens(prompt) - self.cached(prompt),
+            shared: total_tokens(shared) - self.cached(shared),
         }
     }
 
-    /// Tokens at the front of the prompt that are held.
-    fn held(&self, prompt: &[PromptPart]) -> u64 {
-        let mut held = 0;
+    /// Counts the cached tokens at the start of a prompt.
+    fn cached(&self, prompt: &[PromptPart]) -> u64 {
+        let mut cached = 0;
         for part in prompt {
-            let of_part = self.parts.get(&part.id).map_or(0, |known| known.tokens.min(part.tokens));
-            held += u64::from(of_part);
-            if of_part < part.tokens {
+            let cached_tokens = self
+                .parts
+                .get(&part.id)
+                .map_or(0, |cached_part| cached_part.tokens.min(part.tokens));
+            cached += u64::from(cached_tokens);
+            if cached_tokens < part.tokens {
                 break;
             }
         }
-        held
+        cached
     }
 
-    fn note(&mut self, part: PromptPart, use_number: u64) {
-        let known = self.parts.entry(part.id).or_insert(HeldPart { tokens: 0, last_use: 0 });
-        self.tokens -= u64::from(known.tokens);
-        known.tokens = known.tokens.max(part.tokens);
-        known.last_use = use_number;
-        self.tokens += u64::from(known.tokens);
+    fn record(&mut self, part: PromptPart, last_use: u64) {
+        let cached_part =
+            self.parts.entry(part.id).or_insert(CachedPart { tokens: 0, last_use: 0 });
+        self.tokens -= u64::from(cached_part.tokens);
+        cached_part.tokens = cached_part.tokens.max(part.tokens);
+        cached_part.last_use = last_use;
+        self.tokens += u64::from(cached_part.tokens);
     }
 
-    /// Lets the parts that were unused for longest give way.
-    fn shrink(&mut self, capacity: u64) {
+    /// Evicts the least recently used parts if the cache exceeds `capacity`.
+    fn evict(&mut self, capacity: u64) {
         if self.tokens <= capacity {
             return;
         }
-        let mut by_age: Vec<(u64, u64)> =
+        let mut by_last_use: Vec<(u64, u64)> =
             self.parts.iter().map(|(id, part)| (part.last_use, *id)).collect();
-        by_age.sort_unstable();
-        let target = (capacity as f64 * KEPT_OF_FULL) as u64;
-        for (_, id) in by_age {
+        by_last_use.sort_unstable();
+        let target = (capacity as f64 * EVICTION_TARGET) as u64;
+        for (_, id) in by_last_use {
             if self.tokens <= target {
                 return;
             }
-            let gone = self.parts.remove(&id).map_or(0, |part| part.tokens);
-            self.tokens -= u64::from(gone);
+            let evicted = self.parts.remove(&id).map_or(0, |part| part.tokens);
+            self.tokens -= u64::from(evicted);
         }
     }
 }
 
-/// Tokens of a prompt that a replica would have to read.
+/// Tokens of a prompt that are not cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Unread {
-    /// Of the whole prompt.
+pub(crate) struct UncachedTokens {
+    /// Tokens in the whole prompt.
     pub(crate) all: u64,
-    /// Of parts that other prompts may share.
+    /// Tokens in parts that other prompts may share: all parts but the last.
     pub(crate) shared: u64,
 }
 
-fn tokens_of(prompt: &[PromptPart]) -> u64 {
+fn total_tokens(prompt: &[PromptPart]) -> u64 {
     prompt.iter().map(|part| u64::from(part.tokens)).sum()
 }
 
-/// What all replicas are believed to hold, by their identity.
+/// Estimated prefix caches by replica.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
-    memories: HashMap<String, Memory>,
-    uses: u64,
+    caches: HashMap<String, PrefixCache>,
+    use_counter: u64,
 }
 
 impl PrefixIndex {
-    /// What the replica holds; `None` when nothing is known of it.
-    pub(crate) fn memory(&self, replica: &str) -> Option<&Memory> {
-        self.memories.get(replica)
+    /// Returns the cache of a replica; `None` if nothing is known about it.
+    pub(crate) fn cache(&self, replica: &str) -> Option<&PrefixCache> {
+        self.caches.get(replica)
     }
 
-    /// Tokens of the prompt that the replica would have to read.
-    pub fn unread(&self, replica: &str, prompt: &[PromptPart]) -> u64 {
-        let held = self.memories.get(replica).map_or(0, |memory| memory.held(prompt));
-        tokens_of(prompt) - held
+    /// Returns the number of tokens of a prompt that the replica has not cached.
+    pub fn uncached(&self, replica: &str, prompt: &[PromptPart]) -> u64 {
+        let cached = self.caches.get(replica).map_or(0, |cache| cache.cached(prompt));
+        total_tokens(prompt) - cached
     }
 
-    /// Notes that the replica reads the prompt; its memory holds `capacity` tokens.
-    pub fn note(&mut self, replica: &str, prompt: &[PromptPart], capacity: u64) {
+    /// Records that the replica computes a prompt; its cache holds `capacity` tokens.
+    pub fn record(&mut self, replica: &str, prompt: &[PromptPart], capacity: u64) {
         if prompt.is_empty() {
             return;
         }
-        self.uses += 1;
-        let memory = match self.memories.get_mut(replica) {
-            Some(memory) => memory,
-            None => self.memories.entry(replica.to_owned()).or_default(),
+        self.use_counter += 1;
+        let cache = match self.caches.get_mut(replica) {
+            Some(cache) => cache,
+            None => self.caches.entry(replica.to_owned()).or_default(),
         };
         for part in prompt {
-            memory.note(*part, self.uses);
+            cache.record(*part, self.use_counter);
         }
-        memory.shrink(capacity);
+        cache.evict(capacity);
     }
 
-    /// Forgets replicas for which `is_listed` is false.
+    /// Drops replicas for which `is_listed` is false.
     pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
-        self.memories.retain(|replica, _| is_listed(replica));
+        self.caches.retain(|replica, _| is_listed(replica));
     }
 }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -1,9 +1,9 @@
-//! The queue of one engine, kept by its owner.
+//! Queue of calls for one engine, kept by the gateway that owns the engine.
 //!
-//! Order is least attained service: the program that has been served least goes
-//! first, since nobody knows how long a program will be, and short ones should
-//! not wait behind long ones. Waiting counts as credit, so that no program
-//! starves (Nuyens and Wierman, *The Foreground-Background Queue*, 2008).
+//! Calls are ordered by least attained service: the program with the fewest computed tokens goes
+//! first, since program lengths are unknown and short programs should not wait behind long ones.
+//! Waiting time reduces the rank so that no program starves (Nuyens and Wierman, *The
+//! Foreground-Background Queue*, 2008).
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 
 use calicohoist_types::ids::NodeId;
 
-/// Tokens of credit that a millisecond of waiting is worth.
-const CREDIT_PER_MILLI: u64 = 2;
+/// Tokens by which a millisecond of waiting reduces the attained service.
+const CREDIT_PER_MS: u64 = 2;
 
-/// One call that wants a slot.
+/// Call that waits for a slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueEntry {
-    /// The attempt.
+    /// Attempt that the slot is for.
     pub attempt: AttemptId,
-    /// The gateway that will run it.
+    /// Gateway that runs the call.
     pub holder: NodeId,
-    /// Tokens computed for its program so far.
+    /// Tokens computed for the call's program so far.
     pub attained_tokens: u64,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Since when it waits.
+    /// Time at which the call was queued.
     pub since: Moment,
 }
 
-/// The queue has no room.
+/// Error returned when the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
@@ -41,10 +41,10 @@
 }
 
 impl EngineQueue {
-    /// Adds a call, once; a repeated request changes nothing.
+    /// Adds a call. Has no effect if the attempt is queued or running already.
     ///
     /// # Errors
-    /// When `max_waiting` calls wait already.
+    /// Returns [`QueueFull`] when `max_waiting` calls are waiting.
     pub fn add(&mut self, entry: QueueEntry, max_waiting: usize) -> Result<(), QueueFull> {
         if self.is_running(&entry.attempt) || self.is_waiting(&entry.attempt) {
             return Ok(());
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Whether the attempt has a slot.
+    /// Returns whether the attempt has a slot.
     pub fn is_running(&self, attempt: &AttemptId) -> bool {
         self.running.contains_key(attempt)
     }
@@ -65,78 +65,77 @@
         self.waiting.iter().any(|entry| entry.attempt == *attempt)
     }
 
-    /// Gives free slots to the calls that should go next.
+    /// Assigns free slots to waiting calls in order of rank.
     pub fn grant(&mut self, now: Moment, slots: u32) -> Vec<QueueEntry> {
         let mut granted = Vec::new();
         while self.running.len() < slots as usize {
-            let Some(position) = self.next(now) else {
+            let Some(position) = self.next_position(now) else {
                 break;
             };
             let entry = self.waiting.swap_remove(position);
-            let holder = (entry.holder.clone(), now);
-            self.running.insert(entry.attempt.clone(), holder);
+            let slot = (entry.holder.clone(), now);
+            self.running.insert(entry.attempt.clone(), slot);
             granted.push(entry);
         }
         granted
     }
 
-    fn next(&self, now: Moment) -> Option<usize> {
+    fn next_position(&self, now: Moment) -> Option<usize> {
         let ranked = self.waiting.iter().enumerate();
         let first = ranked.min_by_key(|(_, entry)| (rank(now, entry), entry.attempt.clone()));
         first.map(|(position, _)| position)
     }
 
-    /// Frees a slot or a place in the queue; `true` when there was one.
+    /// Removes a running or waiting call; returns whether there was one.
     pub fn remove(&mut self, attempt: &AttemptId) -> bool {
-        let before = self.waiting.len();
+        let waiting_before = self.waiting.len();
         self.waiting.retain(|entry| entry.attempt != *attempt);
         let was_running = self.running.remove(attempt).is_some();
-        was_running || self.waiting.len() != before
+        was_running || self.waiting.len() != waiting_before
     }
 
-    /// Notes a slot that was given by an earlier owner.
+    /// Adds a running call that got its slot from an earlier owner of the engine.
     pub fn adopt(&mut self, attempt: AttemptId, holder: NodeId, now: Moment) {
         self.running.entry(attempt).or_insert((holder, now));
     }
 
-    /// Takes back slots of `holder` that it does not name and that were given
-    /// before `before`.
-    pub fn reconcile(&mut self, holder: &NodeId, named: &[AttemptId], before: Moment) {
+    /// Frees slots of `holder` that were assigned before `before` and are not in `listed`.
+    pub fn reconcile(&mut self, holder: &NodeId, listed: &[AttemptId], before: Moment) {
         self.running.retain(|attempt, (held_by, since)| {
-            held_by != holder || named.contains(attempt) || *since >= before
+            held_by != holder || listed.contains(attempt) || *since >= before
         });
     }
 
-    /// Takes back everything of gateways for which `is_alive` is false.
+    /// Removes the calls of gateways for which `is_alive` is false.
     pub fn drop_holders(&mut self, is_alive: impl Fn(&NodeId) -> bool) {
         self.running.retain(|_, (holder, _)| is_alive(holder));
         self.waiting.retain(|entry| is_alive(&entry.holder));
     }
 
-    /// Empties the queue, keeping what runs.
+    /// Removes and returns the waiting calls; running calls stay.
     pub fn take_waiting(&mut self) -> Vec<QueueEntry> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Calls with a slot.
+    /// Returns the number of running calls.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Calls without one.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Prompt tokens of the calls without one.
+    /// Returns the total prompt length of the waiting calls, in tokens.
     pub fn waiting_tokens(&self) -> u64 {
         self.waiting.iter().map(|entry| entry.prompt_tokens).sum()
     }
 }
 
-/// Smaller goes first.
+/// Sort key of a waiting call; the smallest goes first.
 fn rank(now: Moment, entry: &QueueEntry) -> i64 {
     let waited = now.since(entry.since).as_millis() as u64;
-    let credit = waited.saturating_mul(CREDIT_PER_MILLI);
+    let credit = waited.saturating_mul(CREDIT_PER_MS);
     entry.attained_tokens as i64 - i64::try_from(credit).unwrap_or(i64::MAX)
 }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -1,110 +1,110 @@
-//! How fast a service's engines are, learned from the turns that ended.
+//! Engine speed of a service, estimated from completed turns.
 //!
-//! The measure is the time that a turn takes for each token that it generates. The fastest
-//! turns show what an engine does alone; all of them show what it does now. Both are taken
-//! from what gateways report, so that every ledger machine knows them; only the leader
-//! knows how many turns run beside each other.
+//! The measure is the time per generated token. The fastest turns show the speed of an engine
+//! without contention, the mean shows the current speed. Both are computed from samples that are
+//! replicated to all machines of the ledger; the concurrency is known only to the leader.
 
 use serde::{Deserialize, Serialize};
 
-/// A run that ended whole.
+/// Measurement of a completed turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSample {
-    /// Tokens that it generated.
+    /// Generated tokens.
     pub generated: u32,
-    /// Time from the request to the end of its answer, in ms.
+    /// Time from the request to the end of the response, in ms.
     pub time_ms: u32,
 }
 
-/// A turn of fewer tokens says little about the time for one.
-const LEAST_TOKENS: u32 = 32;
-/// Samples before anything is said.
-const LEAST_SAMPLES: u32 = 50;
-/// Weight of a new sample in the present mean.
-const PRESENT_WEIGHT: f64 = 0.02;
-/// Weight of a new sample that is faster than the fastest so far.
-const FASTER_WEIGHT: f64 = 0.1;
-/// By how much the fastest time is raised with each sample that is slower, so that an
-/// engine that became slower for good is known as such after some thousands of turns.
-const FASTEST_RISE: f64 = 1.0001;
+/// Shorter turns are ignored, since fixed delays dominate their time per token.
+const MIN_SAMPLE_TOKENS: u32 = 32;
+/// Number of samples from which estimates are available.
+const MIN_SAMPLES: u32 = 50;
+/// Smoothing factor of the moving averages.
+const MEAN_SMOOTHING: f64 = 0.02;
+/// Smoothing factor for samples that are faster than the best time.
+const BEST_SMOOTHING: f64 = 0.1;
+/// Factor by which the best time grows with each slower sample, so that the estimate adapts to an
+/// engine that has become slower.
+const BEST_GROWTH: f64 = 1.0001;
 
-/// Learns the speed of one service's engines.
+/// Speed estimate for the engines of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineSpeed {
     samples: u32,
-    /// Time for one token at its best, in ms.
-    alone_ms: f64,
-    /// Time for one token now, in ms.
-    present_ms: f64,
-    /// Tokens that a turn generates.
-    tokens: f64,
-    /// Turns that run beside each other at one replica; `None` while nobody has told.
-    running: Option<f64>,
+    /// Best time per token, in ms.
+    best_token_ms: f64,
+    /// Mean time per token, in ms.
+    mean_token_ms: f64,
+    /// Mean number of generated tokens per turn.
+    mean_tokens: f64,
+    /// Mean number of concurrent turns per replica; `None` until the first observation.
+    mean_concurrency: Option<f64>,
 }
 
 impl EngineSpeed {
-    /// Notes a run.
-    pub fn note_run(&mut self, sample: RunSample) {
-        if sample.generated < LEAST_TOKENS || sample.time_ms == 0 {
+    /// Records a completed turn.
+    pub fn record_sample(&mut self, sample: RunSample) {
+        if sample.generated < MIN_SAMPLE_TOKENS || sample.time_ms == 0 {
             return;
         }
         let generated = f64::from(sample.generated);
-        let per_token = f64::from(sample.time_ms) / generated;
+        let token_ms = f64::from(sample.time_ms) / generated;
         if self.samples == 0 {
-            (self.alone_ms, self.present_ms, self.tokens) = (per_token, per_token, generated);
+            (self.best_token_ms, self.mean_token_ms, self.mean_tokens) =
+                (token_ms, token_ms, generated);
         }
         self.samples = self.samples.saturating_add(1);
-        self.present_ms += (per_token - self.present_ms) * PRESENT_WEIGHT;
-        self.tokens += (generated - self.tokens) * PRESENT_WEIGHT;
-        if per_token < self.alone_ms {
-            self.alone_ms += (per_token - self.alone_ms) * FASTER_WEIGHT;
+        self.mean_token_ms += (token_ms - self.mean_token_ms) * MEAN_SMOOTHING;
+        self.mean_tokens += (generated - self.mean_tokens) * MEAN_SMOOTHING;
+        if token_ms < self.best_token_ms {
+            self.best_token_ms += (token_ms - self.best_token_ms) * BEST_SMOOTHING;
         } else {
-            self.alone_ms *= FASTEST_RISE;
+            self.best_token_ms *= BEST_GROWTH;
         }
     }
 
-    /// Notes how many turns ran beside each other where one has ended.
-    pub fn note_running(&mut self, turns: f64) {
-        let running = self.running.get_or_insert(turns);
-        *running += (turns - *running) * PRESENT_WEIGHT;
+    /// Records the number of turns that ran concurrently on a replica.
+    pub fn record_concurrency(&mut self, turns: f64) {
+        let concurrency = self.mean_concurrency.get_or_insert(turns);
+        *concurrency += (turns - *concurrency) * MEAN_SMOOTHING;
     }
 
-    /// Forgets how many turns run: another leader placed them.
-    pub fn forget_running(&mut self) {
-        self.running = None;
+    /// Discards the mean concurrency when a term starts.
+    pub fn reset_concurrency(&mut self) {
+        self.mean_concurrency = None;
     }
 
-    /// How many times as long as alone a turn takes now; `None` while too little is known.
+    /// Returns the ratio of the mean to the best time per token; `None` with too few samples.
     pub fn slowdown(&self) -> Option<f64> {
-        self.known(self.present_ms / self.alone_ms)
+        self.if_sampled(self.mean_token_ms / self.best_token_ms)
     }
 
-    /// How many turns may run at a replica for a turn to take `slowdown` times as long as
-    /// alone; `None` while too little is known.
+    /// Returns the number of concurrent turns per replica at which a turn takes `slowdown` times
+    /// as long as alone; `None` with too few samples.
     ///
-    /// The delay is taken to grow in proportion to the turns beside it.
-    pub fn turns_within(&self, slowdown: f64) -> Option<f64> {
-        let running = self.running?;
+    /// Assumes that the delay is proportional to the number of concurrent turns.
+    pub fn concurrency_at(&self, slowdown: f64) -> Option<f64> {
+        let concurrency = self.mean_concurrency?;
         let excess = (self.slowdown()? - 1.0).max(f64::EPSILON);
-        Some(running * (slowdown - 1.0) / excess)
+        Some(concurrency * (slowdown - 1.0) / excess)
     }
 
-    /// Time that a turn takes now, in ms.
+    /// Returns the mean duration of a turn, in ms.
     pub fn turn_ms(&self) -> Option<f64> {
-        self.known(self.present_ms * self.tokens)
+        self.if_sampled(self.mean_token_ms * self.mean_tokens)
     }
 
-    /// Time that one generated token takes at its best, in ms.
-    pub fn token_ms(&self) -> Option<f64> {
-        self.known(self.alone_ms)
+    /// Returns the best time per generated token, in ms.
+    pub fn best_token_ms(&self) -> Option<f64> {
+        self.if_sampled(self.best_token_ms)
     }
 
-    /// Time that a turn takes at its best, in ms.
+    /// Returns the duration of a mean turn at the best speed, in ms.
     pub fn alone_ms(&self) -> Option<f64> {
-        self.known(self.alone_ms * self.tokens)
+        self.if_sampled(self.best_token_ms * self.mean_tokens)
     }
 
-    fn known(&self, figure: f64) -> Option<f64> {
-        (self.samples >= LEAST_SAMPLES).then_some(figure)
+    fn if_sampled(&self, value: f64) -> Option<f64> {
+        (self.samples >= MIN_SAMPLES).then_some(value)
     }
 }
--- a/crates/scheduler/tests/admission.rs
+++ b/crates/scheduler/tests/admission.rs
@@ -1,4 +1,4 @@
-//! When turns run, by a process that sees all of them.
+//! Admission control: order, queueing, refusals and load limits.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +10,8 @@
 use proptest::test_runner::RngSeed;
 
 const SLOTS: u32 = 4;
-/// Turns that go to one replica of [`SLOTS`] while nothing is learned.
-const ROOM: usize = SLOTS as usize;
+/// Capacity for new programs of a replica with [`SLOTS`] slots and no speed estimate.
+const CAPACITY: usize = SLOTS as usize;
 
 fn replicas(count: usize) -> Vec<Replica> {
     let replica = |number: usize| Replica {
@@ -41,85 +41,95 @@
     }
 }
 
-fn under_way() -> PlacementRequest {
+fn running_program_request() -> PlacementRequest {
     PlacementRequest { is_under_way: true, ..request(2_000) }
 }
 
-/// A scheduler whose only replica has no room for new programs.
-fn busy(replicas: &[Replica], now: Instant) -> TurnScheduler {
+/// Creates a scheduler whose only replica has no capacity for new programs.
+fn busy_scheduler(replicas: &[Replica], now: Instant) -> TurnScheduler {
     let mut scheduler = TurnScheduler::default();
-    for turn in 0..ROOM {
-        let decision =
-            scheduler.arrive(&format!("busy{turn}"), request(9_000), &FleetView::of(replicas), now);
+    for turn in 0..CAPACITY {
+        let decision = scheduler.arrive(
+            &format!("busy{turn}"),
+            request(9_000),
+            &FleetView::from_replicas(replicas),
+            now,
+        );
         assert!(matches!(decision, Decision::Run(_)));
     }
     scheduler
 }
 
-fn turns_of(decided: &[(String, Decision)]) -> Vec<&str> {
-    decided.iter().map(|(turn, _)| turn.as_str()).collect()
+fn turn_ids(decisions: &[(String, Decision)]) -> Vec<&str> {
+    decisions.iter().map(|(turn, _)| turn.as_str()).collect()
 }
 
 #[test]
 fn new_programs_wait_while_replicas_are_busy() {
     let (replicas, now) = (replicas(1), Instant::now());
-    let mut scheduler = busy(&replicas, now);
+    let mut scheduler = busy_scheduler(&replicas, now);
     assert_eq!(
-        scheduler.arrive("n", request(2_000), &FleetView::of(&replicas), now),
+        scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
-    assert_eq!(scheduler.decide(&FleetView::of(&replicas), now), []);
+    assert_eq!(scheduler.decide(&FleetView::from_replicas(&replicas), now), []);
     scheduler.end("busy0", Some("r0"), now);
-    let decided = scheduler.decide(&FleetView::of(&replicas), now);
-    assert_eq!(decided, [("n".to_owned(), Decision::Run("r0".to_owned()))]);
+    let decisions = scheduler.decide(&FleetView::from_replicas(&replicas), now);
+    assert_eq!(decisions, [("n".to_owned(), Decision::Run("r0".to_owned()))]);
     assert_eq!(scheduler.waiting(), 0);
 }
 
 #[test]
-fn programs_under_way_do_not_wait() {
+fn turns_of_running_programs_do_not_wait() {
     let (replicas, now) = (replicas(1), Instant::now());
-    let mut scheduler = busy(&replicas, now);
-    scheduler.arrive("n", request(2_000), &FleetView::of(&replicas), now);
-    let decision = scheduler.arrive("u", under_way(), &FleetView::of(&replicas), now);
+    let mut scheduler = busy_scheduler(&replicas, now);
+    scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now);
+    let decision =
+        scheduler.arrive("u", running_program_request(), &FleetView::from_replicas(&replicas), now);
     assert_eq!(decision, Decision::Run("r0".to_owned()));
 }
 
 #[test]
-fn who_can_still_be_in_time_goes_before_who_cannot() {
+fn turns_that_can_meet_their_deadline_go_first() {
     let (replicas, now) = (replicas(1), Instant::now());
-    let mut scheduler = busy(&replicas, now);
-    scheduler.arrive("late", request(0), &FleetView::of(&replicas), now);
-    scheduler.arrive("soon", request(2_000), &FleetView::of(&replicas), now);
-    scheduler.arrive("sooner", request(1_000), &FleetView::of(&replicas), now);
+    let mut scheduler = busy_scheduler(&replicas, now);
+    scheduler.arrive("late", request(0), &FleetView::from_replicas(&replicas), now);
+    scheduler.arrive("soon", request(2_000), &FleetView::from_replicas(&replicas), now);
+    scheduler.arrive("sooner", request(1_000), &FleetView::from_replicas(&replicas), now);
     let urgent = PlacementRequest { priority: 0, ..request(3_000) };
-    scheduler.arrive("urgent", urgent, &FleetView::of(&replicas), now);
+    scheduler.arrive("urgent", urgent, &FleetView::from_replicas(&replicas), now);
     let mut order = Vec::new();
-    for turn in 0..ROOM {
+    for turn in 0..CAPACITY {
         scheduler.end(&format!("busy{turn}"), Some("r0"), now);
-        order.extend(scheduler.decide(&FleetView::of(&replicas), now));
+        order.extend(scheduler.decide(&FleetView::from_replicas(&replicas), now));
     }
-    assert_eq!(turns_of(&order), ["urgent", "sooner", "soon", "late"]);
+    assert_eq!(turn_ids(&order), ["urgent", "sooner", "soon", "late"]);
 }
 
 #[test]
-fn a_turn_that_waits_too_long_is_told_when_to_come_back() {
+fn a_turn_that_waits_too_long_is_refused_with_a_retry_delay() {
     let (replicas, now) = (replicas(1), Instant::now());
-    let mut scheduler = busy(&replicas, now);
-    scheduler.arrive("n", request(2_000), &FleetView::of(&replicas), now);
+    let mut scheduler = busy_scheduler(&replicas, now);
+    scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now);
     let later = now + Duration::from_millis(1_900);
-    let decided = scheduler.decide(&FleetView::of(&replicas), later);
-    assert_eq!(turns_of(&decided), ["n"]);
-    assert!(matches!(decided[0].1, Decision::Refuse(after) if !after.is_zero()));
-    assert!(later < now + Duration::from_millis(4_000) / 2, "well before its deadline");
+    let decisions = scheduler.decide(&FleetView::from_replicas(&replicas), later);
+    assert_eq!(turn_ids(&decisions), ["n"]);
+    assert!(matches!(decisions[0].1, Decision::Refuse(after) if !after.is_zero()));
+    assert!(later < now + Duration::from_millis(4_000) / 2, "refused well before the deadline");
 }
 
 #[test]
 fn a_full_queue_refuses_at_once() {
     let (replicas, now) = (replicas(1), Instant::now());
-    let mut scheduler = busy(&replicas, now);
+    let mut scheduler = busy_scheduler(&replicas, now);
     let decisions: Vec<Decision> = (0..2_000)
         .map(|turn| {
-            scheduler.arrive(&format!("n{turn}"), request(2_000), &FleetView::of(&replicas), now)
+            scheduler.arrive(
+                &format!("n{turn}"),
+                request(2_000),
+                &FleetView::from_replicas(&replicas),
+                now,
+            )
         })
         .collect();
     assert!(scheduler.waiting() <= 1_000);
@@ -127,23 +137,26 @@
 }
 
 #[test]
-fn a_new_leader_waits_for_reports_and_counts_them() {
+fn a_new_leader_waits_for_load_reports() {
     let (replicas, now) = (replicas(1), Instant::now());
     let mut scheduler = TurnScheduler::default();
     scheduler.begin_term(now);
     assert_eq!(
-        scheduler.arrive("n", request(2_000), &FleetView::of(&replicas), now),
+        scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
     scheduler.inherit(&[("r0".to_owned(), SLOTS)], now);
-    let open = now + Duration::from_millis(100);
+    let reports_received = now + Duration::from_millis(100);
     assert_eq!(
-        scheduler.decide(&FleetView::of(&replicas), open),
+        scheduler.decide(&FleetView::from_replicas(&replicas), reports_received),
         [],
-        "the replica is full already"
+        "inherited turns take all slots"
+    );
+    scheduler.end("of another leader", Some("r0"), reports_received);
+    assert_eq!(
+        turn_ids(&scheduler.decide(&FleetView::from_replicas(&replicas), reports_received)),
+        ["n"]
     );
-    scheduler.end("of another leader", Some("r0"), open);
-    assert_eq!(turns_of(&scheduler.decide(&FleetView::of(&replicas), open)), ["n"]);
 }
 
 #[test]
@@ -160,13 +173,13 @@
     for _ in 0..100 {
         scheduler.learn(&run(100));
     }
-    // Three turns beside each other take six times as long.
+    // With three concurrent turns, each takes six times as long as alone.
     for round in 0..100 {
         for turn in 0..3 {
             scheduler.arrive(
                 &format!("{round}-{turn}"),
-                under_way(),
-                &FleetView::of(&replicas),
+                running_program_request(),
+                &FleetView::from_replicas(&replicas),
                 now,
             );
         }
@@ -175,10 +188,10 @@
             scheduler.learn(&run(600));
         }
     }
-    let first = scheduler.arrive("a", request(2_000), &FleetView::of(&replicas), now);
-    assert_eq!(first, Decision::Run("r0".to_owned()), "one at least");
+    let first = scheduler.arrive("a", request(2_000), &FleetView::from_replicas(&replicas), now);
+    assert_eq!(first, Decision::Run("r0".to_owned()), "at least one turn is admitted");
     assert_eq!(
-        scheduler.arrive("b", request(2_000), &FleetView::of(&replicas), now),
+        scheduler.arrive("b", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
 }
@@ -187,7 +200,7 @@
 enum Step {
     Arrive { is_under_way: bool, finish_ms: u64, priority: u8 },
     End,
-    Pass { ms: u64 },
+    Advance { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -196,7 +209,7 @@
             Step::Arrive { is_under_way, finish_ms, priority }
         }),
         Just(Step::End),
-        (0u64..400).prop_map(|ms| Step::Pass { ms }),
+        (0u64..400).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
@@ -207,10 +220,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes and ends: every turn is decided about once, within its bound, and
-    /// nobody waits while a replica has room for it.
+    /// Every turn gets exactly one decision within the maximum wait, and no turn waits while all
+    /// replicas are idle.
     #[test]
-    fn every_turn_is_decided_about(steps in proptest::collection::vec(step(), 1..300)) {
+    fn every_turn_gets_one_decision(steps in proptest::collection::vec(step(), 1..300)) {
         let replicas = replicas(2);
         let mut now = Instant::now();
         let mut scheduler = TurnScheduler::default();
@@ -225,7 +238,7 @@
                         priority: *priority,
                         ..request(*finish_ms)
                     };
-                    match scheduler.arrive(&turn, request, &FleetView::of(&replicas), now) {
+                    match scheduler.arrive(&turn, request, &FleetView::from_replicas(&replicas), now) {
                         Decision::Run(replica) => running.push((turn, replica)),
                         Decision::Wait => waiting.push((turn, now)),
                         decision => prop_assert!(false, "{decision:?}"),
@@ -236,12 +249,12 @@
                     let (turn, replica) = running.remove(0);
                     scheduler.end(&turn, Some(&replica), now);
                 }
-                Step::Pass { ms } => now += Duration::from_millis(*ms),
+                Step::Advance { ms } => now += Duration::from_millis(*ms),
             }
-            for (turn, decision) in scheduler.decide(&FleetView::of(&replicas), now) {
-                let place = waiting.iter().position(|(waiting, _)| *waiting == turn);
-                prop_assert!(place.is_some(), "{turn} is decided about twice");
-                waiting.swap_remove(place.unwrap_or_default());
+            for (turn, decision) in scheduler.decide(&FleetView::from_replicas(&replicas), now) {
+                let position = waiting.iter().position(|(waiting, _)| *waiting == turn);
+                prop_assert!(position.is_some(), "{turn} got two decisions");
+                waiting.swap_remove(position.unwrap_or_default());
                 if let Decision::Run(replica) = decision {
                     running.push((turn, replica));
                 }
@@ -249,9 +262,10 @@
             prop_assert_eq!(scheduler.waiting(), waiting.len());
             let bound = Duration::from_millis(1_800);
             prop_assert!(waiting.iter().all(|(_, since)| now < *since + bound));
-            // Turns expire at the scheduler by themselves; only a lower bound is known here.
+            // The scheduler also expires turns by itself, so only idle replicas are known to have
+            // capacity.
             let is_idle = running.is_empty() && !waiting.is_empty();
-            prop_assert!(!is_idle, "{} wait for idle replicas", waiting.len());
+            prop_assert!(!is_idle, "{} turns wait for idle replicas", waiting.len());
         }
     }
 }
--- a/crates/scheduler/tests/cold_return.rs
+++ b/crates/scheduler/tests/cold_return.rs
@@ -1,7 +1,8 @@
-//! A zone of cold replicas that returns while a burst waits, in virtual time: the real scheduler
-//! of the leader, and what each of hundreds of gateways does with its decisions.
+//! Simulates the return of a zone of cold replicas during a load burst, in virtual time, with the
+//! real scheduler and simulated gateways.
 //!
-//! `cargo test -p calicohoist-scheduler --test cold_return -- --nocapture` shows the rates.
+//! `cargo test -p calicohoist-scheduler --test cold_return -- --nocapture` prints the arrival
+//! rates.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,59 +15,59 @@
 
 const LIMIT: ColdLimit = ColdLimit { per_second: 27.0, lasts: Duration::from_secs(3) };
 const TOLERANCE: ColdTolerance = ColdTolerance { overshoot: 1.5, slack: 5.0 };
-/// Requests that may arrive at a cold replica within a second: 27 x 1.5 + 5, rounded down.
-const MOST: usize = 45;
-const SECOND: u64 = 1_000;
+/// Maximum arrivals at a cold replica within one second: 27 x 1.5 + 5, rounded down.
+const BURST_LIMIT: usize = 45;
+const SECOND_MS: u64 = 1_000;
 const GATEWAYS: u64 = 300;
-/// One gateway in so many has no leader, and chooses by itself.
-const LEADERLESS: u64 = 10;
-/// One gateway in so many stays with the old leader until that steps down.
-const LEFT_BEHIND: u64 = 3;
-/// One request in so many is held up in its gateway, for up to [`STALL_MS`].
-const STALLED: u64 = 20;
-const STALL_MS: u64 = 2_500;
+/// One in this many gateways has no leader and chooses replicas by itself.
+const LEADERLESS_EVERY: u64 = 10;
+/// One in this many turns is placed by the old leader until that steps down.
+const OLD_LEADER_EVERY: u64 = 3;
+/// One in this many decisions is delayed in its gateway, by up to [`MAX_STALL_MS`].
+const STALLED_EVERY: u64 = 20;
+const MAX_STALL_MS: u64 = 2_500;
 const COLD_REPLICAS: usize = 15;
 const WARM_REPLICAS: usize = 8;
-/// When the cold replicas are listed, in ms; they stay cold for 3 s.
+/// Time at which the cold replicas are listed, in ms; they stay cold for 3 s.
 const RETURN_MS: u64 = 1_500;
 const STEP_DOWN_MS: u64 = 360;
 const END_MS: u64 = 8_000;
-/// A turn at a replica, in ms.
+/// Duration of a turn, in ms.
 const TURN_MS: u64 = 80;
 
-/// What happens at a moment.
-enum Step {
-    /// A gateway has a turn to place.
-    Ask { turn: u64, at_old: bool },
-    /// The gateway learns of a decision to its question of `asked`.
-    Told { turn: u64, asked: u64, decision: Decision },
-    /// The turn reaches a replica.
-    Reach { turn: u64, replica: String },
-    /// The turn has ended at its replica.
+/// Simulation event.
+enum Event {
+    /// A gateway requests a placement.
+    Request { turn: u64, to_old_leader: bool },
+    /// A gateway receives the decision on its request of time `requested`.
+    Receive { turn: u64, requested: u64, decision: Decision },
+    /// A turn reaches its replica.
+    Arrive { turn: u64, replica: String },
+    /// A turn ends.
     End { turn: u64, replica: String },
 }
 
-/// One run.
-struct World {
-    begun: Instant,
+/// State of one simulation run.
+struct Simulation {
+    start: Instant,
     limit: Option<ColdLimit>,
     replicas: Vec<Replica>,
     cold: ColdReplicas,
     topology: Topology,
     drained: DrainedZones,
-    /// The leader, and the one before it while it has not stepped down.
+    /// The leader, and the previous one until it steps down.
     leader: TurnScheduler,
-    old: Option<TurnScheduler>,
-    steps: BTreeMap<u64, Vec<Step>>,
-    asked: BTreeMap<u64, u64>,
-    /// When turns reached cold replicas, in ms.
+    old_leader: Option<TurnScheduler>,
+    events: BTreeMap<u64, Vec<Event>>,
+    requested: BTreeMap<u64, u64>,
+    /// Arrival times at cold replicas, in ms.
     arrivals: BTreeMap<String, Vec<u64>>,
-    lapsed: usize,
+    expired: usize,
 }
 
-/// A number below `most` that depends only on the words and the turn.
-fn drawn(words: &str, turn: u64, most: u64) -> u64 {
-    stable_hash(&[words.as_bytes(), &turn.to_le_bytes()]) % most.max(1)
+/// Returns a number below `bound` that depends only on `label` and `turn`.
+fn hash_draw(label: &str, turn: u64, bound: u64) -> u64 {
+    stable_hash(&[label.as_bytes(), &turn.to_le_bytes()]) % bound.max(1)
 }
 
 fn replica(number: usize, zone: &str) -> Replica {
@@ -80,30 +81,30 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(limit: Option<ColdLimit>) -> Self {
         Self {
-            begun: Instant::now(),
+            start: Instant::now(),
             limit,
             replicas: (0..WARM_REPLICAS).map(|number| replica(number, "warm")).collect(),
             cold: ColdReplicas::none(),
             topology: Topology::empty(),
             drained: DrainedZones::none(),
             leader: TurnScheduler::new(TOLERANCE),
-            old: None,
-            steps: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            old_leader: None,
+            events: BTreeMap::new(),
+            requested: BTreeMap::new(),
             arrivals: BTreeMap::new(),
-            lapsed: 0,
+            expired: 0,
         }
     }
 
     fn at(&self, ms: u64) -> Instant {
-        self.begun + Duration::from_millis(ms)
+        self.start + Duration::from_millis(ms)
     }
 
-    fn then(&mut self, at: u64, step: Step) {
-        self.steps.entry(at).or_default().push(step);
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.events.entry(at).or_default().push(event);
     }
 
     fn request(&self, turn: u64) -> PlacementRequest {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The whole run; `per_second` turns come, and the leader changes at `change`.
+    /// Runs the simulation with `per_second` turns per second and a leader change at `change`.
     fn run(mut self, per_second: u64, change: Option<u64>) -> Self {
         let mut turns = 0;
         for ms in 0..END_MS {
@@ -132,18 +133,18 @@
             if change == Some(ms) {
                 let mut next = TurnScheduler::new(TOLERANCE);
                 next.begin_term(self.at(ms));
-                self.old = Some(std::mem::replace(&mut self.leader, next));
+                self.old_leader = Some(std::mem::replace(&mut self.leader, next));
             }
             if change.is_some_and(|change| ms == change + STEP_DOWN_MS) {
-                self.old = None;
+                self.old_leader = None;
             }
-            while turns * SECOND < per_second * ms {
+            while turns * SECOND_MS < per_second * ms {
                 turns += 1;
-                let at_old = turns % LEFT_BEHIND == 0;
-                self.then(ms, Step::Ask { turn: turns, at_old });
+                let to_old_leader = turns % OLD_LEADER_EVERY == 0;
+                self.schedule(ms, Event::Request { turn: turns, to_old_leader });
             }
-            for step in self.steps.remove(&ms).unwrap_or_default() {
-                self.act(ms, step);
+            for event in self.events.remove(&ms).unwrap_or_default() {
+                self.handle(ms, event);
             }
             if ms % 20 == 0 {
                 self.decide(ms);
@@ -161,111 +162,117 @@
         }
     }
 
-    fn act(&mut self, ms: u64, step: Step) {
-        match step {
-            Step::Ask { turn, at_old } => self.ask(ms, turn, at_old),
-            Step::Told { turn, asked, decision } => self.told(ms, turn, asked, decision),
-            Step::Reach { turn, replica } => {
+    fn handle(&mut self, ms: u64, event: Event) {
+        match event {
+            Event::Request { turn, to_old_leader } => {
+                self.request_placement(ms, turn, to_old_leader)
+            }
+            Event::Receive { turn, requested, decision } => {
+                self.receive_decision(ms, turn, requested, decision)
+            }
+            Event::Arrive { turn, replica } => {
                 if self.cold.is_cold(&replica, self.at(ms)) {
                     self.arrivals.entry(replica.clone()).or_default().push(ms);
                 }
-                self.then(ms + TURN_MS, Step::End { turn, replica });
+                self.schedule(ms + TURN_MS, Event::End { turn, replica });
             }
-            Step::End { turn, replica } => {
+            Event::End { turn, replica } => {
                 let now = self.at(ms);
                 self.leader.end(&turn.to_string(), Some(&replica), now);
-                if let Some(old) = &mut self.old {
-                    old.end(&turn.to_string(), Some(&replica), now);
+                if let Some(old_leader) = &mut self.old_leader {
+                    old_leader.end(&turn.to_string(), Some(&replica), now);
                 }
             }
         }
     }
 
-    fn ask(&mut self, ms: u64, turn: u64, at_old: bool) {
-        self.asked.insert(turn, ms);
-        if drawn("gateway", turn, GATEWAYS).is_multiple_of(LEADERLESS) {
-            return self.choose(ms, turn);
+    fn request_placement(&mut self, ms: u64, turn: u64, to_old_leader: bool) {
+        self.requested.insert(turn, ms);
+        if hash_draw("gateway", turn, GATEWAYS).is_multiple_of(LEADERLESS_EVERY) {
+            return self.choose_locally(ms, turn);
         }
         let (request, now) = (self.request(turn), self.at(ms));
-        let Self { replicas, topology, drained, cold, leader, old, .. } = self;
+        let Self { replicas, topology, drained, cold, leader, old_leader, .. } = self;
         let view = FleetView { replicas, topology, drained, cold };
-        let asked = old.as_mut().filter(|_| at_old).unwrap_or(leader);
-        let decision = asked.arrive(&turn.to_string(), request, &view, now);
-        self.tell(ms, turn, decision);
+        let leader = old_leader.as_mut().filter(|_| to_old_leader).unwrap_or(leader);
+        let decision = leader.arrive(&turn.to_string(), request, &view, now);
+        self.send_decision(ms, turn, decision);
     }
 
     fn decide(&mut self, ms: u64) {
         let now = self.at(ms);
-        let Self { replicas, topology, drained, cold, leader, old, .. } = self;
+        let Self { replicas, topology, drained, cold, leader, old_leader, .. } = self;
         let view = FleetView { replicas, topology, drained, cold };
-        let mut decided = leader.decide(&view, now);
-        if let Some(old) = old {
-            decided.extend(old.decide(&view, now));
+        let mut decisions = leader.decide(&view, now);
+        if let Some(old_leader) = old_leader {
+            decisions.extend(old_leader.decide(&view, now));
         }
-        for (turn, decision) in decided {
-            self.tell(ms, turn.parse().expect("a number"), decision);
+        for (turn, decision) in decisions {
+            self.send_decision(ms, turn.parse().expect("a number"), decision);
         }
     }
 
-    /// A decision goes to its gateway, which may stand still for a while.
-    fn tell(&mut self, ms: u64, turn: u64, decision: Decision) {
+    /// Sends a decision to its gateway, which may be stalled for a while.
+    fn send_decision(&mut self, ms: u64, turn: u64, decision: Decision) {
         if decision == Decision::Wait {
             return;
         }
-        let is_stalled = drawn("stalled", turn, STALLED) == 0;
-        let stall = if is_stalled { drawn("stall", turn, STALL_MS) } else { 0 };
-        let asked = self.asked[&turn];
-        self.then(ms + 1 + stall, Step::Told { turn, asked, decision });
+        let is_stalled = hash_draw("stalled", turn, STALLED_EVERY) == 0;
+        let stall = if is_stalled { hash_draw("stall", turn, MAX_STALL_MS) } else { 0 };
+        let requested = self.requested[&turn];
+        self.schedule(ms + 1 + stall, Event::Receive { turn, requested, decision });
     }
 
-    /// The rule of a gateway: a placement at a cold replica lapses, and whoever has none chooses
-    /// among warm ones.
-    fn told(&mut self, ms: u64, turn: u64, asked: u64, decision: Decision) {
+    /// Handles a decision as a gateway does: an expired placement on a cold replica is dropped,
+    /// and the gateway chooses a warm replica instead.
+    fn receive_decision(&mut self, ms: u64, turn: u64, requested: u64, decision: Decision) {
         let placed = match decision {
             Decision::Run(replica) => PlacedReplica::warm(replica),
             Decision::RunCold { replica, waited_ms } => {
-                PlacedReplica::cold(replica, self.at(asked), Duration::from_millis(waited_ms))
+                PlacedReplica::cold(replica, self.at(requested), Duration::from_millis(waited_ms))
             }
-            Decision::RunAnywhere => return self.choose(ms, turn),
+            Decision::RunAnywhere => return self.choose_locally(ms, turn),
             Decision::Wait | Decision::Refuse(_) => return,
         };
         let is_cold = self.limit.is_some() && self.cold.is_cold(&placed.id, self.at(ms));
         if placed.holds(is_cold, self.at(ms)) {
             return self.send(ms, turn, placed.id);
         }
-        self.lapsed += 1;
-        self.choose(ms, turn);
+        self.expired += 1;
+        self.choose_locally(ms, turn);
     }
 
-    fn choose(&mut self, ms: u64, turn: u64) {
+    fn choose_locally(&mut self, ms: u64, turn: u64) {
         let now = self.at(ms);
-        let is_bound = self.limit.is_some();
-        let open =
-            self.replicas.iter().filter(|known| !(is_bound && self.cold.is_cold(&known.id, now)));
-        let open: Vec<String> = open.map(|replica| replica.id.clone()).collect();
-        if let Some(replica) = open.get(drawn("own choice", turn, open.len() as u64) as usize) {
+        let is_limited = self.limit.is_some();
+        let eligible =
+            self.replicas.iter().filter(|known| !(is_limited && self.cold.is_cold(&known.id, now)));
+        let eligible: Vec<String> = eligible.map(|replica| replica.id.clone()).collect();
+        if let Some(replica) =
+            eligible.get(hash_draw("own choice", turn, eligible.len() as u64) as usize)
+        {
             self.send(ms, turn, replica.clone());
         }
     }
 
-    /// The way takes up to 150 ms, with a new connection.
+    /// The network delay is up to 150 ms, including a new connection.
     fn send(&mut self, ms: u64, turn: u64, replica: String) {
-        let way = 1 + drawn("way", turn, 150);
-        self.then(ms + way, Step::Reach { turn, replica });
+        let delay_ms = 1 + hash_draw("way", turn, 150);
+        self.schedule(ms + delay_ms, Event::Arrive { turn, replica });
     }
 
-    /// The most that arrived at one cold replica within any second.
-    fn most(&self) -> usize {
-        self.arrivals.values().map(|times| most_within_second(times)).max().unwrap_or(0)
+    /// Returns the maximum number of arrivals at any cold replica within one second.
+    fn max_arrivals(&self) -> usize {
+        self.arrivals.values().map(|times| max_within_second(times)).max().unwrap_or(0)
     }
 
-    fn at_cold(&self) -> usize {
+    fn cold_arrivals(&self) -> usize {
         self.arrivals.values().map(Vec::len).sum()
     }
 
-    /// Arrivals at the busiest cold replica in each half of a second since the return.
+    /// Returns the arrivals at the busiest cold replica in each half second after the return.
     fn rates(&self) -> Vec<usize> {
-        let busiest = self.arrivals.values().max_by_key(|times| most_within_second(times));
+        let busiest = self.arrivals.values().max_by_key(|times| max_within_second(times));
         let times = busiest.map(Vec::as_slice).unwrap_or_default();
         let halves = (RETURN_MS..RETURN_MS + 3_000).step_by(500);
         let within = |from: u64| times.iter().filter(|at| (from..from + 500).contains(at)).count();
@@ -273,47 +280,55 @@
     }
 }
 
-fn most_within_second(times: &[u64]) -> usize {
+fn max_within_second(times: &[u64]) -> usize {
     let within =
-        |from: usize| times[from..].iter().take_while(|at| **at < times[from] + SECOND).count();
+        |from: usize| times[from..].iter().take_while(|at| **at < times[from] + SECOND_MS).count();
     (0..times.len()).map(within).max().unwrap_or(0)
 }
 
-fn show(name: &str, world: &World) {
+fn print_result(name: &str, simulation: &Simulation) {
     println!(
-        "{name:<34} most in 1 s {:>3}, at cold {:>4}, lapsed {:>3}, each half second {:?}",
-        world.most(),
-        world.at_cold(),
-        world.lapsed,
-        world.rates(),
+        "{name:<34} max in 1 s {:>3}, at cold {:>4}, expired {:>3}, per half second {:?}",
+        simulation.max_arrivals(),
+        simulation.cold_arrivals(),
+        simulation.expired,
+        simulation.rates(),
     );
 }
 
-/// More than the warm replicas bear, and than all cold ones may get.
+/// Exceeds the capacity of the warm replicas and the limits of the cold ones together.
 const BURST_PER_SECOND: u64 = 1_600;
 
 #[test]
-fn a_zone_that_returns_cold_in_a_burst_is_not_overrun() {
-    let world = World::new(Some(LIMIT)).run(BURST_PER_SECOND, None);
-    show("one leader", &world);
-    assert!(world.most() <= MOST);
-    let borne = LIMIT.per_second as usize * COLD_REPLICAS * 3;
-    assert!(world.at_cold() > borne / 2, "they help: {} of {borne}", world.at_cold());
-    assert!(world.lapsed > 0, "some gateway stood still");
+fn a_cold_zone_that_returns_during_a_burst_is_not_overloaded() {
+    let simulation = Simulation::new(Some(LIMIT)).run(BURST_PER_SECOND, None);
+    print_result("one leader", &simulation);
+    assert!(simulation.max_arrivals() <= BURST_LIMIT);
+    let limit = LIMIT.per_second as usize * COLD_REPLICAS * 3;
+    assert!(
+        simulation.cold_arrivals() > limit / 2,
+        "cold replicas are used: {} of {limit}",
+        simulation.cold_arrivals()
+    );
+    assert!(simulation.expired > 0, "some placements expire in stalled gateways");
 }
 
 #[test]
-fn a_change_of_leader_in_the_midst_lets_no_more_through() {
+fn a_leader_change_does_not_exceed_the_limit() {
     for change in [RETURN_MS + 100, RETURN_MS + 500, RETURN_MS + 1_200] {
-        let world = World::new(Some(LIMIT)).run(BURST_PER_SECOND, Some(change));
-        show(&format!("leader changes {} ms after", change - RETURN_MS), &world);
-        assert!(world.most() <= MOST);
+        let simulation = Simulation::new(Some(LIMIT)).run(BURST_PER_SECOND, Some(change));
+        print_result(&format!("leader changes {} ms after", change - RETURN_MS), &simulation);
+        assert!(simulation.max_arrivals() <= BURST_LIMIT);
     }
 }
 
 #[test]
-fn without_the_limit_the_zone_would_be_overrun() {
-    let world = World::new(None).run(BURST_PER_SECOND, None);
-    show("limit not asked for", &world);
-    assert!(world.most() > MOST, "else this proves nothing: {}", world.most());
+fn without_the_limit_the_zone_is_overloaded() {
+    let simulation = Simulation::new(None).run(BURST_PER_SECOND, None);
+    print_result("no limit", &simulation);
+    assert!(
+        simulation.max_arrivals() > BURST_LIMIT,
+        "the burst must exceed the limit: {}",
+        simulation.max_arrivals()
+    );
 }
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Replicas that fail one request after the other are left alone, and others are not.
+//! Outlier detection: replicas that fail repeatedly are ejected, others stay in use.
 
 use std::time::{Duration, Instant};
 
@@ -23,34 +23,34 @@
     Duration::from_millis(count)
 }
 
-/// Notes failures of one replica at these times; returns the rests that began.
-fn rests(board: &mut FailureBoard, id: &str, begin: Instant, at: &[u64]) -> Vec<Duration> {
+/// Records failures of one replica at the times `at`; returns the ejections that started.
+fn ejections(board: &mut FailureBoard, id: &str, start: Instant, at: &[u64]) -> Vec<Duration> {
     let listed = replicas(10);
-    at.iter().filter_map(|at| board.note(id, &listed, begin + ms(*at))).collect()
+    at.iter().filter_map(|at| board.note(id, &listed, start + ms(*at))).collect()
 }
 
 #[test]
-fn three_failures_in_a_row_are_too_many_and_each_rest_is_longer() {
+fn repeated_failures_eject_a_replica_for_increasing_times() {
     let mut board = FailureBoard::default();
-    let begin = Instant::now();
-    assert_eq!(rests(&mut board, "i-1", begin, &[0, 100, 200]), [ms(1_000)]);
-    assert_eq!(board.resting(begin + ms(500)), [("i-1".to_owned(), ms(700))]);
-    // What was under way fails, too, and changes nothing.
-    assert!(rests(&mut board, "i-1", begin, &[300, 400, 500, 600]).is_empty());
-    assert!(board.resting(begin + ms(1_200)).is_empty());
-    assert_eq!(rests(&mut board, "i-1", begin, &[1_300, 1_301, 1_302]), [ms(2_000)]);
-    assert_eq!(rests(&mut board, "i-1", begin, &[3_400, 3_401, 3_402]), [ms(4_000)]);
-    // Long after that it begins anew.
-    assert_eq!(rests(&mut board, "i-1", begin, &[30_000, 30_001, 30_002]), [ms(1_000)]);
+    let start = Instant::now();
+    assert_eq!(ejections(&mut board, "i-1", start, &[0, 100, 200]), [ms(1_000)]);
+    assert_eq!(board.resting(start + ms(500)), [("i-1".to_owned(), ms(700))]);
+    // Failures of requests that were in flight do not extend the ejection.
+    assert!(ejections(&mut board, "i-1", start, &[300, 400, 500, 600]).is_empty());
+    assert!(board.resting(start + ms(1_200)).is_empty());
+    assert_eq!(ejections(&mut board, "i-1", start, &[1_300, 1_301, 1_302]), [ms(2_000)]);
+    assert_eq!(ejections(&mut board, "i-1", start, &[3_400, 3_401, 3_402]), [ms(4_000)]);
+    // After a long time without an ejection the duration is reset.
+    assert_eq!(ejections(&mut board, "i-1", start, &[30_000, 30_001, 30_002]), [ms(1_000)]);
 }
 
 #[test]
-fn failures_far_apart_and_unknown_replicas_change_nothing() {
+fn rare_failures_and_unknown_replicas_are_ignored() {
     let mut board = FailureBoard::default();
-    let begin = Instant::now();
-    let apart: Vec<u64> = (0..50).map(|number| number * 160).collect();
-    assert!(rests(&mut board, "i-1", begin, &apart).is_empty());
-    assert!(rests(&mut board, "i-99", begin, &[0, 1, 2, 3]).is_empty());
+    let start = Instant::now();
+    let rare: Vec<u64> = (0..50).map(|number| number * 160).collect();
+    assert!(ejections(&mut board, "i-1", start, &rare).is_empty());
+    assert!(ejections(&mut board, "i-99", start, &[0, 1, 2, 3]).is_empty());
 }
 
 proptest! {
@@ -60,8 +60,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// However many fail, two thirds of a service stay in use, and no rest lasts longer than
-    /// the longest.
+    /// At most a third of a service is ejected, and no ejection exceeds the maximum duration.
     #[test]
     fn most_replicas_stay_in_use(
         count in 1_usize..40,
@@ -72,8 +71,8 @@
         let mut now = Instant::now();
         for (replica, pause) in failures {
             now += ms(pause);
-            let rest = board.note(&format!("i-{replica}"), &listed, now);
-            prop_assert!(rest.unwrap_or_default() <= ms(8_000));
+            let ejection = board.note(&format!("i-{replica}"), &listed, now);
+            prop_assert!(ejection.unwrap_or_default() <= ms(8_000));
             prop_assert!(board.resting(now).len() * 3 <= count);
         }
     }
--- a/crates/scheduler/tests/overload/load.rs
+++ b/crates/scheduler/tests/overload/load.rs
@@ -1,10 +1,10 @@
-//! Programs drawn from a seed: turns, pauses, sub-agents and what counts as in time.
+//! Random programs: turns, pauses, sub-agents and time objectives.
 
-/// A small generator of random numbers (splitmix64), so that a seed means the same always.
-pub struct Draws(pub u64);
+/// Seeded random number generator (splitmix64).
+pub struct Rng(pub u64);
 
-impl Draws {
-    fn bits(&mut self) -> u64 {
+impl Rng {
+    fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut bits = self.0;
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -12,65 +12,65 @@
         bits ^ (bits >> 31)
     }
 
-    /// Evenly between 0 and 1.
-    pub fn share(&mut self) -> f64 {
-        (self.bits() >> 11) as f64 / (1u64 << 53) as f64
+    /// Draws from the uniform distribution on [0, 1).
+    pub fn uniform(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Time to the next arrival at a rate, in seconds.
-    pub fn wait_s(&mut self, per_s: f64) -> f64 {
-        -(1.0 - self.share()).ln() / per_s
+    /// Draws the time to the next arrival of a Poisson process, in seconds.
+    pub fn exponential_s(&mut self, rate_per_s: f64) -> f64 {
+        -(1.0 - self.uniform()).ln() / rate_per_s
     }
 
-    /// Log-normal with this mean, cut off at `max`.
-    fn around(&mut self, mean: f64, spread: f64, max: f64) -> f64 {
-        let angle = std::f64::consts::TAU * self.share();
-        let normal = (-2.0 * (1.0 - self.share()).ln()).sqrt() * angle.cos();
+    /// Draws from a log-normal distribution with this mean, truncated at `max`.
+    fn log_normal(&mut self, mean: f64, spread: f64, max: f64) -> f64 {
+        let angle = std::f64::consts::TAU * self.uniform();
+        let normal = (-2.0 * (1.0 - self.uniform()).ln()).sqrt() * angle.cos();
         (mean * (spread * normal - spread * spread / 2.0).exp()).min(max)
     }
 }
 
-/// How the engines of a service work.
+/// Performance model of a service's engines.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineModel {
     pub slots: u32,
     pub memory_tokens: u64,
-    /// Prompt tokens in a step at most.
-    pub chunk: u32,
-    /// Time of a step, alone and for each turn in it, in ms.
+    /// Maximum prompt tokens per step.
+    pub max_step_tokens: u32,
+    /// Duration of a step, fixed and per running turn, in ms.
     pub step_ms: f64,
     pub step_ms_per_turn: f64,
-    /// Prompt tokens that are read in a ms.
-    pub reads_per_ms: f64,
-    /// Engines that the arrivals of the kinds are meant for.
-    pub fleet: f64,
-    /// Speeds of engines, each in turn, against what the times above say.
+    /// Prompt tokens prefilled per ms.
+    pub prefill_tokens_per_ms: f64,
+    /// Number of engines that the arrival rates of the program kinds refer to.
+    pub reference_engines: f64,
+    /// Relative speeds, assigned to the engines in turn.
     pub speeds: &'static [f64],
-    /// Tools that run at a time, for each engine.
+    /// Concurrent tool calls per engine.
     pub tool_slots: f64,
 }
 
-/// Engines with as many places as programs need in a burst of twice the load.
+/// Engines with enough slots for a burst of twice the load.
 pub const ROOMY: EngineModel = EngineModel {
     slots: 8,
     memory_tokens: 74_180,
-    chunk: 1_024,
+    max_step_tokens: 1_024,
     step_ms: 2.53,
     step_ms_per_turn: 0.0595,
-    reads_per_ms: 84.9,
-    fleet: 44.0,
+    prefill_tokens_per_ms: 84.9,
+    reference_engines: 44.0,
     speeds: &[1.0],
     tool_slots: 6.0,
 };
-/// Engines whose places are three quarters taken on a calm day.
+/// Engines with three quarters of their slots taken at normal load.
 pub const CROWDED: EngineModel = EngineModel {
     slots: 6,
     memory_tokens: 46_002,
-    chunk: 4_096,
+    max_step_tokens: 4_096,
     step_ms: 3.13,
     step_ms_per_turn: 0.0179,
-    reads_per_ms: 78.6,
-    fleet: 48.0,
+    prefill_tokens_per_ms: 78.6,
+    reference_engines: 48.0,
     speeds: &[1.0],
     tool_slots: 3.125,
 };
@@ -79,174 +79,180 @@
 pub const UNEVEN: EngineModel = EngineModel {
     slots: 6,
     memory_tokens: 48_759,
-    chunk: 1_024,
+    max_step_tokens: 1_024,
     step_ms: 2.73,
     step_ms_per_turn: 0.00603,
-    reads_per_ms: 77.4,
-    fleet: 44.0,
+    prefill_tokens_per_ms: 77.4,
+    reference_engines: 44.0,
     speeds: &[0.7, 0.7, 1.7],
     tool_slots: 6.0,
 };
 
-/// A kind of program.
+/// Parameters of a kind of program.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgramKind {
     pub priority: u8,
-    pub per_s: f64,
-    pub turns: f64,
-    pub reads: f64,
-    pub think_ms: f64,
-    /// Share of turns after which sub-agents start.
-    pub fan: f64,
-    /// Its time objective, as a multiple of its duration on idle engines.
-    pub aim: f64,
-    /// Added to that, in ms.
-    pub aim_ms: f64,
+    pub arrivals_per_s: f64,
+    pub mean_turns: f64,
+    pub mean_prompt_tokens: f64,
+    pub mean_think_ms: f64,
+    /// Fraction of turns that start sub-agents.
+    pub fan_out: f64,
+    /// Time objective as a multiple of the program's duration on idle engines.
+    pub objective_factor: f64,
+    /// Constant part of the time objective, in ms.
+    pub objective_ms: f64,
 }
 
-/// Many turns, many sub-agents: the urgent kind.
+/// Many turns and many sub-agents, urgent.
 pub const LONG: ProgramKind = ProgramKind {
     priority: 0,
-    per_s: 21.0,
-    turns: 11.0,
-    reads: 327.0,
-    think_ms: 20.0,
-    fan: 0.15,
-    aim: 1.5,
-    aim_ms: 250.0,
+    arrivals_per_s: 21.0,
+    mean_turns: 11.0,
+    mean_prompt_tokens: 327.0,
+    mean_think_ms: 20.0,
+    fan_out: 0.15,
+    objective_factor: 1.5,
+    objective_ms: 250.0,
 };
-/// Few turns, few sub-agents.
+/// Few turns and few sub-agents, less urgent.
 pub const SHORT: ProgramKind = ProgramKind {
     priority: 1,
-    per_s: 43.6,
-    turns: 4.0,
-    reads: 654.0,
-    think_ms: 150.0,
-    fan: 0.05,
-    aim: 1.4,
-    aim_ms: 250.0,
+    arrivals_per_s: 43.6,
+    mean_turns: 4.0,
+    mean_prompt_tokens: 654.0,
+    mean_think_ms: 150.0,
+    fan_out: 0.05,
+    objective_factor: 1.4,
+    objective_ms: 250.0,
 };
 
-/// Few turns and little time: the urgent kind of crowded engines.
+/// Few turns with a tight objective, urgent; for crowded engines.
 pub const DRAFT: ProgramKind = ProgramKind {
     priority: 0,
-    per_s: 53.7,
-    turns: 3.0,
-    reads: 654.0,
-    think_ms: 60.0,
-    fan: 0.05,
-    aim: 1.2,
-    aim_ms: 250.0,
+    arrivals_per_s: 53.7,
+    mean_turns: 3.0,
+    mean_prompt_tokens: 654.0,
+    mean_think_ms: 60.0,
+    fan_out: 0.05,
+    objective_factor: 1.2,
+    objective_ms: 250.0,
 };
-/// Many turns and little time, less urgent.
+/// Many turns with a tight objective, less urgent; for crowded engines.
 pub const CHAT: ProgramKind = ProgramKind {
     priority: 2,
-    per_s: 33.0,
-    turns: 9.0,
-    reads: 327.0,
-    think_ms: 20.0,
-    fan: 0.08,
-    aim: 1.4,
-    aim_ms: 500.0,
+    arrivals_per_s: 33.0,
+    mean_turns: 9.0,
+    mean_prompt_tokens: 327.0,
+    mean_think_ms: 20.0,
+    fan_out: 0.08,
+    objective_factor: 1.4,
+    objective_ms: 500.0,
 };
 
-/// Few turns and little time, less urgent.
+/// Few turns with a tight objective, less urgent; for heterogeneous engines.
 pub const QUESTION: ProgramKind = ProgramKind {
     priority: 1,
-    per_s: 65.7,
-    turns: 3.0,
-    reads: 654.0,
-    think_ms: 60.0,
-    fan: 0.05,
-    aim: 1.3,
-    aim_ms: 250.0,
+    arrivals_per_s: 65.7,
+    mean_turns: 3.0,
+    mean_prompt_tokens: 654.0,
+    mean_think_ms: 60.0,
+    fan_out: 0.05,
+    objective_factor: 1.3,
+    objective_ms: 250.0,
 };
-/// Many turns and little time: the urgent kind of uneven engines.
+/// Many turns with a tight objective, urgent; for heterogeneous engines.
 pub const SESSION: ProgramKind = ProgramKind {
     priority: 0,
-    per_s: 22.8,
-    turns: 9.0,
-    reads: 327.0,
-    think_ms: 20.0,
-    fan: 0.08,
-    aim: 1.4,
-    aim_ms: 250.0,
+    arrivals_per_s: 22.8,
+    mean_turns: 9.0,
+    mean_prompt_tokens: 327.0,
+    mean_think_ms: 20.0,
+    fan_out: 0.08,
+    objective_factor: 1.4,
+    objective_ms: 250.0,
 };
 
-/// Way from the caller to an engine and back, in ms.
-pub const WAY_MS: f64 = 46.0;
-/// Time until an engine begins with a turn, in ms.
-const FIRST_MS: f64 = 11.0;
-/// Tools that a turn may call, as share of turns and mean duration in ms.
+/// Network round trip between caller and engine, in ms.
+pub const ROUND_TRIP_MS: f64 = 46.0;
+/// Delay before an engine starts a turn, in ms.
+const START_DELAY_MS: f64 = 11.0;
+/// Tools: fraction of turns that call each and mean duration in ms.
 const TOOLS: [(f64, f64); 3] = [(0.7, 52.0), (0.4, 208.0), (0.2, 139.0)];
 
-/// One turn with what follows it.
+/// Turn with the tool calls and sub-agents that follow it.
 #[derive(Clone, Debug)]
 pub struct TurnPlan {
-    pub reads: u32,
-    pub generates: u32,
-    /// Pause after its tools until the next turn, in ms.
+    pub prompt_tokens: u32,
+    pub generated_tokens: u32,
+    /// Pause between the end of the tool calls and the next turn, in ms.
     pub think_ms: f64,
-    /// Time that each tool takes that it calls, in ms; they run side by side.
+    /// Durations of the tool calls, which run in parallel, in ms.
     pub tools: Vec<f64>,
-    /// Turns of each sub-agent that starts after it.
+    /// Turns of each sub-agent started after this turn.
     pub agents: Vec<Vec<TurnPlan>>,
 }
 
 impl TurnPlan {
-    fn draw(kind: &ProgramKind, draws: &mut Draws) -> Self {
+    fn draw(kind: &ProgramKind, rng: &mut Rng) -> Self {
         let mut tools = Vec::new();
         for (share, mean) in TOOLS {
-            if draws.share() < share {
-                tools.push(draws.around(mean, 1.0, mean * 5.0));
+            if rng.uniform() < share {
+                tools.push(rng.log_normal(mean, 1.0, mean * 5.0));
             }
         }
-        let reads = draws.around(kind.reads, 0.7, kind.reads * 5.0);
+        let prompt_tokens =
+            rng.log_normal(kind.mean_prompt_tokens, 0.7, kind.mean_prompt_tokens * 5.0);
         Self {
-            reads: reads as u32 + 1,
-            generates: draws.around(73.0, 0.8, 290.0) as u32 + 1,
-            think_ms: draws.around(kind.think_ms, 0.6, kind.think_ms * 4.0),
+            prompt_tokens: prompt_tokens as u32 + 1,
+            generated_tokens: rng.log_normal(73.0, 0.8, 290.0) as u32 + 1,
+            think_ms: rng.log_normal(kind.mean_think_ms, 0.6, kind.mean_think_ms * 4.0),
             tools,
             agents: Vec::new(),
         }
     }
 
     /// Duration on idle engines, in ms.
-    fn alone_ms(&self, engine: &EngineModel) -> f64 {
+    fn idle_ms(&self, engine: &EngineModel) -> f64 {
         let token_ms = engine.step_ms + engine.step_ms_per_turn;
-        let reading_ms = f64::from(self.reads) / engine.reads_per_ms;
-        let turn_ms = f64::from(self.generates) * token_ms + reading_ms;
-        let agents = self.agents.iter().map(|turns| line_ms(turns, engine));
+        let prefill_ms = f64::from(self.prompt_tokens) / engine.prefill_tokens_per_ms;
+        let turn_ms = f64::from(self.generated_tokens) * token_ms + prefill_ms;
+        let agents = self.agents.iter().map(|turns| sequence_ms(turns, engine));
         let tool_ms = self.tools.iter().copied().fold(0.0, f64::max);
-        WAY_MS + FIRST_MS + turn_ms + tool_ms + self.think_ms + agents.fold(0.0, f64::max)
+        ROUND_TRIP_MS
+            + START_DELAY_MS
+            + turn_ms
+            + tool_ms
+            + self.think_ms
+            + agents.fold(0.0, f64::max)
     }
 }
 
-fn line_ms(turns: &[TurnPlan], engine: &EngineModel) -> f64 {
-    turns.iter().map(|turn| turn.alone_ms(engine)).sum()
+fn sequence_ms(turns: &[TurnPlan], engine: &EngineModel) -> f64 {
+    turns.iter().map(|turn| turn.idle_ms(engine)).sum()
 }
 
-/// One program.
+/// Random program.
 #[derive(Clone, Debug)]
 pub struct ProgramPlan {
     pub turns: Vec<TurnPlan>,
-    /// Time until it should be over, in ms.
-    pub aim_ms: f64,
+    /// Time objective, in ms.
+    pub objective_ms: f64,
 }
 
 impl ProgramPlan {
-    pub fn draw(kind: &ProgramKind, engine: &EngineModel, draws: &mut Draws) -> Self {
-        let count = draws.around(kind.turns, 0.4, kind.turns * 2.0).round().max(1.0) as usize;
-        let mut turns: Vec<TurnPlan> = (0..count).map(|_| TurnPlan::draw(kind, draws)).collect();
+    pub fn draw(kind: &ProgramKind, engine: &EngineModel, rng: &mut Rng) -> Self {
+        let count =
+            rng.log_normal(kind.mean_turns, 0.4, kind.mean_turns * 2.0).round().max(1.0) as usize;
+        let mut turns: Vec<TurnPlan> = (0..count).map(|_| TurnPlan::draw(kind, rng)).collect();
         for turn in &mut turns {
-            if draws.share() < kind.fan {
-                let width = draws.around(5.0, 0.3, 10.0).round().max(1.0) as usize;
-                let agent =
-                    |draws: &mut Draws| (0..2).map(|_| TurnPlan::draw(kind, draws)).collect();
-                turn.agents = (0..width).map(|_| agent(draws)).collect();
+            if rng.uniform() < kind.fan_out {
+                let width = rng.log_normal(5.0, 0.3, 10.0).round().max(1.0) as usize;
+                let agent = |rng: &mut Rng| (0..2).map(|_| TurnPlan::draw(kind, rng)).collect();
+                turn.agents = (0..width).map(|_| agent(rng)).collect();
             }
         }
-        let aim_ms = line_ms(&turns, engine) * kind.aim + kind.aim_ms;
-        Self { turns, aim_ms }
+        let objective_ms = sequence_ms(&turns, engine) * kind.objective_factor + kind.objective_ms;
+        Self { turns, objective_ms }
     }
 }
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,18 +1,18 @@
-//! Placement of turns by a process that sees all of them.
+//! Placement of turns: load, prefix caches, regions and failed replicas.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use calicohoist_routing::{Replica, ReplicaState, Topology};
 use calicohoist_scheduler::{
-    FleetView, Placement, PlacementRequest, PlacementWeights, Placer, PrefixIndex, PromptPart,
-    RunLimit, RunSample, TurnRun,
+    ConcurrencyLimit, FleetView, Placement, PlacementRequest, PlacementWeights, Placer,
+    PrefixIndex, PromptPart, RunSample, TurnRun,
 };
 use calicohoist_types::{Region, Zone};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MEMORY: u64 = 100_000;
+const CACHE_TOKENS: u64 = 100_000;
 
 fn part(id: u64, tokens: u32) -> PromptPart {
     PromptPart { id, tokens }
@@ -39,7 +39,7 @@
         service: "llm".to_owned(),
         zone: "z".to_owned(),
         prompt: prompt.to_vec(),
-        memory_tokens: MEMORY,
+        memory_tokens: CACHE_TOKENS,
         left_ms: 4_000,
         finish_ms: None,
         priority: 0,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The replica for a turn, with no limit on how many run there.
+/// Places a turn without a concurrency limit.
 fn place(
     placer: &mut Placer,
     turn: &str,
@@ -57,16 +57,22 @@
     replicas: &[Replica],
     now: Instant,
 ) -> Option<String> {
-    match placer.place(turn, request, &FleetView::of(replicas), RunLimit::Unlimited, now) {
-        Placement::At(replica) => Some(replica),
-        Placement::AtCold(replica) => panic!("{replica} is warm"),
-        Placement::NoRoom => panic!("there is no limit"),
+    match placer.place(
+        turn,
+        request,
+        &FleetView::from_replicas(replicas),
+        ConcurrencyLimit::Unlimited,
+        now,
+    ) {
+        Placement::Warm(replica) => Some(replica),
+        Placement::Cold(replica) => panic!("{replica} is warm"),
+        Placement::NoCapacity => panic!("no capacity without a limit"),
         Placement::NoReplica => None,
     }
 }
 
-/// A run of a prompt whose last part has grown by what was generated.
-fn run(replica: &str, prompt: &[PromptPart], generated: u32) -> TurnRun {
+/// Creates the record of a turn that appended `generated` tokens to the last part of its prompt.
+fn completed_run(replica: &str, prompt: &[PromptPart], generated: u32) -> TurnRun {
     let mut prompt = prompt.to_vec();
     if let Some(last) = prompt.last_mut() {
         last.tokens += generated;
@@ -74,13 +80,13 @@
     TurnRun {
         replica: replica.to_owned(),
         prompt,
-        memory_tokens: MEMORY,
+        memory_tokens: CACHE_TOKENS,
         service: "llm".to_owned(),
         sample: None,
     }
 }
 
-/// Two replicas in the region of the gateway, two in another one.
+/// Two replicas in the gateway's region and two in another one.
 fn two_regions() -> (Topology, Vec<Replica>) {
     let zones = [("z", "here"), ("y", "here"), ("x", "there")];
     let regions = zones.map(|(zone, region)| (Zone::new(zone), Region::new(region)));
@@ -90,106 +96,115 @@
 }
 
 #[test]
-fn turns_stay_in_the_region_while_it_has_room() {
+fn turns_stay_in_the_region_while_it_has_capacity() {
     let (topology, replicas) = two_regions();
-    let view = FleetView { topology: &topology, ..FleetView::of(&replicas) };
+    let view = FleetView { topology: &topology, ..FleetView::from_replicas(&replicas) };
     let mut placer = Placer::new(PlacementWeights::default());
     let now = Instant::now();
     let place = |placer: &mut Placer, turn: u32| {
-        let asked = request(&[part(u64::from(turn), 500)]);
-        placer.place(&turn.to_string(), &asked, &view, RunLimit::Unlimited, now)
+        let request = request(&[part(u64::from(turn), 500)]);
+        placer.place(&turn.to_string(), &request, &view, ConcurrencyLimit::Unlimited, now)
     };
     for turn in 0..4 {
-        let Placement::At(at) = place(&mut placer, turn) else { panic!("no replica") };
+        let Placement::Warm(at) = place(&mut placer, turn) else { panic!("no replica") };
         assert!(at == "r0" || at == "r1", "turn {turn} went to {at}");
     }
-    let far = (4..24).filter(
-        |turn| matches!(place(&mut placer, *turn), Placement::At(at) if at == "r2" || at == "r3"),
+    let remote = (4..24).filter(
+        |turn| matches!(place(&mut placer, *turn), Placement::Warm(at) if at == "r2" || at == "r3"),
     );
-    assert!(far.count() > 0, "a full region is left");
+    assert!(remote.count() > 0, "turns leave a full region");
 }
 
 #[test]
-fn a_history_in_another_region_is_read_anew_when_it_is_short() {
+fn a_short_prompt_cached_in_another_region_is_prefilled_again() {
     let (topology, replicas) = two_regions();
-    let view = FleetView { topology: &topology, ..FleetView::of(&replicas) };
+    let view = FleetView { topology: &topology, ..FleetView::from_replicas(&replicas) };
     let now = Instant::now();
-    for (tokens, stays_far) in [(500, false), (80_000, true)] {
+    for (tokens, stays_remote) in [(500, false), (80_000, true)] {
         let mut placer = Placer::new(PlacementWeights::default());
-        placer.learn(&run("r2", &[part(1, tokens)], 0));
-        let asked = request(&[part(1, tokens), part(2, 100)]);
-        let Placement::At(at) = placer.place("t", &asked, &view, RunLimit::Unlimited, now) else {
+        placer.learn(&completed_run("r2", &[part(1, tokens)], 0));
+        let request = request(&[part(1, tokens), part(2, 100)]);
+        let Placement::Warm(at) =
+            placer.place("t", &request, &view, ConcurrencyLimit::Unlimited, now)
+        else {
             panic!("no replica")
         };
-        assert_eq!(at == "r2", stays_far, "{tokens} tokens went to {at}");
+        assert_eq!(at == "r2", stays_remote, "{tokens} tokens went to {at}");
     }
 }
 
 #[test]
-fn turns_that_share_nothing_are_spread_evenly() {
+fn unrelated_turns_are_balanced_evenly() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(4);
     let now = Instant::now();
     for turn in 0..16 {
         let prompt = [part(1_000 + turn, 900)];
         place(&mut placer, &format!("t{turn}"), &request(&prompt), &replicas, now)
-            .expect("a place");
+            .expect("a placement");
     }
     let loads: Vec<u32> = replicas.iter().map(|replica| placer.load(&replica.id)).collect();
     assert_eq!(loads, [4, 4, 4, 4]);
 }
 
 #[test]
-fn the_next_turn_goes_where_its_history_is_held() {
+fn the_next_turn_goes_where_its_prompt_is_cached() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(4);
     let now = Instant::now();
     let first = place(&mut placer, "a", &request(&[part(1, 500), part(2, 700)]), &replicas, now);
     placer.end("a", first.as_deref(), now);
-    let home = first.as_deref().expect("a place");
-    placer.learn(&run(home, &[part(1, 500), part(2, 700)], 80));
+    let first_replica = first.as_deref().expect("a placement");
+    placer.learn(&completed_run(first_replica, &[part(1, 500), part(2, 700)], 80));
     let other = place(&mut placer, "x", &request(&[part(9, 700)]), &replicas, now);
-    assert_ne!(first, other, "a replica that holds nothing is as good for another prompt");
+    assert_ne!(first, other, "an unrelated prompt goes to the replica with the emptier cache");
     placer.end("x", other.as_deref(), now);
     let second = place(&mut placer, "b", &request(&[part(1, 500), part(2, 1_400)]), &replicas, now);
     assert_eq!(first, second);
 }
 
 #[test]
-fn where_a_turn_ran_counts_not_where_it_was_placed() {
+fn the_cache_follows_where_a_turn_ran() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(3);
     let now = Instant::now();
     let prompt = [part(2, 3_000)];
-    let placed = place(&mut placer, "a", &request(&prompt), &replicas, now).expect("a place");
-    let ran_at = replicas.iter().find(|replica| replica.id != placed).expect("another");
+    let placed = place(&mut placer, "a", &request(&prompt), &replicas, now).expect("a placement");
+    let ran_at = replicas.iter().find(|replica| replica.id != placed).expect("another replica");
     placer.end("a", Some(&ran_at.id), now);
-    placer.learn(&run(&ran_at.id, &prompt, 100));
+    placer.learn(&completed_run(&ran_at.id, &prompt, 100));
     let grown = [part(2, 3_300)];
-    // Both are believed to hold it: the one that was to read it may have begun to.
-    let next = place(&mut placer, "b", &request(&grown), &replicas, now).expect("a place");
-    assert!(next == ran_at.id, "only {} holds the output, not {next}", ran_at.id);
+    // Both replicas are believed to have cached the prompt, since the placement is recorded at
+    // once.
+    let next = place(&mut placer, "b", &request(&grown), &replicas, now).expect("a placement");
+    assert!(next == ran_at.id, "only {} has cached the output, not {next}", ran_at.id);
 }
 
 #[test]
-fn a_full_home_is_left() {
+fn a_full_replica_is_avoided_despite_its_cache() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(2);
     let now = Instant::now();
     let shared = part(1, 4_000);
-    let mut homes = Vec::new();
+    let mut placements = Vec::new();
     for turn in 0..12 {
         let prompt = [shared, part(100 + turn, 50)];
-        // A memory of this size has no room for parts that are held elsewhere.
+        // A cache of this size has no free capacity for replicated parts.
         let request = PlacementRequest { memory_tokens: 4_800, ..request(&prompt) };
-        homes.push(place(&mut placer, &format!("t{turn}"), &request, &replicas, now));
+        placements.push(place(&mut placer, &format!("t{turn}"), &request, &replicas, now));
     }
-    assert!(homes[..3].iter().all(|home| *home == homes[0]), "the prompt is held there");
-    assert!(homes.iter().any(|home| *home != homes[0]), "twelve do not fit into four slots");
+    assert!(
+        placements[..3].iter().all(|placement| *placement == placements[0]),
+        "the prompt is cached there"
+    );
+    assert!(
+        placements.iter().any(|placement| *placement != placements[0]),
+        "twelve turns exceed the slots of one replica"
+    );
 }
 
 #[test]
-fn shared_parts_are_spread_while_replicas_are_calm() {
+fn shared_parts_are_replicated_at_low_load() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(3);
     let now = Instant::now();
@@ -197,10 +212,10 @@
     for turn in 0..3 {
         let prompt = [shared, part(100 + turn, 50)];
         let name = format!("t{turn}");
-        let home = place(&mut placer, &name, &request(&prompt), &replicas, now);
-        placer.end(&name, home.as_deref(), now);
+        let first_replica = place(&mut placer, &name, &request(&prompt), &replicas, now);
+        placer.end(&name, first_replica.as_deref(), now);
     }
-    // Each of them has read it, so that a burst finds it everywhere.
+    // All replicas have cached the shared part, so a burst is spread over them.
     for number in 0..9 {
         let prompt = [shared, part(200 + number, 50)];
         place(&mut placer, &format!("b{number}"), &request(&prompt), &replicas, now);
@@ -210,7 +225,7 @@
 }
 
 #[test]
-fn shared_parts_stay_where_they_are_held_while_replicas_are_busy() {
+fn shared_parts_are_not_replicated_to_busy_replicas() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(2);
     let now = Instant::now();
@@ -218,13 +233,14 @@
         let busy = [part(300 + turn, 10)];
         place(&mut placer, &format!("busy{turn}"), &request(&busy), &replicas, now);
     }
-    let home = place(&mut placer, "a", &request(&[part(1, 2_000), part(5, 50)]), &replicas, now);
+    let first_replica =
+        place(&mut placer, "a", &request(&[part(1, 2_000), part(5, 50)]), &replicas, now);
     let next = place(&mut placer, "b", &request(&[part(1, 2_000), part(6, 50)]), &replicas, now);
-    assert_eq!(home, next, "reading it once more would disturb those that run there");
+    assert_eq!(first_replica, next, "another prefill would delay the running turns");
 }
 
-/// Where turns go that share a prompt, at engines that need `token_ms` for a token alone.
-fn homes_at_engines_of(token_ms: f64) -> Vec<Option<String>> {
+/// Returns the placements of turns that share a prompt, on engines with this time per token.
+fn placements_for_token_time(token_ms: f64) -> Vec<Option<String>> {
     const GENERATED: u32 = 80;
     let time_ms = (token_ms * f64::from(GENERATED)) as u32;
     let mut placer = Placer::new(PlacementWeights::default());
@@ -232,7 +248,7 @@
     let now = Instant::now();
     for _ in 0..100 {
         let sample = Some(RunSample { generated: GENERATED, time_ms });
-        placer.learn(&TurnRun { sample, ..run("r0", &[], 0) });
+        placer.learn(&TurnRun { sample, ..completed_run("r0", &[], 0) });
     }
     let placed = (0..20).map(|turn| {
         let prompt = [part(1, 6_000), part(100 + turn, 400)];
@@ -243,68 +259,83 @@
 }
 
 #[test]
-fn turns_go_to_the_same_replicas_however_fast_engines_are() {
-    let homes = homes_at_engines_of(1.0);
-    assert!(homes[0] == homes[1], "the prompt is held there");
-    assert!(homes.iter().any(|home| *home != homes[0]), "twenty are too many for one");
+fn placement_does_not_depend_on_engine_speed() {
+    let placements = placements_for_token_time(1.0);
+    assert!(placements[0] == placements[1], "the prompt is cached there");
+    assert!(
+        placements.iter().any(|placement| *placement != placements[0]),
+        "twenty turns exceed the slots of one replica"
+    );
     for token_ms in [0.25, 0.5, 4.0, 20.0] {
-        assert_eq!(homes_at_engines_of(token_ms), homes, "{token_ms} ms a token");
+        assert_eq!(placements_for_token_time(token_ms), placements, "{token_ms} ms per token");
     }
 }
 
 #[test]
-fn a_limit_holds_turns_back_until_one_ends() {
+fn the_concurrency_limit_holds_until_a_turn_ends() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(1);
     let now = Instant::now();
     let place_new = |placer: &mut Placer, turn: &str, limit| {
-        placer.place(turn, &request(&[part(1, 10)]), &FleetView::of(&replicas), limit, now)
+        placer.place(
+            turn,
+            &request(&[part(1, 10)]),
+            &FleetView::from_replicas(&replicas),
+            limit,
+            now,
+        )
     };
-    let at_home = Placement::At("r0".to_owned());
-    // While nothing is learned, as many as there are slots.
+    let placed = Placement::Warm("r0".to_owned());
+    // Without a speed estimate the limit is the number of slots.
     for turn in ["a", "b", "c", "d"] {
-        assert_eq!(place_new(&mut placer, turn, RunLimit::Slowdown(2.0)), at_home);
+        assert_eq!(place_new(&mut placer, turn, ConcurrencyLimit::MaxSlowdown(2.0)), placed);
     }
-    assert_eq!(place_new(&mut placer, "e", RunLimit::Slowdown(2.0)), Placement::NoRoom);
-    assert_eq!(place_new(&mut placer, "f", RunLimit::Unlimited), at_home);
+    assert_eq!(
+        place_new(&mut placer, "e", ConcurrencyLimit::MaxSlowdown(2.0)),
+        Placement::NoCapacity
+    );
+    assert_eq!(place_new(&mut placer, "f", ConcurrencyLimit::Unlimited), placed);
     placer.end("a", Some("r0"), now);
-    assert_eq!(place_new(&mut placer, "e", RunLimit::Slowdown(2.0)), Placement::NoRoom);
+    assert_eq!(
+        place_new(&mut placer, "e", ConcurrencyLimit::MaxSlowdown(2.0)),
+        Placement::NoCapacity
+    );
     placer.end("b", Some("r0"), now);
-    assert_eq!(place_new(&mut placer, "e", RunLimit::Slowdown(2.0)), at_home);
+    assert_eq!(place_new(&mut placer, "e", ConcurrencyLimit::MaxSlowdown(2.0)), placed);
 }
 
 #[test]
-fn a_new_leader_counts_what_it_did_not_place() {
+fn a_new_leader_counts_inherited_turns() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(2);
     let now = Instant::now();
     place(&mut placer, "old", &request(&[part(1, 10)]), &replicas, now);
     placer.begin_term(now);
     assert_eq!(placer.load("r0") + placer.load("r1"), 0);
-    let lasting = Duration::from_millis(1_500);
-    placer.inherit(&[("r0".to_owned(), 2)], now, lasting);
-    placer.inherit(&[("r0".to_owned(), 1), ("r1".to_owned(), 1)], now, lasting);
+    let ttl = Duration::from_millis(1_500);
+    placer.inherit(&[("r0".to_owned(), 2)], now, ttl);
+    placer.inherit(&[("r0".to_owned(), 1), ("r1".to_owned(), 1)], now, ttl);
     assert_eq!((placer.load("r0"), placer.load("r1")), (3, 1));
     placer.end("old", Some("r0"), now);
-    assert_eq!(placer.load("r0"), 2, "one of them has ended");
-    let later = now + lasting;
+    assert_eq!(placer.load("r0"), 2, "one inherited turn has ended");
+    let later = now + ttl;
     place(&mut placer, "n", &request(&[]), &replicas, later);
-    assert_eq!(placer.load("r0") + placer.load("r1"), 1, "nobody told of the others' ends");
+    assert_eq!(placer.load("r0") + placer.load("r1"), 1, "inherited turns have expired");
 }
 
 #[test]
-fn a_turn_that_is_asked_for_again_stays_and_counts_once() {
+fn a_repeated_request_keeps_its_placement() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(3);
     let now = Instant::now();
     let first = place(&mut placer, "a", &request(&[part(1, 10)]), &replicas, now);
     let again = place(&mut placer, "a", &request(&[part(1, 10)]), &replicas, now);
     assert_eq!(first, again);
-    assert_eq!(placer.load(&first.expect("a place")), 1);
+    assert_eq!(placer.load(&first.expect("a placement")), 1);
 }
 
 #[test]
-fn a_turn_whose_end_nobody_tells_stops_counting() {
+fn a_turn_without_a_reported_end_expires() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(1);
     let now = Instant::now();
@@ -312,23 +343,23 @@
     place(&mut placer, "b", &request(&[]), &replicas, now + Duration::from_secs(3));
     assert_eq!(placer.load("r0"), 2);
     place(&mut placer, "c", &request(&[]), &replicas, now + Duration::from_secs(5));
-    assert_eq!(placer.load("r0"), 2, "the first has run out of time");
+    assert_eq!(placer.load("r0"), 2, "the first turn has expired");
 }
 
 #[test]
-fn a_replica_that_ends_nothing_any_more_gets_no_further_turns() {
+fn a_stalled_replica_gets_no_more_turns() {
     let mut placer = Placer::new(PlacementWeights::default());
     let replicas = fleet(2);
     let mut now = Instant::now();
-    let silent =
-        place(&mut placer, "s", &request(&[part(1, 900)]), &replicas, now).expect("a place");
-    // The other one works; the silent one would be the cheaper of the two.
+    let stalled =
+        place(&mut placer, "s", &request(&[part(1, 900)]), &replicas, now).expect("a placement");
+    // The other replica completes turns; the stalled one has the prompt cached and is cheaper.
     for turn in 0..3 {
         let name = format!("o{turn}");
         place(&mut placer, &name, &request(&[part(100 + turn, 900)]), &replicas, now);
     }
     now += Duration::from_millis(900);
-    let other = replicas.iter().find(|replica| replica.id != silent).expect("another");
+    let other = replicas.iter().find(|replica| replica.id != stalled).expect("another replica");
     for turn in ["o0", "o1", "o2"] {
         placer.end(turn, Some(&other.id), now);
     }
@@ -336,41 +367,41 @@
     let next = place(&mut placer, "n", &request(&grown), &replicas, now);
     assert_eq!(next.as_deref(), Some(other.id.as_str()));
     placer.end("n", Some(&other.id), now);
-    // Its caller gives up: the replica stays suspected for a while, though it is idle now.
+    // The caller gives up: the replica stays suspected for a while although it is idle.
     placer.end("s", None, now);
     let later = place(&mut placer, "l", &request(&[part(8, 10)]), &replicas, now);
     assert_eq!(later.as_deref(), Some(other.id.as_str()));
     now += Duration::from_secs(3);
     let back = place(&mut placer, "b", &request(&[part(9, 10)]), &replicas, now);
-    assert_eq!(back.as_deref(), Some(silent.as_str()), "the other one has a turn under way");
+    assert_eq!(back.as_deref(), Some(stalled.as_str()), "the other replica has a turn under way");
 }
 
 #[test]
-fn nobody_is_placed_on_a_replica_that_leaves() {
+fn a_draining_replica_gets_no_turns() {
     let mut placer = Placer::new(PlacementWeights::default());
     let mut replicas = fleet(2);
     let now = Instant::now();
-    let home =
-        place(&mut placer, "a", &request(&[part(1, 5_000)]), &replicas, now).expect("a place");
-    placer.end("a", Some(&home), now);
+    let first_replica =
+        place(&mut placer, "a", &request(&[part(1, 5_000)]), &replicas, now).expect("a placement");
+    placer.end("a", Some(&first_replica), now);
     for replica in &mut replicas {
-        if replica.id == home {
+        if replica.id == first_replica {
             replica.state = ReplicaState::Draining;
         }
     }
     let next = place(&mut placer, "b", &request(&[part(1, 5_000)]), &replicas, now);
-    assert_ne!(next.as_deref(), Some(home.as_str()));
+    assert_ne!(next.as_deref(), Some(first_replica.as_str()));
     replicas.iter_mut().for_each(|replica| replica.state = ReplicaState::Draining);
     assert_eq!(place(&mut placer, "c", &request(&[]), &replicas, now), None);
 }
 
 #[test]
-fn a_prompt_is_held_only_up_to_the_first_part_that_is_missing() {
+fn a_cached_prompt_ends_at_the_first_missing_part() {
     let mut index = PrefixIndex::default();
-    index.note("r", &[part(1, 100), part(2, 50)], MEMORY);
-    assert_eq!(index.unread("r", &[part(1, 100), part(2, 80)]), 30);
-    assert_eq!(index.unread("r", &[part(1, 100), part(3, 10), part(2, 50)]), 60);
-    assert_eq!(index.unread("other", &[part(1, 100)]), 100);
+    index.record("r", &[part(1, 100), part(2, 50)], CACHE_TOKENS);
+    assert_eq!(index.uncached("r", &[part(1, 100), part(2, 80)]), 30);
+    assert_eq!(index.uncached("r", &[part(1, 100), part(3, 10), part(2, 50)]), 60);
+    assert_eq!(index.uncached("other", &[part(1, 100)]), 100);
 }
 
 proptest! {
@@ -380,29 +411,29 @@
         ..ProptestConfig::default()
     })]
 
-    /// What was used last is held, whatever came before, and never more than fits.
+    /// The most recent part stays cached, and the cache never exceeds its capacity.
     #[test]
-    fn the_oldest_parts_give_way(sizes in proptest::collection::vec(1u32..400, 1..60)) {
+    fn least_recently_used_parts_are_evicted(sizes in proptest::collection::vec(1u32..400, 1..60)) {
         let capacity = 1_000;
         let mut index = PrefixIndex::default();
         for (number, tokens) in sizes.iter().enumerate() {
-            index.note("r", &[part(number as u64, *tokens)], capacity);
+            index.record("r", &[part(number as u64, *tokens)], capacity);
         }
         let last = sizes.len() as u64 - 1;
-        prop_assert_eq!(index.unread("r", &[part(last, sizes[last as usize])]), 0);
-        let held: u64 = sizes
+        prop_assert_eq!(index.uncached("r", &[part(last, sizes[last as usize])]), 0);
+        let cached: u64 = sizes
             .iter()
             .enumerate()
             .map(|(number, tokens)| {
-                u64::from(*tokens) - index.unread("r", &[part(number as u64, *tokens)])
+                u64::from(*tokens) - index.uncached("r", &[part(number as u64, *tokens)])
             })
             .sum();
-        prop_assert!(held <= capacity);
+        prop_assert!(cached <= capacity);
     }
 
-    /// The loads are those of the turns that were placed and have not ended.
+    /// Loads equal the number of turns that were placed and have not ended.
     #[test]
-    fn loads_add_up(steps in proptest::collection::vec((0u8..20, any::<bool>()), 1..200)) {
+    fn loads_match_the_turns_under_way(steps in proptest::collection::vec((0u8..20, any::<bool>()), 1..200)) {
         let mut placer = Placer::new(PlacementWeights::default());
         let replicas = fleet(3);
         let now = Instant::now();
@@ -422,9 +453,9 @@
     }
 }
 
-/// A new connection costs less than reading a prompt again, and more than nothing.
+/// A new connection costs something, but less than prefilling a cached prompt again.
 #[test]
-fn a_kept_connection_decides_between_replicas_that_are_alike() {
+fn an_idle_connection_breaks_ties() {
     let replicas = fleet(6);
     let now = Instant::now();
     let mut placer = Placer::default();
@@ -435,33 +466,37 @@
     assert_eq!(place(&mut placer, "t2", &next, &replicas, now).as_deref(), Some("r4"));
 }
 
-fn run_of(replica: &str, token_ms: u32) -> TurnRun {
+fn sampled_run(replica: &str, token_ms: u32) -> TurnRun {
     TurnRun {
         replica: replica.to_owned(),
         prompt: Vec::new(),
-        memory_tokens: MEMORY,
+        memory_tokens: CACHE_TOKENS,
         service: "llm".to_owned(),
         sample: Some(RunSample { generated: 100, time_ms: 100 * token_ms }),
     }
 }
 
-/// Engines of two builds: the fast one is filled first, and left when a turn would wait there for
-/// longer than the slow one takes.
+/// With engines of two speeds, the fast one is filled first. The slow one is used once waiting
+/// for the fast one would take longer.
 #[test]
 fn a_fast_engine_gets_turns_until_waiting_there_takes_longer() {
     let replicas = fleet(2);
     let mut placer = Placer::default();
     let now = Instant::now();
     for _ in 0..100 {
-        placer.learn(&run_of("r0", 2));
-        placer.learn(&run_of("r1", 6));
+        placer.learn(&sampled_run("r0", 2));
+        placer.learn(&sampled_run("r1", 6));
     }
     let mut counts = BTreeMap::new();
     for turn in 0..14 {
         let chosen = place(&mut placer, &format!("t{turn}"), &request(&[]), &replicas, now);
-        *counts.entry(chosen.expect("one")).or_insert(0) += 1;
+        *counts.entry(chosen.expect("a placement")).or_insert(0) += 1;
         if turn == 3 {
-            assert_eq!(counts, BTreeMap::from([("r0".to_owned(), 4)]), "its slots first");
+            assert_eq!(
+                counts,
+                BTreeMap::from([("r0".to_owned(), 4)]),
+                "the fast engine's slots are filled first"
+            );
         }
     }
     assert!(counts["r0"] > counts["r1"], "{counts:?}");
@@ -476,21 +511,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Engines of one build differ by what they happened to run. Their turns are placed as if only
-    /// the service's speed were known.
+    /// Turns on engines of the same build, whose measured times differ slightly, are placed as if
+    /// only the speed of the service were known.
     #[test]
-    fn equal_engines_are_placed_as_if_nothing_were_learned_of_each(
+    fn small_speed_differences_do_not_affect_placement(
         token_us in prop::collection::vec(2_800..3_400u32, 4),
         turns in prop::collection::vec((0..40u64, 0..2_000u32, any::<bool>()), 1..60),
     ) {
         let replicas = fleet(4);
-        let (mut told_apart, mut taken_alike) = (Placer::default(), Placer::default());
+        let (mut per_replica, mut per_service) = (Placer::default(), Placer::default());
         for _ in 0..60 {
             for (number, token_us) in token_us.iter().enumerate() {
                 let sample = RunSample { generated: 1_000, time_ms: *token_us };
-                let run = TurnRun { sample: Some(sample), ..run_of(&format!("r{number}"), 1) };
-                told_apart.learn(&run);
-                taken_alike.learn(&TurnRun { replica: "elsewhere".to_owned(), ..run });
+                let run = TurnRun { sample: Some(sample), ..sampled_run(&format!("r{number}"), 1) };
+                per_replica.learn(&run);
+                per_service.learn(&TurnRun { replica: "elsewhere".to_owned(), ..run });
             }
         }
         let mut now = Instant::now();
@@ -498,12 +533,12 @@
             now += Duration::from_millis(7);
             let turn = format!("t{number}");
             let request = request(&[part(id, tokens)]);
-            let apart = place(&mut told_apart, &turn, &request, &replicas, now);
-            let alike = place(&mut taken_alike, &turn, &request, &replicas, now);
-            prop_assert_eq!(&apart, &alike);
+            let by_replica = place(&mut per_replica, &turn, &request, &replicas, now);
+            let by_service = place(&mut per_service, &turn, &request, &replicas, now);
+            prop_assert_eq!(&by_replica, &by_service);
             if ends {
-                told_apart.end(&turn, apart.as_deref(), now);
-                taken_alike.end(&turn, alike.as_deref(), now);
+                per_replica.end(&turn, by_replica.as_deref(), now);
+                per_service.end(&turn, by_service.as_deref(), now);
             }
         }
     }
--- a/crates/scheduler/tests/retry.rs
+++ b/crates/scheduler/tests/retry.rs
@@ -1,4 +1,4 @@
-//! When callers that are turned away come back.
+//! Retry delays and queue timeouts of refused callers.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use proptest::prelude::*;
 
 #[test]
-fn callers_come_back_over_half_the_time_again() {
-    let after = Duration::from_millis(300);
-    assert_eq!(spread_retry(after, 0), after);
-    assert_eq!(spread_retry(after, u64::MAX), Duration::from_millis(450));
+fn retry_delays_have_up_to_half_jitter() {
+    let delay = Duration::from_millis(300);
+    assert_eq!(spread_retry(delay, 0), delay);
+    assert_eq!(spread_retry(delay, u64::MAX), Duration::from_millis(450));
     assert_eq!(spread_retry(Duration::ZERO, 77), Duration::ZERO);
 }
 
 #[test]
-fn a_request_that_nobody_runs_is_turned_away_in_time_for_another_try() {
+fn the_queue_timeout_leaves_time_for_a_retry() {
     let second = Duration::from_secs(1);
     assert_eq!(untried_wait(Duration::from_secs(60), second), second);
     for left_ms in [10, 300, 1_500] {
         let left = Duration::from_millis(left_ms);
-        let waited = untried_wait(left, second);
-        assert!(waited < left - waited, "{waited:?} of {left:?}");
+        let timeout = untried_wait(left, second);
+        assert!(timeout < left - timeout, "{timeout:?} of {left:?}");
     }
 }
 
 proptest! {
     #[test]
-    fn nobody_comes_back_early_or_much_later(after_ms in 0u64..10_000, hash: u64) {
-        let after = Duration::from_millis(after_ms);
-        let own = spread_retry(after, hash);
-        prop_assert!(own >= after && own <= after.mul_f64(1.5));
-        prop_assert_eq!(own, spread_retry(after, hash));
+    fn jitter_is_bounded_and_deterministic(delay_ms in 0u64..10_000, hash: u64) {
+        let delay = Duration::from_millis(delay_ms);
+        let jittered = spread_retry(delay, hash);
+        prop_assert!(jittered >= delay && jittered <= delay.mul_f64(1.5));
+        prop_assert_eq!(jittered, spread_retry(delay, hash));
     }
 }
