--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -21,19 +21,19 @@
 pub mod admission;
 pub mod cold;
 pub mod cost;
-pub mod failures;
+pub mod outliers;
 pub mod ownership;
-pub mod pace;
 pub mod placement;
 pub mod prefix;
 pub mod queue;
+pub mod relative_speed;
 pub mod retry;
 pub mod speed;
 
 pub use admission::{Decision, TurnScheduler};
 pub use cold::{ColdAdmission, ColdLimiter};
 pub use cost::{CostInputs, CostWeights, choose, cost_millis};
-pub use failures::FailureBoard;
+pub use outliers::FailureBoard;
 pub use ownership::owner_of;
 pub use placement::{
     ConcurrencyLimit, FleetView, Placement, PlacementRequest, PlacementWeights, Placer, TurnRun,
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cold::{COLD_PENALTY, ColdAdmission, ColdLimiter};
-use crate::pace::{RelativeSpeed, RelativeSpeedTracker};
 use crate::prefix::{PrefixCache, PrefixIndex, PromptPart, UncachedTokens};
+use crate::relative_speed::{RelativeSpeed, RelativeSpeedTracker};
 use crate::speed::{EngineSpeed, RunSample};
 
 /// Time without a completed turn after which a replica with turns under way is suspected to have
--- a/crates/scheduler/tests/overload/main.rs
+++ b/crates/scheduler/tests/overload/main.rs
@@ -1,11 +1,11 @@
 //! Goodput of the scheduler under overload, in simulated time.
 
 mod load;
-mod replay;
+mod simulation;
 
 use calicohoist_scheduler::TurnScheduler;
 use load::{CHAT, CROWDED, DRAFT, LONG, ProgramKind, QUESTION, ROOMY, SESSION, SHORT, UNEVEN};
-use replay::{Burst, ProgramEnd, ProgramOutcome, Scenario, Simulation};
+use simulation::{Burst, ProgramEnd, ProgramOutcome, Scenario, Simulation};
 
 /// Seeds over which outcomes are aggregated.
 const SEEDS: [u64; 8] = [7, 8, 9, 10, 11, 12, 13, 14];
--- a/crates/scheduler/tests/pace.rs
+++ b/crates/scheduler/tests/relative_speed.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_scheduler::RunSample;
-use calicohoist_scheduler::pace::{RelativeSpeed, RelativeSpeedTracker};
+use calicohoist_scheduler::relative_speed::{RelativeSpeed, RelativeSpeedTracker};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
