--- a/crates/ledger/src/server/failures.rs
+++ b/crates/ledger/src/server/failures.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_routing::Replica;
-use calicohoist_scheduler::FailureBoard;
+use calicohoist_scheduler::OutlierDetector;
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
@@ -19,7 +19,7 @@
 #[derive(Default)]
 struct DeskState {
     term: u64,
-    board: FailureBoard,
+    board: OutlierDetector,
 }
 
 impl Default for FailureDesk {
@@ -36,7 +36,7 @@
             *state = DeskState { term, ..DeskState::default() };
         }
         state.board.retain(replicas);
-        let rest = state.board.note(replica, replicas, Instant::now())?;
+        let rest = state.board.record_failure(replica, replicas, Instant::now())?;
         self.mark.send_modify(|mark| *mark = mark.next(term));
         Some(rest)
     }
@@ -53,7 +53,7 @@
         if mark == seen {
             return None;
         }
-        let resting = self.state.lock().board.resting(Instant::now());
+        let resting = self.state.lock().board.ejected(Instant::now());
         let in_ms = |left: Duration| u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
         Some((mark, resting.into_iter().map(|(id, left)| (id, in_ms(left))).collect()))
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -33,7 +33,7 @@
 pub use admission::{Decision, TurnScheduler};
 pub use cold::{ColdAdmission, ColdLimiter};
 pub use cost::{CostInputs, CostWeights, choose, cost_millis};
-pub use outliers::FailureBoard;
+pub use outliers::OutlierDetector;
 pub use ownership::owner_of;
 pub use placement::{
     ConcurrencyLimit, FleetView, Placement, PlacementRequest, PlacementWeights, Placer, TurnRun,
--- a/crates/scheduler/src/outliers.rs
+++ b/crates/scheduler/src/outliers.rs
@@ -49,14 +49,19 @@
 
 /// Counts failures by replica and ejects outliers.
 #[derive(Clone, Debug, Default)]
-pub struct FailureBoard {
+pub struct OutlierDetector {
     records: HashMap<String, FailureRecord>,
 }
 
-impl FailureBoard {
+impl OutlierDetector {
     /// Records a request that replica `failed` did not answer. Returns the duration of the
     /// ejection if one starts now.
-    pub fn note(&mut self, failed: &str, replicas: &[Replica], now: Instant) -> Option<Duration> {
+    pub fn record_failure(
+        &mut self,
+        failed: &str,
+        replicas: &[Replica],
+        now: Instant,
+    ) -> Option<Duration> {
         let service = &replicas.iter().find(|replica| replica.id == failed)?.service;
         let peers = || replicas.iter().filter(|replica| replica.service == *service);
         let ejected = peers().filter(|peer| self.is_ejected(&peer.id, now)).count();
@@ -79,7 +84,7 @@
     }
 
     /// Returns the ejected replicas, each with the remaining time.
-    pub fn resting(&self, now: Instant) -> Vec<(String, Duration)> {
+    pub fn ejected(&self, now: Instant) -> Vec<(String, Duration)> {
         let ejected = self.records.iter().filter(|(_, record)| record.is_ejected(now));
         let left = |record: &FailureRecord| record.ejection.map(|(until, _)| until - now);
         ejected.filter_map(|(id, record)| Some((id.clone(), left(record)?))).collect()
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_routing::{Replica, ReplicaState};
-use calicohoist_scheduler::FailureBoard;
+use calicohoist_scheduler::OutlierDetector;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -24,33 +24,38 @@
 }
 
 /// Records failures of one replica at the times `at`; returns the ejections that started.
-fn ejections(board: &mut FailureBoard, id: &str, start: Instant, at: &[u64]) -> Vec<Duration> {
+fn ejections(
+    detector: &mut OutlierDetector,
+    id: &str,
+    start: Instant,
+    at: &[u64],
+) -> Vec<Duration> {
     let listed = replicas(10);
-    at.iter().filter_map(|at| board.note(id, &listed, start + ms(*at))).collect()
+    at.iter().filter_map(|at| detector.record_failure(id, &listed, start + ms(*at))).collect()
 }
 
 #[test]
 fn repeated_failures_eject_a_replica_for_increasing_times() {
-    let mut board = FailureBoard::default();
+    let mut detector = OutlierDetector::default();
     let start = Instant::now();
-    assert_eq!(ejections(&mut board, "i-1", start, &[0, 100, 200]), [ms(1_000)]);
-    assert_eq!(board.resting(start + ms(500)), [("i-1".to_owned(), ms(700))]);
+    assert_eq!(ejections(&mut detector, "i-1", start, &[0, 100, 200]), [ms(1_000)]);
+    assert_eq!(detector.ejected(start + ms(500)), [("i-1".to_owned(), ms(700))]);
     // Failures of requests that were in flight do not extend the ejection.
-    assert!(ejections(&mut board, "i-1", start, &[300, 400, 500, 600]).is_empty());
-    assert!(board.resting(start + ms(1_200)).is_empty());
-    assert_eq!(ejections(&mut board, "i-1", start, &[1_300, 1_301, 1_302]), [ms(2_000)]);
-    assert_eq!(ejections(&mut board, "i-1", start, &[3_400, 3_401, 3_402]), [ms(4_000)]);
+    assert!(ejections(&mut detector, "i-1", start, &[300, 400, 500, 600]).is_empty());
+    assert!(detector.ejected(start + ms(1_200)).is_empty());
+    assert_eq!(ejections(&mut detector, "i-1", start, &[1_300, 1_301, 1_302]), [ms(2_000)]);
+    assert_eq!(ejections(&mut detector, "i-1", start, &[3_400, 3_401, 3_402]), [ms(4_000)]);
     // After a long time without an ejection the duration is reset.
-    assert_eq!(ejections(&mut board, "i-1", start, &[30_000, 30_001, 30_002]), [ms(1_000)]);
+    assert_eq!(ejections(&mut detector, "i-1", start, &[30_000, 30_001, 30_002]), [ms(1_000)]);
 }
 
 #[test]
 fn rare_failures_and_unknown_replicas_are_ignored() {
-    let mut board = FailureBoard::default();
+    let mut detector = OutlierDetector::default();
     let start = Instant::now();
     let rare: Vec<u64> = (0..50).map(|number| number * 160).collect();
-    assert!(ejections(&mut board, "i-1", start, &rare).is_empty());
-    assert!(ejections(&mut board, "i-99", start, &[0, 1, 2, 3]).is_empty());
+    assert!(ejections(&mut detector, "i-1", start, &rare).is_empty());
+    assert!(ejections(&mut detector, "i-99", start, &[0, 1, 2, 3]).is_empty());
 }
 
 proptest! {
@@ -67,13 +72,13 @@
         failures in proptest::collection::vec((0_usize..40, 0_u64..200), 0..400),
     ) {
         let listed = replicas(count);
-        let mut board = FailureBoard::default();
+        let mut detector = OutlierDetector::default();
         let mut now = Instant::now();
         for (replica, pause) in failures {
             now += ms(pause);
-            let ejection = board.note(&format!("i-{replica}"), &listed, now);
+            let ejection = detector.record_failure(&format!("i-{replica}"), &listed, now);
             prop_assert!(ejection.unwrap_or_default() <= ms(8_000));
-            prop_assert!(board.resting(now).len() * 3 <= count);
+            prop_assert!(detector.ejected(now).len() * 3 <= count);
         }
     }
 }
