--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -106,7 +106,7 @@
         let waiting = load.map_or(0, |load| load.waiting);
         CostInputs {
             prompt_tokens,
-            held_tokens: held.map_or(0, |(_, tokens)| *tokens),
+            cached_tokens: held.map_or(0, |(_, tokens)| *tokens),
             running: running.max(own),
             waiting,
             slots: spec.slots,
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -32,7 +32,7 @@
     let inputs: Vec<CostInputs> = (0..engines)
         .map(|_| CostInputs {
             prompt_tokens: 4_000,
-            held_tokens: random.random_range(0..4_000),
+            cached_tokens: random.random_range(0..4_000),
             running: random.random_range(0..12),
             waiting: random.random_range(0..4),
             slots: 8,
--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -23,7 +23,7 @@
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
     /// Prompt tokens that are estimated to be cached by the engine.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// Running calls.
     pub running: u32,
     /// Waiting calls.
@@ -36,7 +36,7 @@
 
 /// Estimates the time to the first token, in milliseconds.
 pub fn cost_millis(inputs: &CostInputs, weights: &CostWeights) -> f64 {
-    let uncached = inputs.prompt_tokens.saturating_sub(inputs.held_tokens);
+    let uncached = inputs.prompt_tokens.saturating_sub(inputs.cached_tokens);
     let compute = uncached as f64 * weights.per_uncached_token;
     let ahead = f64::from(inputs.running) + f64::from(inputs.waiting);
     let slots = f64::from(inputs.slots.max(1));
