--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -225,7 +225,7 @@
             // Nothing was sent, so there is no stream to resume.
             call.resumes = None;
         }
-        self.retries.earn();
+        self.retries.deposit();
         self.forward(now, id);
         match previous {
             Some(backend) => self.recover(now, id, backend),
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -91,7 +91,7 @@
             _ => false,
         };
         self.release_slot(now, id);
-        let may_retry = never_sent || (repeatable && !was_lookup && self.retries.spend());
+        let may_retry = never_sent || (repeatable && !was_lookup && self.retries.withdraw());
         if may_retry {
             self.retry(now, id, never_sent);
         } else {
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -7,7 +7,7 @@
 
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_limiter::{PermitAnswer, PermitRequest};
-use calicohoist_scheduler::untried_wait;
+use calicohoist_scheduler::queue_timeout;
 use calicohoist_telemetry::metrics::{Counter, Times};
 
 use super::call::Call;
@@ -90,7 +90,7 @@
         return Ok(Permit::Until(until));
     }
     PERMITS.count("asked");
-    let deadline = now + untried_wait(call.left(), ASK_PATIENCE);
+    let deadline = now + queue_timeout(call.left(), ASK_PATIENCE);
     let answer = app.ledger.ask(&Question::Permit(request.clone()), deadline).await;
     match answer {
         Ok(Answer::Permit(answer)) => {
--- a/crates/proxy/src/flow/refusal.rs
+++ b/crates/proxy/src/flow/refusal.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use calicohoist_routing::{RateLimit, stable_hash};
-use calicohoist_scheduler::spread_retry;
+use calicohoist_scheduler::jittered_delay;
 use calicohoist_types::{Findings, TenantId};
 use hyper::header::{CONTENT_TYPE, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
@@ -170,8 +170,8 @@
         const BEFORE_FIRST_CONFIGURATION: Duration = Duration::from_millis(300);
         let hash = stable_hash(&[request_id.as_bytes()]);
         match self {
-            Self::NoConfiguration => Some(spread_retry(BEFORE_FIRST_CONFIGURATION, hash)),
-            Self::NotRun { retry_after, .. } => Some(spread_retry(*retry_after, hash)),
+            Self::NoConfiguration => Some(jittered_delay(BEFORE_FIRST_CONFIGURATION, hash)),
+            Self::NotRun { retry_after, .. } => Some(jittered_delay(*retry_after, hash)),
             Self::OverLimit { retry_after, .. } => Some(*retry_after),
             _ => None,
         }
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -12,7 +12,7 @@
 use calicohoist_ledger::commands::{Reservation, ReserveTurn, RetainedTurn, SettleTurn};
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_routing::PlacedReplica;
-use calicohoist_scheduler::{Decision, PlacementRequest, RunSample, TurnRun, untried_wait};
+use calicohoist_scheduler::{Decision, PlacementRequest, RunSample, TurnRun, queue_timeout};
 use calicohoist_telemetry::metrics::Times;
 use calicohoist_telemetry::{Event, emit};
 
@@ -94,7 +94,7 @@
             permit: permit.clone(),
         };
         let began = Instant::now();
-        let deadline = began + untried_wait(call.left(), RESERVE_PATIENCE);
+        let deadline = began + queue_timeout(call.left(), RESERVE_PATIENCE);
         let answer = app.ledger.ask(&question, deadline).await;
         LEDGER_TIMES.note("reserve", began.elapsed());
         log_reserved(call, &answer, began);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -40,5 +40,5 @@
 };
 pub use prefix::{PrefixIndex, PromptPart};
 pub use queue::{EngineQueue, QueueEntry, QueueFull};
-pub use retry::{RetryBudget, backoff, spread_retry, untried_wait};
+pub use retry::{RetryBudget, backoff, jittered_delay, queue_timeout};
 pub use speed::{EngineSpeed, RunSample};
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -30,12 +30,12 @@
 
 impl RetryBudget {
     /// Credits the budget for a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRIES_PER_ATTEMPT).min(MAX_BALANCE);
     }
 
     /// Takes one retry from the budget; returns whether it is allowed.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let is_allowed = self.balance >= 1.0;
         if is_allowed {
             self.balance -= 1.0;
@@ -54,13 +54,13 @@
 
 /// Returns how long a request may wait for admission: a fraction of the time that its caller has
 /// `left`, at most `max`. It ends early enough for the caller to try again.
-pub fn untried_wait(left: Duration, max: Duration) -> Duration {
+pub fn queue_timeout(left: Duration, max: Duration) -> Duration {
     left.mul_f64(QUEUE_TIMEOUT_FRACTION).min(max)
 }
 
 /// Adds jitter to a retry delay, so that callers refused together do not retry together. `hash`
 /// is a hash of the request's identity.
-pub fn spread_retry(delay: Duration, hash: u64) -> Duration {
+pub fn jittered_delay(delay: Duration, hash: u64) -> Duration {
     let fraction = hash as f64 / u64::MAX as f64;
     delay.mul_f64(1.0 + MAX_JITTER * fraction)
 }
