--- a/crates/gateway/src/core/owner.rs
+++ b/crates/gateway/src/core/owner.rs
@@ -73,7 +73,7 @@
             let Some(spec) = view.engine(engine) else {
                 continue;
             };
-            owned.queue.drop_holders(|holder| view.is_listed(holder));
+            owned.queue.retain_holders(|holder| view.is_listed(holder));
             if now >= owned.next_probe {
                 owned.next_probe = now + PROBE_INTERVAL;
                 outcome.probes.push((engine.clone(), spec.address));
@@ -156,7 +156,7 @@
                     holder: from,
                     attained_tokens,
                     prompt_tokens,
-                    since: now,
+                    queued_at: now,
                 };
                 let added = owned.queue.add(entry, self.max_waiting);
                 if added.is_err() { refused(true) } else { None }
@@ -214,7 +214,7 @@
 
 /// Sends every waiting call back to its holder, to go elsewhere.
 fn bounce(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
-    for entry in owned.queue.take_waiting() {
+    for entry in owned.queue.drain_waiting() {
         let message = PeerMessage::Refused {
             attempt: entry.attempt,
             engine: engine.clone(),
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -26,7 +26,7 @@
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
     /// Time at which the call was queued.
-    pub since: Moment,
+    pub queued_at: Moment,
 }
 
 /// Error returned when the queue is full.
@@ -107,13 +107,13 @@
     }
 
     /// Removes the calls of gateways for which `is_alive` is false.
-    pub fn drop_holders(&mut self, is_alive: impl Fn(&NodeId) -> bool) {
+    pub fn retain_holders(&mut self, is_alive: impl Fn(&NodeId) -> bool) {
         self.running.retain(|_, (holder, _)| is_alive(holder));
         self.waiting.retain(|entry| is_alive(&entry.holder));
     }
 
     /// Removes and returns the waiting calls; running calls stay.
-    pub fn take_waiting(&mut self) -> Vec<QueueEntry> {
+    pub fn drain_waiting(&mut self) -> Vec<QueueEntry> {
         std::mem::take(&mut self.waiting)
     }
 
@@ -135,7 +135,7 @@
 
 /// Sort key of a waiting call; the smallest goes first.
 fn rank(now: Moment, entry: &QueueEntry) -> i64 {
-    let waited = now.since(entry.since).as_millis() as u64;
+    let waited = now.since(entry.queued_at).as_millis() as u64;
     let credit = waited.saturating_mul(CREDIT_PER_MS);
     entry.attained_tokens as i64 - i64::try_from(credit).unwrap_or(i64::MAX)
 }
