--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -80,9 +80,9 @@
             emit!(
                 Event::EngineSpeed;
                 service = service,
-                turn_ms = shown(speed.turn_ms()),
+                turn_ms = shown(speed.mean_turn_ms()),
                 slowdown = shown(speed.slowdown()),
-                alone_ms = shown(speed.alone_ms()),
+                alone_ms = shown(speed.uncontended_turn_ms()),
                 waiting = self.scheduler.waiting(),
                 spread = format!("{:.2}", self.scheduler.spread(service)),
             );
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -452,7 +452,7 @@
 
     /// Cost penalty of a cold replica.
     fn cold_penalty(&self, speed: &EngineSpeed) -> Duration {
-        let uncontended_ms = speed.alone_ms().unwrap_or(self.weights.turn_ms);
+        let uncontended_ms = speed.uncontended_turn_ms().unwrap_or(self.weights.turn_ms);
         Duration::from_secs_f64(uncontended_ms * COLD_PENALTY / 1_000.0)
     }
 
@@ -660,7 +660,7 @@
         let load = status.load();
         let running = load.min(slots);
         let queued = (load + 1).saturating_sub(slots);
-        let turn_ms = relative_speed.turn_ms.or(speed.turn_ms()).unwrap_or(weights.turn_ms);
+        let turn_ms = relative_speed.turn_ms.or(speed.mean_turn_ms()).unwrap_or(weights.turn_ms);
         let waiting_ms = turn_ms * f64::from(queued) / f64::from(slots);
         let uncached = candidate.uncached(&request.prompt);
         let waived = if status.may_replicate_shared(
@@ -679,8 +679,8 @@
             speed.best_token_ms().unwrap_or(weights.token_ms) * relative_speed.relative_token_time;
         let prefill_token_ms = token_ms / weights.prefill_ratio;
         let prefill_ms = (uncached.all as f64 - waived) * prefill_token_ms * interference;
-        let uncontended_ms =
-            speed.alone_ms().unwrap_or(weights.turn_ms) * relative_speed.relative_token_time;
+        let uncontended_ms = speed.uncontended_turn_ms().unwrap_or(weights.turn_ms)
+            * relative_speed.relative_token_time;
         let contention_ms = uncontended_ms * weights.contention * f64::from(running);
         // Includes the uncontended duration, which differs between the replicas of a
         // heterogeneous service.
--- a/crates/scheduler/src/relative_speed.rs
+++ b/crates/scheduler/src/relative_speed.rs
@@ -96,7 +96,7 @@
         let token_ms = token_ms.map_or(heterogeneous.mean_ms, |token_ms| token_ms.min(max_ms));
         RelativeSpeed {
             relative_token_time: (token_ms / heterogeneous.best_ms).max(1.0),
-            turn_ms: estimate.and_then(|estimate| estimate.speed.turn_ms()),
+            turn_ms: estimate.and_then(|estimate| estimate.speed.mean_turn_ms()),
         }
     }
 
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns the mean duration of a turn, in ms.
-    pub fn turn_ms(&self) -> Option<f64> {
+    pub fn mean_turn_ms(&self) -> Option<f64> {
         self.if_sampled(self.mean_token_ms * self.mean_tokens)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Returns the duration of a mean turn at the best speed, in ms.
-    pub fn alone_ms(&self) -> Option<f64> {
+    pub fn uncontended_turn_ms(&self) -> Option<f64> {
         self.if_sampled(self.best_token_ms * self.mean_tokens)
     }
 
