--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -66,7 +66,7 @@
     ) -> Decision {
         self.note_term(term);
         self.note_list(&fleet.reading);
-        self.scheduler.arrive(turn, request, &fleet.view(), Instant::now())
+        self.scheduler.submit(turn, request, &fleet.view(), Instant::now())
     }
 
     /// Logs the learned rates now and then.
@@ -76,7 +76,7 @@
             return;
         }
         self.told_speeds = Some(now);
-        for (service, speed) in self.scheduler.speeds() {
+        for (service, speed) in self.scheduler.engine_speeds() {
             emit!(
                 Event::EngineSpeed;
                 service = service,
@@ -84,7 +84,7 @@
                 slowdown = shown(speed.slowdown()),
                 alone_ms = shown(speed.uncontended_turn_ms()),
                 waiting = self.scheduler.waiting(),
-                spread = format!("{:.2}", self.scheduler.spread(service)),
+                spread = format!("{:.2}", self.scheduler.mean_relative_token_time(service)),
             );
         }
     }
@@ -131,19 +131,19 @@
         let mut state = self.state.lock();
         state.note_term(term);
         if state.reported.insert(gateway.to_owned()) {
-            state.scheduler.inherit(loads, Instant::now());
+            state.scheduler.add_inherited_load(loads, Instant::now());
         }
     }
 
     /// A replica is known to fail until then.
     pub fn note_failing(&self, replica: &str, until: Instant) {
-        self.state.lock().scheduler.note_failing(replica, until);
+        self.state.lock().scheduler.mark_failing(replica, until);
     }
 
     /// Learns where turns ran.
     pub fn learn<'a>(&self, runs: impl Iterator<Item = &'a TurnRun>) {
         let mut state = self.state.lock();
-        runs.for_each(|run| state.scheduler.learn(run));
+        runs.for_each(|run| state.scheduler.record_run(run));
     }
 
     /// Answers now or once it is decided where the turn runs.
@@ -169,7 +169,7 @@
     pub fn end(&self, settle: &SettleTurn, fleet: &FleetSnapshot) {
         let ran_at = settle.run.as_ref().map(|run| run.replica.as_str());
         let mut state = self.state.lock();
-        state.scheduler.end(&settle.turn, ran_at, Instant::now());
+        state.scheduler.end_turn(&settle.turn, ran_at, Instant::now());
         state.backs.remove(&settle.turn);
         state.tell_speeds();
         state.decide(fleet);
@@ -185,7 +185,7 @@
     /// Tells everybody who waits that another machine decides.
     pub fn dismiss(&self, answer: &Answer) {
         let mut state = self.state.lock();
-        state.scheduler.dismiss();
+        state.scheduler.clear_waiting();
         for (_, back) in state.backs.drain() {
             back.send(answer.clone());
         }
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -155,27 +155,27 @@
     /// Starts a term as leader. Turns under way are counted from the gateways' reports.
     pub fn begin_term(&mut self, now: Instant) {
         self.placer.begin_term(now);
-        self.dismiss();
+        self.clear_waiting();
         self.paused_until = Some(now + LOAD_REPORT_TIMEOUT);
     }
 
     /// Drops the queue when another leader takes over.
-    pub fn dismiss(&mut self) {
+    pub fn clear_waiting(&mut self) {
         self.waiting.clear();
     }
 
     /// Adds the turns that a gateway had under way before this term.
-    pub fn inherit(&mut self, loads: &[(String, u32)], now: Instant) {
-        self.placer.inherit(loads, now, INHERITED_LOAD_TTL);
+    pub fn add_inherited_load(&mut self, loads: &[(String, u32)], now: Instant) {
+        self.placer.add_inherited_load(loads, now, INHERITED_LOAD_TTL);
     }
 
     /// Records a turn that ran, for the prefix index and the speed estimates.
-    pub fn learn(&mut self, run: &TurnRun) {
-        self.placer.learn(run);
+    pub fn record_run(&mut self, run: &TurnRun) {
+        self.placer.record_run(run);
     }
 
     /// Handles a request to place a turn, which may be repeated.
-    pub fn arrive(
+    pub fn submit(
         &mut self,
         turn: &str,
         request: PlacementRequest,
@@ -232,15 +232,15 @@
         decisions
     }
 
-    /// Records the end of a turn, whether or not it ran; see [`Placer::end`].
-    pub fn end(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
+    /// Records the end of a turn, whether or not it ran; see [`Placer::end_turn`].
+    pub fn end_turn(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
         self.waiting.remove(turn);
-        self.placer.end(turn, ran_at, now);
+        self.placer.end_turn(turn, ran_at, now);
     }
 
     /// Marks a replica as failing until `until`.
-    pub fn note_failing(&mut self, replica: &str, until: Instant) {
-        self.placer.note_failing(replica, until);
+    pub fn mark_failing(&mut self, replica: &str, until: Instant) {
+        self.placer.mark_failing(replica, until);
     }
 
     /// Drops the state of replicas that are not in `replicas`.
@@ -249,13 +249,13 @@
     }
 
     /// Returns the speed estimates by service.
-    pub fn speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
-        self.placer.speeds()
+    pub fn engine_speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
+        self.placer.engine_speeds()
     }
 
     /// Returns the mean time per token of a service's replicas relative to the fastest one.
-    pub fn spread(&self, service: &str) -> f64 {
-        self.placer.spread(service)
+    pub fn mean_relative_token_time(&self, service: &str) -> f64 {
+        self.placer.mean_relative_token_time(service)
     }
 
     /// Returns the number of waiting turns.
--- a/crates/scheduler/src/cold.rs
+++ b/crates/scheduler/src/cold.rs
@@ -92,7 +92,7 @@
     }
 
     /// Marks a replica as failing until `until`; it may restart after that.
-    pub fn note_failing(&mut self, replica: &str, until: Instant) {
+    pub fn mark_failing(&mut self, replica: &str, until: Instant) {
         self.cold_after_failure.insert(replica.to_owned(), until + LIST_SETTLES);
     }
 
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -473,7 +473,7 @@
 
     /// Records the end of a turn. `ran_at` is the replica that ran it, which may differ from the
     /// placement, or `None` if no replica answered.
-    pub fn end(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
+    pub fn end_turn(&mut self, turn: &str, ran_at: Option<&str>, now: Instant) {
         let placed = self.remove_turn(turn);
         let Some(ran_at) = ran_at else {
             if let Some(placed) = placed {
@@ -495,9 +495,9 @@
     }
 
     /// Marks a replica as failing until `until`.
-    pub fn note_failing(&mut self, replica: &str, until: Instant) {
+    pub fn mark_failing(&mut self, replica: &str, until: Instant) {
         self.status_mut(replica).failing_until = Some(until);
-        self.cold_limiter.note_failing(replica, until);
+        self.cold_limiter.mark_failing(replica, until);
     }
 
     fn status_mut(&mut self, replica: &str) -> &mut ReplicaStatus {
@@ -509,13 +509,13 @@
     }
 
     /// Returns the speed estimates by service.
-    pub fn speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
+    pub fn engine_speeds(&self) -> impl Iterator<Item = (&str, &EngineSpeed)> {
         self.speeds.iter().map(|(service, speed)| (service.as_str(), speed))
     }
 
     /// Returns the mean time per token of a service's replicas relative to the fastest one.
-    pub fn spread(&self, service: &str) -> f64 {
-        self.relative_speeds.spread(service)
+    pub fn mean_relative_token_time(&self, service: &str) -> f64 {
+        self.relative_speeds.mean_relative_token_time(service)
     }
 
     fn record_concurrency(&mut self, placed: &PlacedTurn) {
@@ -527,7 +527,7 @@
     }
 
     /// Records a turn that ran, whether or not this leader placed it.
-    pub fn learn(&mut self, run: &TurnRun) {
+    pub fn record_run(&mut self, run: &TurnRun) {
         self.prefix_index.record(&run.replica, &run.prompt, run.memory_tokens);
         if let Some(sample) = run.sample {
             self.speeds.entry(run.service.clone()).or_default().record_sample(sample);
@@ -549,7 +549,7 @@
     }
 
     /// Adds turns placed by an earlier leader, until they end or `ttl` has passed.
-    pub fn inherit(&mut self, loads: &[(String, u32)], now: Instant, ttl: Duration) {
+    pub fn add_inherited_load(&mut self, loads: &[(String, u32)], now: Instant, ttl: Duration) {
         for (replica, turns) in loads {
             let none = InheritedLoad { turns: 0, expires_at: now };
             let inherited = self.status_mut(replica).inherited.get_or_insert(none);
--- a/crates/scheduler/src/relative_speed.rs
+++ b/crates/scheduler/src/relative_speed.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns the mean time per token of a service's replicas relative to the fastest one.
-    pub fn spread(&self, service: &str) -> f64 {
+    pub fn mean_relative_token_time(&self, service: &str) -> f64 {
         self.heterogeneous
             .get(service)
             .map_or(1.0, |heterogeneous| heterogeneous.mean_ms / heterogeneous.best_ms)
--- a/crates/scheduler/tests/admission.rs
+++ b/crates/scheduler/tests/admission.rs
@@ -49,7 +49,7 @@
 fn busy_scheduler(replicas: &[Replica], now: Instant) -> TurnScheduler {
     let mut scheduler = TurnScheduler::default();
     for turn in 0..CAPACITY {
-        let decision = scheduler.arrive(
+        let decision = scheduler.submit(
             &format!("busy{turn}"),
             request(9_000),
             &FleetView::from_replicas(replicas),
@@ -69,11 +69,11 @@
     let (replicas, now) = (replicas(1), Instant::now());
     let mut scheduler = busy_scheduler(&replicas, now);
     assert_eq!(
-        scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now),
+        scheduler.submit("n", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
     assert_eq!(scheduler.decide(&FleetView::from_replicas(&replicas), now), []);
-    scheduler.end("busy0", Some("r0"), now);
+    scheduler.end_turn("busy0", Some("r0"), now);
     let decisions = scheduler.decide(&FleetView::from_replicas(&replicas), now);
     assert_eq!(decisions, [("n".to_owned(), Decision::Run("r0".to_owned()))]);
     assert_eq!(scheduler.waiting(), 0);
@@ -83,9 +83,9 @@
 fn turns_of_running_programs_do_not_wait() {
     let (replicas, now) = (replicas(1), Instant::now());
     let mut scheduler = busy_scheduler(&replicas, now);
-    scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("n", request(2_000), &FleetView::from_replicas(&replicas), now);
     let decision =
-        scheduler.arrive("u", running_program_request(), &FleetView::from_replicas(&replicas), now);
+        scheduler.submit("u", running_program_request(), &FleetView::from_replicas(&replicas), now);
     assert_eq!(decision, Decision::Run("r0".to_owned()));
 }
 
@@ -93,14 +93,14 @@
 fn turns_that_can_meet_their_deadline_go_first() {
     let (replicas, now) = (replicas(1), Instant::now());
     let mut scheduler = busy_scheduler(&replicas, now);
-    scheduler.arrive("late", request(0), &FleetView::from_replicas(&replicas), now);
-    scheduler.arrive("soon", request(2_000), &FleetView::from_replicas(&replicas), now);
-    scheduler.arrive("sooner", request(1_000), &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("late", request(0), &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("soon", request(2_000), &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("sooner", request(1_000), &FleetView::from_replicas(&replicas), now);
     let urgent = PlacementRequest { priority: 0, ..request(3_000) };
-    scheduler.arrive("urgent", urgent, &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("urgent", urgent, &FleetView::from_replicas(&replicas), now);
     let mut order = Vec::new();
     for turn in 0..CAPACITY {
-        scheduler.end(&format!("busy{turn}"), Some("r0"), now);
+        scheduler.end_turn(&format!("busy{turn}"), Some("r0"), now);
         order.extend(scheduler.decide(&FleetView::from_replicas(&replicas), now));
     }
     assert_eq!(turn_ids(&order), ["urgent", "sooner", "soon", "late"]);
@@ -110,7 +110,7 @@
 fn a_turn_that_waits_too_long_is_refused_with_a_retry_delay() {
     let (replicas, now) = (replicas(1), Instant::now());
     let mut scheduler = busy_scheduler(&replicas, now);
-    scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now);
+    scheduler.submit("n", request(2_000), &FleetView::from_replicas(&replicas), now);
     let later = now + Duration::from_millis(1_900);
     let decisions = scheduler.decide(&FleetView::from_replicas(&replicas), later);
     assert_eq!(turn_ids(&decisions), ["n"]);
@@ -124,7 +124,7 @@
     let mut scheduler = busy_scheduler(&replicas, now);
     let decisions: Vec<Decision> = (0..2_000)
         .map(|turn| {
-            scheduler.arrive(
+            scheduler.submit(
                 &format!("n{turn}"),
                 request(2_000),
                 &FleetView::from_replicas(&replicas),
@@ -142,17 +142,17 @@
     let mut scheduler = TurnScheduler::default();
     scheduler.begin_term(now);
     assert_eq!(
-        scheduler.arrive("n", request(2_000), &FleetView::from_replicas(&replicas), now),
+        scheduler.submit("n", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
-    scheduler.inherit(&[("r0".to_owned(), SLOTS)], now);
+    scheduler.add_inherited_load(&[("r0".to_owned(), SLOTS)], now);
     let reports_received = now + Duration::from_millis(100);
     assert_eq!(
         scheduler.decide(&FleetView::from_replicas(&replicas), reports_received),
         [],
         "inherited turns take all slots"
     );
-    scheduler.end("of another leader", Some("r0"), reports_received);
+    scheduler.end_turn("of another leader", Some("r0"), reports_received);
     assert_eq!(
         turn_ids(&scheduler.decide(&FleetView::from_replicas(&replicas), reports_received)),
         ["n"]
@@ -171,12 +171,12 @@
         sample: Some(RunSample { generated: 100, time_ms }),
     };
     for _ in 0..100 {
-        scheduler.learn(&run(100));
+        scheduler.record_run(&run(100));
     }
     // With three concurrent turns, each takes six times as long as alone.
     for round in 0..100 {
         for turn in 0..3 {
-            scheduler.arrive(
+            scheduler.submit(
                 &format!("{round}-{turn}"),
                 running_program_request(),
                 &FleetView::from_replicas(&replicas),
@@ -184,14 +184,14 @@
             );
         }
         for turn in 0..3 {
-            scheduler.end(&format!("{round}-{turn}"), Some("r0"), now);
-            scheduler.learn(&run(600));
+            scheduler.end_turn(&format!("{round}-{turn}"), Some("r0"), now);
+            scheduler.record_run(&run(600));
         }
     }
-    let first = scheduler.arrive("a", request(2_000), &FleetView::from_replicas(&replicas), now);
+    let first = scheduler.submit("a", request(2_000), &FleetView::from_replicas(&replicas), now);
     assert_eq!(first, Decision::Run("r0".to_owned()), "at least one turn is admitted");
     assert_eq!(
-        scheduler.arrive("b", request(2_000), &FleetView::from_replicas(&replicas), now),
+        scheduler.submit("b", request(2_000), &FleetView::from_replicas(&replicas), now),
         Decision::Wait
     );
 }
@@ -238,7 +238,7 @@
                         priority: *priority,
                         ..request(*finish_ms)
                     };
-                    match scheduler.arrive(&turn, request, &FleetView::from_replicas(&replicas), now) {
+                    match scheduler.submit(&turn, request, &FleetView::from_replicas(&replicas), now) {
                         Decision::Run(replica) => running.push((turn, replica)),
                         Decision::Wait => waiting.push((turn, now)),
                         decision => prop_assert!(false, "{decision:?}"),
@@ -247,7 +247,7 @@
                 Step::End if running.is_empty() => {}
                 Step::End => {
                     let (turn, replica) = running.remove(0);
-                    scheduler.end(&turn, Some(&replica), now);
+                    scheduler.end_turn(&turn, Some(&replica), now);
                 }
                 Step::Advance { ms } => now += Duration::from_millis(*ms),
             }
--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -180,7 +180,7 @@
     let fleet = fleet_with_cold(&["c"], &["c"], now + ms(60_000));
     let mut placer = placer();
     placer.begin_term(now);
-    placer.inherit(&[("c".to_owned(), 3)], now, ms(1_500));
+    placer.add_inherited_load(&[("c".to_owned(), 3)], now, ms(1_500));
     assert_eq!(fleet.place(&mut placer, "t", now + TERM_START_HOLD - ms(1)), Placement::NoCapacity);
     assert_eq!(fleet.fill(&mut placer, "c", now + TERM_START_HOLD), STEADY_LIMIT);
 }
@@ -202,7 +202,7 @@
     let now = Instant::now();
     let fleet = Fleet::new(&["c"]);
     let mut placer = placer();
-    placer.note_failing("c", now + ms(1_000));
+    placer.mark_failing("c", now + ms(1_000));
     let cold = Placement::Cold("c".to_owned());
     assert_eq!(fleet.place(&mut placer, "t", now + ms(1_100)), cold);
     assert_eq!(fleet.place(&mut placer, "u", now + ms(3_000)), Placement::Warm("c".to_owned()));
@@ -215,10 +215,10 @@
     let mut scheduler = TurnScheduler::new(TOLERANCE);
     let under_way = PlacementRequest { is_under_way: true, ..request() };
     for turn in 0..STEADY_LIMIT {
-        scheduler.arrive(&turn.to_string(), under_way.clone(), &fleet.view(), now);
+        scheduler.submit(&turn.to_string(), under_way.clone(), &fleet.view(), now);
     }
     let arrive = |scheduler: &mut TurnScheduler, at: Instant| {
-        scheduler.arrive("t", under_way.clone(), &fleet.view(), at)
+        scheduler.submit("t", under_way.clone(), &fleet.view(), at)
     };
     assert_eq!(arrive(&mut scheduler, now), Decision::Wait);
     assert_eq!(arrive(&mut scheduler, now + ms(300)), Decision::Wait);
@@ -233,9 +233,9 @@
     let mut scheduler = TurnScheduler::new(TOLERANCE);
     let under_way = PlacementRequest { is_under_way: true, ..request() };
     for turn in 0..STEADY_LIMIT {
-        scheduler.arrive(&turn.to_string(), under_way.clone(), &fleet.view(), now);
+        scheduler.submit(&turn.to_string(), under_way.clone(), &fleet.view(), now);
     }
-    let decision = scheduler.arrive("first", under_way, &fleet.view(), now);
+    let decision = scheduler.submit("first", under_way, &fleet.view(), now);
     assert_eq!(decision, Decision::Wait);
     scheduler
 }
@@ -247,7 +247,7 @@
     fleet.replicas[1].service = "other".to_owned();
     let mut scheduler = scheduler_with_waiting_turn(&fleet, now);
     let other = PlacementRequest { service: "other".to_owned(), cold: None, ..request() };
-    assert_eq!(scheduler.arrive("other", other, &fleet.view(), now), Decision::Wait);
+    assert_eq!(scheduler.submit("other", other, &fleet.view(), now), Decision::Wait);
     let decisions = scheduler.decide(&fleet.view(), now + ms(20));
     assert_eq!(decisions, [("other".to_owned(), Decision::Run("other".to_owned()))]);
 }
@@ -264,10 +264,10 @@
     let limited = PlacementRequest { homes: in_region, is_under_way: true, ..request() };
     let mut scheduler = TurnScheduler::new(TOLERANCE);
     for turn in 0..=STEADY_LIMIT {
-        scheduler.arrive(&turn.to_string(), limited.clone(), &fleet.view(), now);
+        scheduler.submit(&turn.to_string(), limited.clone(), &fleet.view(), now);
     }
     assert_eq!(scheduler.waiting(), 1);
-    assert_eq!(scheduler.arrive("free", request(), &fleet.view(), now), Decision::Wait);
+    assert_eq!(scheduler.submit("free", request(), &fleet.view(), now), Decision::Wait);
     let decisions = scheduler.decide(&fleet.view(), now + ms(20));
     assert_eq!(decisions, [("free".to_owned(), Decision::Run("w".to_owned()))]);
 }
@@ -278,7 +278,7 @@
     let fleet = fleet_with_cold(&["c"], &["c"], now + ms(60_000));
     let mut scheduler = scheduler_with_waiting_turn(&fleet, now);
     let sooner = PlacementRequest { left_ms: 3_000, is_under_way: true, ..request() };
-    assert_eq!(scheduler.arrive("sooner", sooner, &fleet.view(), now), Decision::Wait);
+    assert_eq!(scheduler.submit("sooner", sooner, &fleet.view(), now), Decision::Wait);
     assert_eq!(scheduler.decide(&fleet.view(), now + ms(20)), []);
     let decisions = scheduler.decide(&fleet.view(), now + ms(1_000));
     let order: Vec<&str> = decisions.iter().map(|(turn, _)| turn.as_str()).collect();
@@ -292,7 +292,7 @@
     let mut scheduler = scheduler_with_waiting_turn(&fleet, now);
     let under_way = PlacementRequest { is_under_way: true, ..request() };
     let capacity_at = now + ms(1_000);
-    let decision = scheduler.arrive("later", under_way, &fleet.view(), capacity_at);
+    let decision = scheduler.submit("later", under_way, &fleet.view(), capacity_at);
     assert_eq!(decision, Decision::Wait);
     let decisions = scheduler.decide(&fleet.view(), capacity_at);
     let order: Vec<&str> = decisions.iter().map(|(turn, _)| turn.as_str()).collect();
@@ -332,7 +332,7 @@
                     arrivals.push(now - start);
                 }
                 if kind == 1 {
-                    placer.end(&turn, Some("c"), now);
+                    placer.end_turn(&turn, Some("c"), now);
                 }
             }
         }
--- a/crates/scheduler/tests/cold_return.rs
+++ b/crates/scheduler/tests/cold_return.rs
@@ -178,9 +178,9 @@
             }
             Event::End { turn, replica } => {
                 let now = self.at(ms);
-                self.leader.end(&turn.to_string(), Some(&replica), now);
+                self.leader.end_turn(&turn.to_string(), Some(&replica), now);
                 if let Some(old_leader) = &mut self.old_leader {
-                    old_leader.end(&turn.to_string(), Some(&replica), now);
+                    old_leader.end_turn(&turn.to_string(), Some(&replica), now);
                 }
             }
         }
@@ -195,7 +195,7 @@
         let Self { replicas, topology, drained, cold, leader, old_leader, .. } = self;
         let view = FleetView { replicas, topology, drained, cold };
         let leader = old_leader.as_mut().filter(|_| to_old_leader).unwrap_or(leader);
-        let decision = leader.arrive(&turn.to_string(), request, &view, now);
+        let decision = leader.submit(&turn.to_string(), request, &view, now);
         self.send_decision(ms, turn, decision);
     }
 
--- a/crates/scheduler/tests/overload/simulation.rs
+++ b/crates/scheduler/tests/overload/simulation.rs
@@ -332,7 +332,7 @@
         };
         let now = self.instant();
         let view = FleetView::from_replicas(&self.replicas);
-        let decision = self.scheduler.arrive(&turn, request, &view, now);
+        let decision = self.scheduler.submit(&turn, request, &view, now);
         self.waiting.insert(turn.clone(), sequence);
         self.apply(&turn, decision);
     }
@@ -366,7 +366,7 @@
     fn refuse(&mut self, sequence: usize, after: Duration) {
         let turn = self.sequences[sequence].turn.clone();
         let now = self.instant();
-        self.scheduler.end(&turn, None, now);
+        self.scheduler.end_turn(&turn, None, now);
         let waited_ms = (self.now - self.sequences[sequence].requested_at) as f64 / 1_000.0;
         let prompt_tokens = self.sequences[sequence].turns[0].prompt_tokens;
         self.sequences[sequence].tokens -= prompt_tokens;
@@ -483,8 +483,8 @@
     fn settle(&mut self, completed: usize) {
         let (turn, run) = &self.completed[completed];
         let now = self.start + Duration::from_micros(self.now);
-        self.scheduler.learn(run);
-        self.scheduler.end(turn, Some(&run.replica), now);
+        self.scheduler.record_run(run);
+        self.scheduler.end_turn(turn, Some(&run.replica), now);
         self.decide();
     }
 
@@ -568,7 +568,7 @@
             for run in runs {
                 let turn = self.sequences[run.sequence].turn.clone();
                 let now = self.instant();
-                self.scheduler.end(&turn, None, now);
+                self.scheduler.end_turn(&turn, None, now);
                 let prompt_tokens = self.sequences[run.sequence].turns[0].prompt_tokens;
                 self.sequences[run.sequence].tokens -= prompt_tokens;
                 self.schedule(micros(ROUND_TRIP_MS), Event::RequestTurn(run.sequence));
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -122,7 +122,7 @@
     let now = Instant::now();
     for (tokens, stays_remote) in [(500, false), (80_000, true)] {
         let mut placer = Placer::new(PlacementWeights::default());
-        placer.learn(&completed_run("r2", &[part(1, tokens)], 0));
+        placer.record_run(&completed_run("r2", &[part(1, tokens)], 0));
         let request = request(&[part(1, tokens), part(2, 100)]);
         let Placement::Warm(at) =
             placer.place("t", &request, &view, ConcurrencyLimit::Unlimited, now)
@@ -153,12 +153,12 @@
     let replicas = fleet(4);
     let now = Instant::now();
     let first = place(&mut placer, "a", &request(&[part(1, 500), part(2, 700)]), &replicas, now);
-    placer.end("a", first.as_deref(), now);
+    placer.end_turn("a", first.as_deref(), now);
     let first_replica = first.as_deref().expect("a placement");
-    placer.learn(&completed_run(first_replica, &[part(1, 500), part(2, 700)], 80));
+    placer.record_run(&completed_run(first_replica, &[part(1, 500), part(2, 700)], 80));
     let other = place(&mut placer, "x", &request(&[part(9, 700)]), &replicas, now);
     assert_ne!(first, other, "an unrelated prompt goes to the replica with the emptier cache");
-    placer.end("x", other.as_deref(), now);
+    placer.end_turn("x", other.as_deref(), now);
     let second = place(&mut placer, "b", &request(&[part(1, 500), part(2, 1_400)]), &replicas, now);
     assert_eq!(first, second);
 }
@@ -171,8 +171,8 @@
     let prompt = [part(2, 3_000)];
     let placed = place(&mut placer, "a", &request(&prompt), &replicas, now).expect("a placement");
     let ran_at = replicas.iter().find(|replica| replica.id != placed).expect("another replica");
-    placer.end("a", Some(&ran_at.id), now);
-    placer.learn(&completed_run(&ran_at.id, &prompt, 100));
+    placer.end_turn("a", Some(&ran_at.id), now);
+    placer.record_run(&completed_run(&ran_at.id, &prompt, 100));
     let grown = [part(2, 3_300)];
     // Both replicas are believed to have cached the prompt, since the placement is recorded at
     // once.
@@ -213,7 +213,7 @@
         let prompt = [shared, part(100 + turn, 50)];
         let name = format!("t{turn}");
         let first_replica = place(&mut placer, &name, &request(&prompt), &replicas, now);
-        placer.end(&name, first_replica.as_deref(), now);
+        placer.end_turn(&name, first_replica.as_deref(), now);
     }
     // All replicas have cached the shared part, so a burst is spread over them.
     for number in 0..9 {
@@ -248,7 +248,7 @@
     let now = Instant::now();
     for _ in 0..100 {
         let sample = Some(RunSample { generated: GENERATED, time_ms });
-        placer.learn(&TurnRun { sample, ..completed_run("r0", &[], 0) });
+        placer.record_run(&TurnRun { sample, ..completed_run("r0", &[], 0) });
     }
     let placed = (0..20).map(|turn| {
         let prompt = [part(1, 6_000), part(100 + turn, 400)];
@@ -295,12 +295,12 @@
         Placement::NoCapacity
     );
     assert_eq!(place_new(&mut placer, "f", ConcurrencyLimit::Unlimited), placed);
-    placer.end("a", Some("r0"), now);
+    placer.end_turn("a", Some("r0"), now);
     assert_eq!(
         place_new(&mut placer, "e", ConcurrencyLimit::MaxSlowdown(2.0)),
         Placement::NoCapacity
     );
-    placer.end("b", Some("r0"), now);
+    placer.end_turn("b", Some("r0"), now);
     assert_eq!(place_new(&mut placer, "e", ConcurrencyLimit::MaxSlowdown(2.0)), placed);
 }
 
@@ -313,10 +313,10 @@
     placer.begin_term(now);
     assert_eq!(placer.load("r0") + placer.load("r1"), 0);
     let ttl = Duration::from_millis(1_500);
-    placer.inherit(&[("r0".to_owned(), 2)], now, ttl);
-    placer.inherit(&[("r0".to_owned(), 1), ("r1".to_owned(), 1)], now, ttl);
+    placer.add_inherited_load(&[("r0".to_owned(), 2)], now, ttl);
+    placer.add_inherited_load(&[("r0".to_owned(), 1), ("r1".to_owned(), 1)], now, ttl);
     assert_eq!((placer.load("r0"), placer.load("r1")), (3, 1));
-    placer.end("old", Some("r0"), now);
+    placer.end_turn("old", Some("r0"), now);
     assert_eq!(placer.load("r0"), 2, "one inherited turn has ended");
     let later = now + ttl;
     place(&mut placer, "n", &request(&[]), &replicas, later);
@@ -361,14 +361,14 @@
     now += Duration::from_millis(900);
     let other = replicas.iter().find(|replica| replica.id != stalled).expect("another replica");
     for turn in ["o0", "o1", "o2"] {
-        placer.end(turn, Some(&other.id), now);
+        placer.end_turn(turn, Some(&other.id), now);
     }
     let grown = [part(1, 1_000)];
     let next = place(&mut placer, "n", &request(&grown), &replicas, now);
     assert_eq!(next.as_deref(), Some(other.id.as_str()));
-    placer.end("n", Some(&other.id), now);
+    placer.end_turn("n", Some(&other.id), now);
     // The caller gives up: the replica stays suspected for a while although it is idle.
-    placer.end("s", None, now);
+    placer.end_turn("s", None, now);
     let later = place(&mut placer, "l", &request(&[part(8, 10)]), &replicas, now);
     assert_eq!(later.as_deref(), Some(other.id.as_str()));
     now += Duration::from_secs(3);
@@ -383,7 +383,7 @@
     let now = Instant::now();
     let first_replica =
         place(&mut placer, "a", &request(&[part(1, 5_000)]), &replicas, now).expect("a placement");
-    placer.end("a", Some(&first_replica), now);
+    placer.end_turn("a", Some(&first_replica), now);
     for replica in &mut replicas {
         if replica.id == first_replica {
             replica.state = ReplicaState::Draining;
@@ -444,7 +444,7 @@
                 place(&mut placer, &name, &request(&[part(u64::from(turn), 300)]), &replicas, now);
                 under_way.insert(name);
             } else {
-                placer.end(&name, Some("r1"), now);
+                placer.end_turn(&name, Some("r1"), now);
                 under_way.remove(&name);
             }
         }
@@ -461,7 +461,7 @@
     let mut placer = Placer::default();
     let first = PlacementRequest { connected: vec!["r4".to_owned()], ..request(&[part(1, 500)]) };
     assert_eq!(place(&mut placer, "t1", &first, &replicas, now).as_deref(), Some("r4"));
-    placer.end("t1", Some("r4"), now);
+    placer.end_turn("t1", Some("r4"), now);
     let next = PlacementRequest { connected: vec!["r2".to_owned()], ..request(&[part(1, 900)]) };
     assert_eq!(place(&mut placer, "t2", &next, &replicas, now).as_deref(), Some("r4"));
 }
@@ -484,8 +484,8 @@
     let mut placer = Placer::default();
     let now = Instant::now();
     for _ in 0..100 {
-        placer.learn(&sampled_run("r0", 2));
-        placer.learn(&sampled_run("r1", 6));
+        placer.record_run(&sampled_run("r0", 2));
+        placer.record_run(&sampled_run("r1", 6));
     }
     let mut counts = BTreeMap::new();
     for turn in 0..14 {
@@ -524,8 +524,8 @@
             for (number, token_us) in token_us.iter().enumerate() {
                 let sample = RunSample { generated: 1_000, time_ms: *token_us };
                 let run = TurnRun { sample: Some(sample), ..sampled_run(&format!("r{number}"), 1) };
-                per_replica.learn(&run);
-                per_service.learn(&TurnRun { replica: "elsewhere".to_owned(), ..run });
+                per_replica.record_run(&run);
+                per_service.record_run(&TurnRun { replica: "elsewhere".to_owned(), ..run });
             }
         }
         let mut now = Instant::now();
@@ -537,8 +537,8 @@
             let by_service = place(&mut per_service, &turn, &request, &replicas, now);
             prop_assert_eq!(&by_replica, &by_service);
             if ends {
-                per_replica.end(&turn, by_replica.as_deref(), now);
-                per_service.end(&turn, by_service.as_deref(), now);
+                per_replica.end_turn(&turn, by_replica.as_deref(), now);
+                per_service.end_turn(&turn, by_service.as_deref(), now);
             }
         }
     }
--- a/crates/scheduler/tests/relative_speed.rs
+++ b/crates/scheduler/tests/relative_speed.rs
@@ -27,7 +27,7 @@
     let tracker = tracker(&[2.0, 5.0, 5.0]);
     assert!((tracker.get("llm", "r0").relative_token_time - 1.0).abs() < 0.05);
     assert!((tracker.get("llm", "r1").relative_token_time - 2.5).abs() < 0.1);
-    assert!((tracker.spread("llm") - 2.0).abs() < 0.1, "mean of 1, 2.5 and 2.5");
+    assert!((tracker.mean_relative_token_time("llm") - 2.0).abs() < 0.1, "mean of 1, 2.5 and 2.5");
     assert_eq!(tracker.get("other", "r0"), RelativeSpeed::EQUAL);
 }
 
