--- a/crates/scheduler/src/outliers.rs
+++ b/crates/scheduler/src/outliers.rs
@@ -37,7 +37,7 @@
         self.ejection.is_some_and(|(until, _)| now < until)
     }
 
-    fn next_ejection(&self, now: Instant) -> Duration {
+    fn next_ejection_time(&self, now: Instant) -> Duration {
         match self.ejection {
             Some((until, last)) if now < until + EJECTION_RESET_AFTER => {
                 (last * 2).min(MAX_EJECTION_TIME)
@@ -78,9 +78,9 @@
             return None;
         }
         record.recent_failures.clear();
-        let ejection = record.next_ejection(now);
-        record.ejection = Some((now + ejection, ejection));
-        Some(ejection)
+        let duration = record.next_ejection_time(now);
+        record.ejection = Some((now + duration, duration));
+        Some(duration)
     }
 
     /// Returns the ejected replicas, each with the remaining time.
--- a/crates/scheduler/tests/overload/load.rs
+++ b/crates/scheduler/tests/overload/load.rs
@@ -51,7 +51,7 @@
 }
 
 /// Engines with enough slots for a burst of twice the load.
-pub const ROOMY: EngineModel = EngineModel {
+pub const LIGHTLY_LOADED: EngineModel = EngineModel {
     slots: 8,
     memory_tokens: 74_180,
     max_step_tokens: 1_024,
--- a/crates/scheduler/tests/overload/main.rs
+++ b/crates/scheduler/tests/overload/main.rs
@@ -4,7 +4,9 @@
 mod simulation;
 
 use calicohoist_scheduler::TurnScheduler;
-use load::{CHAT, CROWDED, DRAFT, LONG, ProgramKind, QUESTION, ROOMY, SESSION, SHORT, UNEVEN};
+use load::{
+    CHAT, CROWDED, DRAFT, LIGHTLY_LOADED, LONG, ProgramKind, QUESTION, SESSION, SHORT, UNEVEN,
+};
 use simulation::{Burst, ProgramEnd, ProgramOutcome, Scenario, Simulation};
 
 /// Seeds over which outcomes are aggregated.
@@ -19,7 +21,7 @@
 fn normal_load(leader_us: u64) -> Scenario {
     Scenario {
         seed: 7,
-        engine: ROOMY,
+        engine: LIGHTLY_LOADED,
         engines: 11,
         scaled_to: 11,
         kinds: vec![LONG, SHORT],
