--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -1,4 +1,4 @@
-//! Replicas that have just started and bear little work yet.
+//! Recently started (cold) replicas, which accept only limited load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,48 +8,47 @@
 
 use crate::eligibility::DrainedZones;
 
-/// Longest delay of the list of replicas. A time left that it shows is up to this much too long,
-/// and a replica that starts again is shown as cold up to this much later.
-const LIST_LAG: Duration = Duration::from_millis(800);
-/// Time from a change of a replica until a reading that shows it has surely been taken in: the
-/// delay of the list, the 0.7 s between two readings, and the reading itself.
+/// Maximum delay of the replica list. A remaining cold time may be listed too long by this much,
+/// and a restarted replica may be listed as cold this much later.
+const MAX_LIST_LAG: Duration = Duration::from_millis(800);
+/// Maximum time until a change of a replica is known: the delay of the list, the interval between
+/// two readings, and the duration of a reading.
 pub const LIST_SETTLES: Duration = Duration::from_millis(2_000);
-/// Longest time left that is believed: an engine reads its weights in less. Without this bound a
-/// wrong list could leave a replica nearly idle for good.
-const MOST_COLD: Duration = Duration::from_secs(60);
-/// How long a new replica counts as cold where the list says nothing of it.
-const ASSUMED_COLD: Duration = Duration::from_secs(5);
-/// How long a placement at a cold replica may be used after it was made: a few times the way from
-/// the leader to the gateway. Later it would arrive beside those of the next second.
+/// Upper bound on a listed cold time, so that a wrong entry does not keep a replica idle for long.
+const MAX_COLD_TIME: Duration = Duration::from_secs(60);
+/// Cold time of a new replica whose remaining cold time is not listed.
+const DEFAULT_COLD_TIME: Duration = Duration::from_secs(5);
+/// Lifetime of a placement at a cold replica. A request sent later would count towards the load of
+/// the next second.
 pub const COLD_PLACEMENT_LIFE: Duration = Duration::from_millis(300);
 
-/// The replica where the leader has placed a request.
+/// Replica at which the leader has placed a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedReplica {
-    /// Its identity.
+    /// Id of the replica.
     pub id: String,
-    /// Until when the request may be sent there; `None` at a replica that the leader takes for
-    /// warm. The leader limits what it places at a cold one in each second: a request sent much
-    /// later would arrive together with those of another second.
+    /// Deadline for sending the request, or `None` if the leader considers the replica warm. The
+    /// leader limits the placements at a cold replica per second, so a late request would exceed
+    /// the limit of another second.
     pub send_by: Option<Instant>,
 }
 
 impl PlacedReplica {
-    /// At a warm replica.
+    /// Creates a placement at a warm replica.
     pub fn warm(id: String) -> Self {
         Self { id, send_by: None }
     }
 
-    /// At a cold replica. The gateway asked at `asked`, and the leader placed the request `waited`
-    /// after the question had reached it. The time that the question took on its way is not
-    /// counted, so the placement lapses at most [`COLD_PLACEMENT_LIFE`] after it was made. No
-    /// clocks of two machines are compared.
-    pub fn cold(id: String, asked: Instant, waited: Duration) -> Self {
-        Self { id, send_by: Some(asked + waited + COLD_PLACEMENT_LIFE) }
+    /// Creates a placement at a cold replica. The gateway sent its query at `sent_at`, and the
+    /// leader placed the request `waited` after receiving it. The network delay of the query is
+    /// ignored, so the placement expires at most [`COLD_PLACEMENT_LIFE`] after it was made. Clocks
+    /// of different machines are not compared.
+    pub fn cold(id: String, sent_at: Instant, waited: Duration) -> Self {
+        Self { id, send_by: Some(sent_at + waited + COLD_PLACEMENT_LIFE) }
     }
 
-    /// Whether the request may still be sent there. `is_cold` is what the gateway knows: a replica
-    /// that the leader took for warm and that is cold gets nothing.
+    /// Returns whether the request may still be sent to the replica. `is_cold` is the gateway's
+    /// own knowledge: a placement made for a warm replica is invalid if the replica is cold.
     pub fn holds(&self, is_cold: bool, now: Instant) -> bool {
         match self.send_by {
             Some(send_by) => now < send_by,
@@ -58,69 +57,69 @@
     }
 }
 
-/// Requests that a cold replica of a service bears.
+/// Load limit of the cold replicas of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdLimit {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub per_second: f64,
-    /// How long a replica is cold after its start.
+    /// Time for which a replica is cold after its start.
     pub lasts: Duration,
 }
 
-/// What may come on top of a cold replica's limit within one second.
+/// By how much the limit of a cold replica may be exceeded within one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTolerance {
-    /// The limit is multiplied by this.
+    /// Factor by which the limit is multiplied.
     pub overshoot: f64,
-    /// Requests that are added.
+    /// Number of requests added to the limit.
     pub slack: f64,
 }
 
 impl Default for ColdTolerance {
-    /// Exact.
+    /// No tolerance.
     fn default() -> Self {
         Self { overshoot: 1.0, slack: 0.0 }
     }
 }
 
-/// The replicas known to be cold, each until when.
+/// Replicas known to be cold, with the end of their cold time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ColdReplicas {
-    /// When each of them is warm, by replica.
+    /// End of the cold time, by replica id.
     until: BTreeMap<String, Instant>,
 }
 
 impl ColdReplicas {
-    /// No replica is cold.
+    /// Creates an empty set.
     pub const fn none() -> Self {
         Self { until: BTreeMap::new() }
     }
 
-    /// Notes that a replica is cold until then at least: what is known already is never
-    /// shortened, since a list that lags may show an earlier time.
+    /// Marks a replica as cold until `until`. A known later end is kept, since a delayed list may
+    /// contain an earlier one.
     pub fn note(&mut self, replica: &str, until: Instant) {
         let known = self.until.entry(replica.to_owned()).or_insert(until);
         *known = (*known).max(until);
     }
 
-    /// Whether a replica is cold.
+    /// Returns whether a replica is cold.
     pub fn is_cold(&self, replica: &str, now: Instant) -> bool {
         self.until.get(replica).is_some_and(|until| now < *until)
     }
 
-    /// The replicas that are cold, each with the time that is left.
+    /// Iterates over the cold replicas with their remaining cold time.
     pub fn left(&self, now: Instant) -> impl Iterator<Item = (&str, Duration)> {
         let cold = self.until.iter().filter(move |(_, until)| now < **until);
         cold.map(move |(replica, until)| (replica.as_str(), *until - now))
     }
 
-    /// The same in whole ms, as it is told to gateways.
+    /// Returns the cold replicas with their remaining cold time in ms, as sent to gateways.
     pub fn left_ms(&self, now: Instant) -> Vec<(String, u32)> {
-        let in_ms = |left: Duration| u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        self.left(now).map(|(replica, left)| (replica.to_owned(), in_ms(left))).collect()
+        let to_ms = |left: Duration| u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
+        self.left(now).map(|(replica, left)| (replica.to_owned(), to_ms(left))).collect()
     }
 
-    /// Forgets replicas that are warm by now; returns them.
+    /// Removes and returns the replicas whose cold time has ended.
     pub fn expire(&mut self, now: Instant) -> Vec<String> {
         let warm = self.until.iter().filter(|(_, until)| **until <= now);
         let warm: Vec<String> = warm.map(|(replica, _)| replica.clone()).collect();
@@ -129,28 +128,27 @@
     }
 }
 
-/// What one reading has changed.
+/// Changes found in one reading of the replica list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ColdChange {
-    /// Replicas that are cold now, or for longer than was known.
+    /// Replicas that became cold, or whose cold time was extended.
     pub became_cold: Vec<String>,
-    /// Replicas that are cold no more.
+    /// Replicas whose cold time has ended.
     pub became_warm: Vec<String>,
 }
 
-/// Learns which replicas are cold from successive readings of the list.
+/// Tracks cold replicas over successive readings of the replica list.
 #[derive(Clone, Debug, Default)]
 pub struct ColdWatch {
     cold: ColdReplicas,
-    /// The replicas of the last reading; `None` before the first.
+    /// Replica ids of the last reading; `None` before the first.
     known: Option<BTreeSet<String>>,
 }
 
 impl ColdWatch {
-    /// Takes in a reading that began at `read_at`: each replica with the time for which it is
-    /// still cold, or `None` where the list does not tell. A replica that is listed for the first
-    /// time without one counts as cold; in the very first reading all ages are unknown, and the
-    /// list is believed.
+    /// Processes a reading that began at `read_at`. Each replica is listed with its remaining cold
+    /// time, or `None` if that is unknown. A new replica without one is treated as cold, except in
+    /// the first reading, in which the age of all replicas is unknown.
     pub fn take<'a>(
         &mut self,
         listed: impl Iterator<Item = (&'a str, Option<Duration>)>,
@@ -161,7 +159,7 @@
         let mut ids = BTreeSet::new();
         for (replica, left) in listed {
             let is_new = self.known.as_ref().is_some_and(|known| !known.contains(replica));
-            let left = left.unwrap_or(if is_new { ASSUMED_COLD } else { Duration::ZERO });
+            let left = left.unwrap_or(if is_new { DEFAULT_COLD_TIME } else { Duration::ZERO });
             ids.insert(replica.to_owned());
             if self.note(replica, left, read_at) {
                 change.became_cold.push(replica.to_owned());
@@ -171,38 +169,39 @@
         change
     }
 
-    /// The replicas that are cold as of the last reading.
+    /// Returns the cold replicas as of the last reading.
     pub fn cold(&self) -> &ColdReplicas {
         &self.cold
     }
 
-    /// Notes a time left; returns whether it is news. The time noted is longer by the delay of the
-    /// list, so that the same end of the cold time, read with another delay, is no news.
+    /// Records a remaining cold time; returns whether it extends the known one. The recorded end
+    /// is later by [`MAX_LIST_LAG`], so that variations of the list's delay do not count as
+    /// extensions.
     fn note(&mut self, replica: &str, left: Duration, read_at: Instant) -> bool {
         if left.is_zero() {
             return false;
         }
-        let until = read_at + left.min(MOST_COLD);
-        let is_news = !self.cold.is_cold(replica, until);
-        if is_news {
-            self.cold.note(replica, until + LIST_LAG);
+        let until = read_at + left.min(MAX_COLD_TIME);
+        let is_extended = !self.cold.is_cold(replica, until);
+        if is_extended {
+            self.cold.note(replica, until + MAX_LIST_LAG);
         }
-        is_news
+        is_extended
     }
 }
 
-/// Zones that were given back so lately that the list may not show yet which of their replicas
-/// started again, and are cold, while the zone was drained.
+/// Recently undrained zones. Replicas that restarted while the zone was drained may be cold
+/// without being listed as such yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReturnedZones {
-    /// The zones that were drained when last told.
+    /// Drained zones as of the last update.
     drained: BTreeSet<Zone>,
-    /// When the list shows the replicas of a zone that was given back, by zone.
+    /// Time from which the replica list of an undrained zone is reliable, by zone.
     until: BTreeMap<Zone, Instant>,
 }
 
 impl ReturnedZones {
-    /// Takes in which zones are drained now, and forgets what was given back long ago.
+    /// Updates the drained zones, and removes zones whose replica list is reliable again.
     pub fn note(&mut self, drained: &DrainedZones, now: Instant) {
         self.until.retain(|_, until| now < *until);
         if self.drained == drained.zones {
@@ -214,9 +213,8 @@
         self.drained.clone_from(&drained.zones);
     }
 
-    /// Whether a zone was given back just now. Asked for every replica of every choice: comparing
-    /// the few zones one by one spares an allocation of a key.
+    /// Returns whether a zone was undrained recently.
     pub fn contains(&self, zone: &str, now: Instant) -> bool {
-        self.until.iter().any(|(returned, until)| returned.as_str() == zone && now < *until)
+        self.until.iter().any(|(undrained, until)| undrained.as_str() == zone && now < *until)
     }
 }
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration: routes, services and limits under one version.
+//! Versioned configurations of routes, services and tenants, and their validation.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,62 +9,61 @@
 use crate::eligibility::HomeRegions;
 use crate::tenant::{self, Tenant};
 
-/// What may be repeated on a route.
+/// Retry semantics and response type of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// A request runs at most once.
+    /// Requests run at most once.
     Unsafe,
-    /// The answer is a series of events; a request runs at most once unless the
-    /// route is resumable.
+    /// The response is an event stream. Requests run at most once, unless the route is resumable.
     Stream,
 }
 
-/// One service of a route with its share of the requests.
+/// A service with its share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
     /// Name of the service.
     pub service: String,
-    /// Share, relative to the sum of all weights of the route.
+    /// Weight, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and on which terms.
+/// Routing rule for requests with a given host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Name for logs and metrics.
+    /// Name in logs and metrics.
     pub name: String,
-    /// Host header, without a port.
+    /// Value of the host header, without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Retry semantics and response type.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Request timeout.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is in time.
+    /// Target time until the response, or until the first event of a stream.
     pub target_latency: Duration,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services with their weights; never empty.
+    /// Services with their weights; not empty.
     pub backends: Vec<Backend>,
-    /// Most replicas that may be given one request.
+    /// Maximum number of replicas to which one request is sent.
     pub max_attempts: u32,
-    /// Whether turns are kept, so that later ones bring only what is new.
+    /// Whether turns are retained, so that later turns contain only new messages.
     pub retain: bool,
-    /// How long a turn and its program's account are kept after their last use.
+    /// How long a turn and the account of its program are retained after their last use.
     pub retention: Duration,
-    /// Whether a broken stream may be continued from its last event.
+    /// Whether an interrupted stream may be resumed after its last event.
     pub resumable: bool,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
-    /// Where its requests may be served and kept.
+    /// Regions in which requests may be served and their content stored.
     pub homes: HomeRegions,
 }
 
 impl Route {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be retried after it may have run.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -73,55 +72,55 @@
         }
     }
 
-    /// The service for a request whose uniformly distributed hash is `hash`.
+    /// Returns the service for a request with this hash, which must be uniformly distributed.
     pub fn backend_for(&self, hash: u64) -> Option<&str> {
         let total: u64 = self.backends.iter().map(|backend| u64::from(backend.weight)).sum();
-        let mut left = hash.checked_rem(total)?;
+        let mut remaining = hash.checked_rem(total)?;
         for backend in &self.backends {
             let weight = u64::from(backend.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&backend.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// What is known of a service's inference engine.
+/// Properties of the inference engine of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that one replica runs at once.
+    /// Number of requests that one replica runs concurrently.
     pub slots: u32,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// Tokens that a replica's memory holds.
+    /// Capacity of a replica's memory, in tokens.
     pub memory_tokens: u64,
 }
 
-/// A service: a set of equal replicas.
+/// A service: a set of equivalent replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name in routes and in discovery.
     pub name: String,
-    /// Connections that one replica accepts from all callers together.
+    /// Maximum number of connections to one replica, from all gateways together.
     pub max_connections: u32,
-    /// Set where replicas are inference engines.
+    /// Engine properties, if the replicas are inference engines.
     pub engine: Option<Engine>,
-    /// What a replica bears that has just started; `None` for as much as any other.
+    /// Load limit of recently started replicas; `None` for no limit.
     pub cold: Option<ColdLimit>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time that a request's head may take.
+    /// Timeout for receiving a request head.
     pub header_timeout: Duration,
-    /// Longest time that a kept connection may rest.
+    /// Timeout of an idle keep-alive connection.
     pub idle_timeout: Duration,
 }
 
@@ -136,53 +135,52 @@
     }
 }
 
-/// A whole configuration. The one with the highest version is in force.
+/// A complete configuration. The one with the highest version is in effect.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Orders configurations.
+    /// Version number.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Bounds on callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// Who may send requests; without any, requests need no key.
+    /// Tenants. If there are none, requests need no API key.
     pub tenants: Vec<Tenant>,
 }
 
 impl Configuration {
-    /// Checks everything and reports all findings at once.
+    /// Validates the configuration and reports all findings at once.
     ///
-    /// # Errors
-    /// When a route names an unknown service, shares its place with another, has no
-    /// weight or no time, a name stands twice, two tenants share a key, or a limit is no
-    /// amount.
+    /// # Errors Returns findings for routes with an unknown service, a duplicate host and path
+    /// prefix, a malformed prefix, a total weight of 0 or a timeout of 0; for duplicate or invalid
+    /// names; for API keys of several tenants; and for limits that are negative or not finite.
     pub fn validate(&self) -> Result<(), Findings> {
-        let mut found = Vec::new();
-        self.check_services(&mut found);
-        let mut places = BTreeSet::new();
-        for (number, route) in self.routes.iter().enumerate() {
-            let field = format!("routes[{number}]");
-            self.check_route(&field, route, &mut found);
-            if !places.insert((&route.host, &route.path_prefix)) {
-                found.push(Finding::of_field(
+        let mut findings = Vec::new();
+        self.check_services(&mut findings);
+        let mut prefixes = BTreeSet::new();
+        for (index, route) in self.routes.iter().enumerate() {
+            let field = format!("routes[{index}]");
+            self.check_route(&field, route, &mut findings);
+            if !prefixes.insert((&route.host, &route.path_prefix)) {
+                findings.push(Finding::of_field(
                     field,
                     "another route has the same host and prefix",
                     "one route for each host and prefix",
                 ));
             }
         }
-        tenant::check(&self.tenants, &mut found);
-        Findings::into_result(found)
+        tenant::check(&self.tenants, &mut findings);
+        Findings::into_result(findings)
     }
 
-    fn check_services(&self, found: &mut Vec<Finding>) {
+    fn check_services(&self, findings: &mut Vec<Finding>) {
         let mut names = BTreeSet::new();
-        for (number, service) in self.services.iter().enumerate() {
+        for (index, service) in self.services.iter().enumerate() {
             if !names.insert(&service.name) {
-                found.push(Finding::of_field(
-                    format!("services[{number}].name"),
+                findings.push(Finding::of_field(
+                    format!("services[{index}].name"),
                     format!("{:?} stands twice", service.name),
                     "each name once",
                 ));
@@ -190,11 +188,11 @@
         }
     }
 
-    fn check_route(&self, field: &str, route: &Route, found: &mut Vec<Finding>) {
+    fn check_route(&self, field: &str, route: &Route, findings: &mut Vec<Finding>) {
         let is_known = |name: &str| self.services.iter().any(|service| service.name == name);
         for backend in &route.backends {
             if !is_known(&backend.service) {
-                found.push(Finding::of_field(
+                findings.push(Finding::of_field(
                     format!("{field}.backends"),
                     format!("service {:?} is unknown", backend.service),
                     "a name that stands under services",
@@ -203,18 +201,18 @@
         }
         let total: u64 = route.backends.iter().map(|backend| u64::from(backend.weight)).sum();
         if total == 0 {
-            found.push(Finding::of_field(
+            findings.push(Finding::of_field(
                 format!("{field}.backends"),
                 "the weights add up to 0",
                 "a sum above 0",
             ));
         }
         if route.timeout.is_zero() {
-            found.push(Finding::of_field(format!("{field}.timeout"), "is 0", "above 0"));
+            findings.push(Finding::of_field(format!("{field}.timeout"), "is 0", "above 0"));
         }
         let has_slashes = route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/');
         if !has_slashes {
-            found.push(Finding::of_field(
+            findings.push(Finding::of_field(
                 format!("{field}.path_prefix"),
                 format!("{:?} lacks a slash", route.path_prefix),
                 "a path that begins and ends with a slash",
@@ -222,7 +220,7 @@
         }
     }
 
-    /// The service called `name`.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -1,7 +1,7 @@
-//! Which replicas may get a request at all, before any of them is preferred.
+//! Eligibility of replicas for a request, checked before selection.
 //!
-//! The leader that places turns and the gateway that chooses by itself both ask here, so
-//! that neither sends work where the other would not.
+//! The leader, when it places turns, and gateways, when they select replicas, apply the same
+//! rules.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,28 +12,29 @@
 use crate::replica::{Replica, ReplicaState};
 use crate::topology::Topology;
 
-/// Regions in which a request may be served and its content kept.
+/// Regions in which a request may be served and its content stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HomeRegions(Option<BTreeSet<Region>>);
 
 impl HomeRegions {
-    /// Any region will do.
+    /// Allows any region.
     pub fn anywhere() -> Self {
         Self(None)
     }
 
-    /// Only these regions.
+    /// Allows only these regions.
     pub fn only(regions: impl IntoIterator<Item = Region>) -> Self {
         Self(Some(regions.into_iter().collect()))
     }
 
-    /// Whether some regions are excluded.
+    /// Returns whether only some regions are allowed.
     pub fn is_bound(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Whether this region is among them. One that is not known is among none.
+    /// Returns whether the region is allowed. An unknown region is allowed only if there is no
+    /// restriction.
     pub fn allows(&self, region: Option<&Region>) -> bool {
         match &self.0 {
             None => true,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// The regions that are named; none when any will do.
+    /// Iterates over the allowed regions; empty if there is no restriction.
     pub fn regions(&self) -> impl Iterator<Item = &Region> {
         self.0.iter().flatten()
     }
 
-    /// The regions that both allow.
+    /// Returns the regions that are allowed by both.
     pub fn intersection(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, homes) | (homes, None) => Self(homes.clone()),
@@ -55,29 +56,29 @@
     }
 }
 
-/// The zones whose replicas get nothing new, by order of an operator.
+/// Zones drained by an operator: their replicas receive no new requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainedZones {
-    /// Rises with every change; 0 before the first.
+    /// Version, incremented with every change; initially 0.
     pub version: u64,
-    /// The zones.
+    /// Drained zones.
     pub zones: BTreeSet<Zone>,
 }
 
 impl DrainedZones {
-    /// No zone is drained.
+    /// Creates an empty set with version 0.
     pub const fn none() -> Self {
         Self { version: 0, zones: BTreeSet::new() }
     }
 
-    /// Whether this zone is drained.
+    /// Returns whether the zone is drained.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 }
 
 impl fmt::Display for DrainedZones {
-    /// The zones with commas between them, a dash when there are none.
+    /// Writes the zones separated by commas, or a dash if there are none.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.zones.is_empty() {
             return formatter.write_str("-");
@@ -90,35 +91,35 @@
     }
 }
 
-/// Whether a replica may get a request, with the first reason against it.
+/// Whether a replica may serve a request, or the first reason why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eligibility {
-    /// No reason is against it.
+    /// The replica may serve the request.
     Eligible,
-    /// It is leaving.
-    Leaving,
-    /// It is in no region where the request may be served.
+    /// The replica is draining.
+    Draining,
+    /// The replica is outside the request's home regions.
     OutsideHome,
-    /// Its zone is drained.
+    /// The replica's zone is drained.
     ZoneDrained,
 }
 
-/// What decides on eligibility besides the replica itself.
+/// Rules that determine the eligibility of replicas for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct EligibilityRules<'a> {
-    /// Where zones lie.
+    /// Zones and regions of the deployment.
     pub topology: &'a Topology,
-    /// Where the request may be served.
+    /// Regions in which the request may be served.
     pub homes: &'a HomeRegions,
-    /// Zones that get nothing.
+    /// Drained zones.
     pub drained: &'a DrainedZones,
 }
 
 impl EligibilityRules<'_> {
-    /// The first reason against sending the request to `replica`, if there is one.
-    pub fn judge(&self, replica: &Replica) -> Eligibility {
+    /// Checks whether `replica` may serve the request.
+    pub fn check(&self, replica: &Replica) -> Eligibility {
         if replica.state != ReplicaState::Ready {
-            return Eligibility::Leaving;
+            return Eligibility::Draining;
         }
         if !self.homes.allows(self.topology.region_of(&replica.zone)) {
             return Eligibility::OutsideHome;
@@ -129,8 +130,8 @@
         Eligibility::Eligible
     }
 
-    /// Whether `replica` may get the request.
+    /// Returns whether `replica` may serve the request.
     pub fn admits(&self, replica: &Replica) -> bool {
-        self.judge(replica) == Eligibility::Eligible
+        self.check(replica) == Eligibility::Eligible
     }
 }
--- a/crates/routing/src/homes.rs
+++ b/crates/routing/src/homes.rs
@@ -1,8 +1,8 @@
-//! What is questionable about the homes in a configuration.
+//! Warnings about home regions in a configuration.
 //!
-//! A configuration is valid whatever its homes are, since regions come and go without a new
-//! configuration. Whoever puts one in force logs what [`question_homes`] finds. Names of regions are compared as they are
-//! written, so that `North` is not `north`.
+//! Home regions do not affect the validity of a configuration, since regions are added and removed
+//! independently of it. Problems found by [`question_homes`] are logged when a configuration is
+//! applied. Region names are case-sensitive.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 use crate::tenant::Tenant;
 use crate::topology::Topology;
 
-/// Whose homes they are.
+/// Route or tenant with home regions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HomeOwner {
     /// A route, by name.
@@ -31,31 +31,33 @@
     }
 }
 
-/// Something about homes that an operator may not have meant.
+/// Probable misconfiguration of home regions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HomeProblem {
-    /// No zone lies in a region that is named. The name is ignored; the other regions count.
+    /// A home region contains no zone. It is ignored.
     UnknownRegion {
-        /// Who names it.
+        /// Route or tenant that lists the region.
         owner: HomeOwner,
-        /// The name.
+        /// Name of the region.
         region: Region,
     },
-    /// All requests are refused.
+    /// No home region contains a zone. All requests are refused.
     NoHome {
-        /// Who has none.
+        /// Route or tenant without a usable home region.
         owner: HomeOwner,
     },
-    /// Requests of this tenant on this route are refused.
+    /// Route and tenant have no home region in common. Requests of the tenant on the route are
+    /// refused.
     NoOverlap {
-        /// The route, by name.
+        /// Name of the route.
         route: String,
         /// The tenant.
         tenant: TenantId,
     },
-    /// The ledger keeps turns in all regions, so that turns of this route are refused.
-    KeptElsewhere {
-        /// Whose homes leave out some regions.
+    /// Retained turns would also be stored outside the home regions, since the ledger is
+    /// replicated to all regions. Such turns are refused.
+    StoredOutsideHome {
+        /// Route or tenant with the home regions.
         owner: HomeOwner,
     },
 }
@@ -64,34 +66,40 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownRegion { owner, region } => {
-                write!(formatter, "{owner} names region {region}, in which no zone lies")
+                write!(formatter, "{owner} lists home region {region}, which contains no zone")
             }
             Self::NoHome { owner } => {
-                write!(formatter, "{owner} has no home: all its requests are refused")
+                write!(
+                    formatter,
+                    "{owner} has no home region with a zone: all its requests are refused"
+                )
             }
             Self::NoOverlap { route, tenant } => {
-                write!(formatter, "route {route} and tenant {tenant} have no home in common")
+                write!(formatter, "route {route} and tenant {tenant} have no home region in common")
             }
-            Self::KeptElsewhere { owner } => {
-                write!(formatter, "turns of {owner} are refused: they would be kept elsewhere, too")
+            Self::StoredOutsideHome { owner } => {
+                write!(
+                    formatter,
+                    "turns of {owner} are refused: they would also be stored outside its home regions"
+                )
             }
         }
     }
 }
 
-/// What was found, up to a limit: each of very many tenants may have a problem with each route.
+/// Problems found, up to a limit: there may be one for each pair of a tenant and a route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomeFindings {
-    /// The first problems.
+    /// Problems, up to the limit.
     pub problems: Vec<HomeProblem>,
-    /// Problems beyond these.
+    /// Number of problems beyond the limit.
     pub more: usize,
-    /// How many problems are kept.
+    /// Maximum number of problems to keep.
     limit: usize,
 }
 
 impl HomeFindings {
-    fn note(&mut self, problem: impl FnOnce() -> HomeProblem) {
+    fn add(&mut self, problem: impl FnOnce() -> HomeProblem) {
         if self.problems.len() < self.limit {
             self.problems.push(problem());
         } else {
@@ -100,9 +108,8 @@
     }
 }
 
-/// Finds what is questionable: regions without a zone, homes without a known region, routes and
-/// tenants without a home in common, and retained turns that would be kept outside of their homes. At most
-/// `limit` problems are kept, the others counted.
+/// Checks the home regions of all routes and tenants. Returns at most `limit` problems; further
+/// ones are only counted.
 pub fn question_homes(
     configuration: &Configuration,
     topology: &Topology,
@@ -112,27 +119,27 @@
     let mut findings = HomeFindings { limit, ..HomeFindings::default() };
     for route in routes {
         let owner = || HomeOwner::Route(route.name.clone());
-        question_owner(&owner, &route.homes, topology, &mut findings);
+        check_owner(&owner, &route.homes, topology, &mut findings);
         if route.retain && !topology.is_covered_by(&route.homes) {
-            findings.note(|| HomeProblem::KeptElsewhere { owner: owner() });
+            findings.add(|| HomeProblem::StoredOutsideHome { owner: owner() });
         }
     }
     let retains = routes.iter().any(|route| route.retain);
-    let bound = BoundRoutes::of(routes, topology);
+    let restricted = RestrictedRoutes::new(routes, topology);
     for tenant in configuration.tenants.iter().filter(|tenant| tenant.homes.is_bound()) {
         let owner = || HomeOwner::Tenant(tenant.id.clone());
-        question_owner(&owner, &tenant.homes, topology, &mut findings);
+        check_owner(&owner, &tenant.homes, topology, &mut findings);
         if retains && !topology.is_covered_by(&tenant.homes) {
-            findings.note(|| HomeProblem::KeptElsewhere { owner: owner() });
+            findings.add(|| HomeProblem::StoredOutsideHome { owner: owner() });
         }
         if topology.has_home(&tenant.homes) {
-            bound.question_overlap(tenant, topology, &mut findings);
+            restricted.check_overlap(tenant, topology, &mut findings);
         }
     }
     findings
 }
 
-fn question_owner(
+fn check_owner(
     owner: &impl Fn() -> HomeOwner,
     homes: &HomeRegions,
     topology: &Topology,
@@ -140,44 +147,44 @@
 ) {
     for region in homes.regions().filter(|region| !topology.has_region(region)) {
         let region = || region.clone();
-        findings.note(|| HomeProblem::UnknownRegion { owner: owner(), region: region() });
+        findings.add(|| HomeProblem::UnknownRegion { owner: owner(), region: region() });
     }
     if !topology.has_home(homes) {
-        findings.note(|| HomeProblem::NoHome { owner: owner() });
+        findings.add(|| HomeProblem::NoHome { owner: owner() });
     }
 }
 
-/// Routes that name homes. Routes that name none overlap with every tenant. Homes that several
-/// routes share are compared with those of a tenant only once: configurations have tens of
-/// thousands of tenants, and the thread that reads one serves no requests meanwhile.
-struct BoundRoutes<'a> {
+/// Routes with restricted home regions. Equal home regions are stored once, so that each is
+/// compared with those of a tenant only once; configurations may have tens of thousands of
+/// tenants.
+struct RestrictedRoutes<'a> {
     homes: Vec<&'a HomeRegions>,
-    /// Each route with the index of its homes in `homes`.
+    /// Routes, each with the index of its home regions in `homes`.
     routes: Vec<(&'a Route, usize)>,
 }
 
-impl<'a> BoundRoutes<'a> {
-    fn of(routes: &'a [Route], topology: &Topology) -> Self {
+impl<'a> RestrictedRoutes<'a> {
+    fn new(routes: &'a [Route], topology: &Topology) -> Self {
         let mut homes: Vec<&HomeRegions> = Vec::new();
-        let mut bound = Vec::new();
+        let mut restricted = Vec::new();
         let has_home = |route: &&Route| route.homes.is_bound() && topology.has_home(&route.homes);
         for route in routes.iter().filter(has_home) {
-            let place = homes.iter().position(|known| **known == route.homes);
-            let place = place.unwrap_or_else(|| {
+            let index = homes.iter().position(|existing| **existing == route.homes);
+            let index = index.unwrap_or_else(|| {
                 homes.push(&route.homes);
                 homes.len() - 1
             });
-            bound.push((route, place));
+            restricted.push((route, index));
         }
-        Self { homes, routes: bound }
+        Self { homes, routes: restricted }
     }
 
-    /// Notes the routes that have no home in common with a tenant.
-    fn question_overlap(&self, tenant: &Tenant, topology: &Topology, findings: &mut HomeFindings) {
-        let meets = |homes: &&HomeRegions| topology.has_home(&homes.intersection(&tenant.homes));
-        let meeting: Vec<bool> = self.homes.iter().map(meets).collect();
-        for (route, _) in self.routes.iter().filter(|(_, place)| !meeting[*place]) {
-            findings.note(|| HomeProblem::NoOverlap {
+    /// Adds a problem for each route that has no home region in common with the tenant.
+    fn check_overlap(&self, tenant: &Tenant, topology: &Topology, findings: &mut HomeFindings) {
+        let overlaps = |homes: &&HomeRegions| topology.has_home(&homes.intersection(&tenant.homes));
+        let overlapping: Vec<bool> = self.homes.iter().map(overlaps).collect();
+        for (route, _) in self.routes.iter().filter(|(_, index)| !overlapping[*index]) {
+            findings.add(|| HomeProblem::NoOverlap {
                 route: route.name.clone(),
                 tenant: tenant.id.clone(),
             });
--- a/crates/routing/src/incarnation.rs
+++ b/crates/routing/src/incarnation.rs
@@ -1,7 +1,7 @@
-//! Starts of replicas.
+//! Incarnations of replicas: successive starts under one identity.
 //!
-//! A replica may start again under the identity that it had. It then holds nothing of before, and
-//! runs nothing that was sent before: all that is known of a replica belongs to one start.
+//! A restarted replica has lost its cache and its running requests. State about a replica
+//! therefore belongs to one incarnation.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -11,21 +11,19 @@
 
 use crate::replica::Replica;
 
-/// Readings of a list after which a start that is not listed any more is forgotten: a minute with a
-/// reading every 700 ms, far longer than a list lags.
-const FORGOTTEN_AFTER: u64 = 100;
+/// Number of list readings after which an unlisted replica is forgotten.
+const FORGET_AFTER_READINGS: u64 = 100;
 
-/// Replicas whose starts are kept at most: two lists of the longest that is read, a few MB. Beyond it
-/// only those of the present list stay.
-const MOST_KNOWN: usize = 32_768;
+/// Maximum number of tracked replicas. Above it, only those in the current list are kept.
+const MAX_TRACKED: usize = 32_768;
 
-/// When a process started, in ms of Unix time by its own clock. It orders the starts of one replica
-/// and is compared with nothing else.
+/// Start time of a replica's process, in ms of Unix time by its own clock. Only comparable between
+/// starts of the same replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StartTime(u64);
 
 impl StartTime {
-    /// The start at this many ms of Unix time.
+    /// Creates a start time from ms of Unix time.
     pub fn from_unix_ms(ms: u64) -> Self {
         Self(ms)
     }
@@ -45,18 +43,18 @@
     }
 }
 
-/// One start of a replica. Shown as `identity@start`, and as the identity alone when the start is
-/// not told: then identity alone counts.
+/// One start of a replica. Formatted as `identity@start`, or as the identity alone if the start
+/// time is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// What the replica calls itself.
+    /// Identity of the replica, which is the same after a restart.
     pub identity: String,
-    /// When it started, where that is told.
+    /// Start time, if known.
     pub start: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// Splits what [`Replica::id`] holds.
+    /// Splits a [`Replica::id`] into identity and start time.
     fn split(id: &str) -> (&str, Option<StartTime>) {
         match id.rsplit_once('@') {
             Some((identity, "")) => (identity, None),
@@ -68,7 +66,7 @@
         }
     }
 
-    /// What the replica with this [`Replica::id`] calls itself.
+    /// Returns the identity in a [`Replica::id`].
     pub fn identity_of(id: &str) -> &str {
         Self::split(id).0
     }
@@ -79,7 +77,7 @@
         let Self { identity, start } = self;
         match start {
             Some(start) => write!(formatter, "{identity}@{start}"),
-            // What follows the last `@` must not be taken for a start.
+            // A trailing `@` keeps an `@` in the identity from being parsed as the separator.
             None if identity.contains('@') => write!(formatter, "{identity}@"),
             None => identity.fmt(formatter),
         }
@@ -93,112 +91,112 @@
     }
 }
 
-/// Whether an entry of a list counts.
+/// Status of an entry in a replica list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStart {
-    /// It is the newest start of its replica.
+    /// The newest known incarnation of its replica.
     Newest,
-    /// A later start of the same replica is known.
+    /// A later incarnation of the same replica is known, or the entry is a duplicate.
     Superseded,
-    /// Another entry under the same identity tells something else of the same start: it is not
-    /// known which of them is the replica.
+    /// Another entry has the same id but different properties, so neither can be trusted.
     Ambiguous,
 }
 
-/// What a list tells of starts.
+/// Result of processing a replica list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartReview {
-    /// Whether each entry counts, in the order of the list.
+    /// Status of each entry, in the order of the list.
     pub entries: Vec<ListedStart>,
-    /// Replicas that have started again under the identity that they had.
+    /// Number of replicas that have restarted since the previous list.
     pub restarted: usize,
 }
 
 impl StartReview {
-    /// How many entries do not count.
+    /// Returns the number of entries that must not be used.
     pub fn left_out(&self) -> usize {
         self.entries.iter().filter(|entry| **entry != ListedStart::Newest).count()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct KnownStart {
+struct TrackedStart {
     start: Option<StartTime>,
-    /// Number of the reading that showed it last.
+    /// Number of the last list that contained the replica.
     reading: u64,
 }
 
-/// The newest start of each replica that lists have shown. An older start never replaces a newer
-/// one, in whatever order lists arrive.
+/// Tracks the newest start of each replica over successive lists. An older start never replaces a
+/// newer one, regardless of the order in which lists arrive.
 #[derive(Clone, Debug, Default)]
 pub struct NewestStarts {
     reading: u64,
-    known: HashMap<String, KnownStart>,
+    tracked: HashMap<String, TrackedStart>,
 }
 
 impl NewestStarts {
-    /// Takes in a whole list, and judges each of its entries.
+    /// Processes a complete list, and determines the status of each entry.
     pub fn take<'a>(&mut self, list: impl Iterator<Item = &'a Replica> + Clone) -> StartReview {
         self.reading += 1;
-        let restarted = list.clone().filter(|replica| self.note(replica)).count();
-        let kept = if self.known.len() > MOST_KNOWN { 1 } else { FORGOTTEN_AFTER };
-        self.known.retain(|_, known| known.reading + kept > self.reading);
-        let mut chosen: HashMap<&str, ChosenEntry<'a>> = HashMap::new();
+        let restarted = list.clone().filter(|replica| self.record(replica)).count();
+        let keep_readings =
+            if self.tracked.len() > MAX_TRACKED { 1 } else { FORGET_AFTER_READINGS };
+        self.tracked.retain(|_, tracked| tracked.reading + keep_readings > self.reading);
+        let mut groups: HashMap<&str, EntryGroup<'a>> = HashMap::new();
         for replica in list.clone().filter(|replica| self.is_newest(replica)) {
-            chosen
+            groups
                 .entry(replica.id.as_str())
-                .or_insert_with(|| ChosenEntry::new(replica))
-                .meet(replica);
+                .or_insert_with(|| EntryGroup::new(replica))
+                .compare(replica);
         }
-        let judge = |replica: &'a Replica| match chosen.get_mut(replica.id.as_str()) {
+        let status = |replica: &'a Replica| match groups.get_mut(replica.id.as_str()) {
             None => ListedStart::Superseded,
-            Some(chosen) => chosen.judge(),
+            Some(group) => group.next_status(),
         };
-        StartReview { entries: list.map(judge).collect(), restarted }
+        StartReview { entries: list.map(status).collect(), restarted }
     }
 
-    /// Returns whether an earlier start was known.
-    fn note(&mut self, replica: &Replica) -> bool {
+    /// Records the start of a replica. Returns whether it is a restart.
+    fn record(&mut self, replica: &Replica) -> bool {
         let (identity, start) = Incarnation::split(&replica.id);
-        let fresh = KnownStart { start, reading: self.reading };
-        match self.known.entry(identity.to_owned()) {
-            Entry::Vacant(place) => {
-                place.insert(fresh);
+        let new_start = TrackedStart { start, reading: self.reading };
+        match self.tracked.entry(identity.to_owned()) {
+            Entry::Vacant(vacant) => {
+                vacant.insert(new_start);
                 false
             }
             Entry::Occupied(known) if known.get().start > start => false,
-            Entry::Occupied(mut known) => known.insert(fresh).start < start,
+            Entry::Occupied(mut known) => known.insert(new_start).start < start,
         }
     }
 
     fn is_newest(&self, replica: &Replica) -> bool {
         let (identity, start) = Incarnation::split(&replica.id);
-        self.known.get(identity).is_none_or(|known| known.start <= start)
+        self.tracked.get(identity).is_none_or(|tracked| tracked.start <= start)
     }
 }
 
-/// The entries of one start within a list.
-struct ChosenEntry<'a> {
+/// Entries with the same id within a list.
+struct EntryGroup<'a> {
     first: &'a Replica,
     is_ambiguous: bool,
-    is_taken: bool,
+    is_first_used: bool,
 }
 
-impl<'a> ChosenEntry<'a> {
+impl<'a> EntryGroup<'a> {
     fn new(first: &'a Replica) -> Self {
-        Self { first, is_ambiguous: false, is_taken: false }
+        Self { first, is_ambiguous: false, is_first_used: false }
     }
 
-    fn meet(&mut self, other: &Replica) {
+    fn compare(&mut self, other: &Replica) {
         self.is_ambiguous |= self.first != other;
     }
 
-    /// The first of equal entries counts.
-    fn judge(&mut self) -> ListedStart {
+    /// Returns the status of the next entry. Only the first of equal entries is used.
+    fn next_status(&mut self) -> ListedStart {
         if self.is_ambiguous {
             return ListedStart::Ambiguous;
         }
-        if std::mem::replace(&mut self.is_taken, true) {
+        if std::mem::replace(&mut self.is_first_used, true) {
             return ListedStart::Superseded;
         }
         ListedStart::Newest
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,18 +1,18 @@
-//! What operators configure and which replica a request goes to.
+//! Routing configuration and replica selection.
 //!
-//! Everything here is a pure function of its arguments: no clock, no socket.
+//! This crate performs no I/O and does not read the clock.
 //!
-//! - [`tenant`]: tenants, their keys and limits;
-//! - [`configuration`]: a whole, versioned configuration and what makes it valid;
-//! - [`table`]: from host and path to a route;
-//! - [`replica`]: the replicas of services, as discovery lists them;
-//! - [`incarnation`]: starts of replicas under one identity;
-//! - [`topology`]: where zones lie;
-//! - [`eligibility`]: which replicas may get a request at all;
-//! - [`homes`]: what is questionable about homes in a configuration;
-//! - [`cold`]: replicas that have just started;
-//! - [`load`]: what is under way at a replica, as one of many gateways can know it;
-//! - [`select`]: the choice of a replica by cost.
+//! - [`tenant`]: tenants, their API keys and rate limits;
+//! - [`configuration`]: versioned configurations and their validation;
+//! - [`table`]: look-up of routes by host and path;
+//! - [`replica`]: replicas of services, as listed by discovery;
+//! - [`incarnation`]: successive starts of a replica under one identity;
+//! - [`topology`]: zones and regions;
+//! - [`eligibility`]: which replicas may serve a request;
+//! - [`homes`]: warnings about home regions in a configuration;
+//! - [`cold`]: recently started replicas that accept limited load;
+//! - [`load`]: load estimates of replicas, as seen by one gateway;
+//! - [`select`]: selection of a replica by cost.
 
 pub mod cold;
 pub mod configuration;
@@ -34,7 +34,7 @@
 pub use eligibility::{DrainedZones, Eligibility, EligibilityRules, HomeRegions};
 pub use homes::{HomeFindings, HomeOwner, HomeProblem, question_homes};
 pub use incarnation::{Incarnation, ListedStart, NewestStarts, StartReview, StartTime};
-pub use load::{MeanLoad, expected_ahead};
+pub use load::{MeanLoad, expected_queue_length};
 pub use replica::{Replica, ReplicaList, ReplicaState};
 pub use select::{Affinity, Candidate, CostWeights, choose, spread, stable_hash};
 pub use table::RouteTable;
--- a/crates/routing/src/replica.rs
+++ b/crates/routing/src/replica.rs
@@ -1,41 +1,41 @@
-//! The replicas of services, as discovery lists them.
+//! Replicas of services, as listed by discovery.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a replica takes new work.
+/// Whether a replica accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaState {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is leaving: it finishes what it has and must get nothing new.
+    /// Completes its running requests and accepts no new ones.
     Draining,
 }
 
 /// One running replica of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Names this start, as [`Incarnation`](crate::Incarnation) shows it. Whatever is known of a
-    /// replica is kept by it, so that a later start under the same identity begins anew.
+    /// Id of this incarnation, in the format of [`Incarnation`](crate::Incarnation). All state
+    /// about a replica is keyed by it, so that a restarted replica begins with fresh state.
     pub id: String,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the replica listens.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Zone in which the replica runs.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the replica accepts new requests.
     pub state: ReplicaState,
 }
 
-/// All replicas as of one reading of discovery.
+/// All replicas, as read from discovery at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaList {
-    /// Rises with each reading that differs from the one before, within a reader.
+    /// Version, incremented whenever a reader finds the list changed. Local to the reader.
     pub version: u64,
-    /// The replicas, in the order of the reading.
+    /// Replicas, in the order of discovery.
     pub replicas: Vec<Replica>,
 }
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -1,64 +1,62 @@
-//! The choice of a replica: least estimated time until the first token.
+//! Replica selection: least estimated time to first token.
 //!
-//! A request without any prompt to find again is spread instead, see [`spread`].
+//! The cost of a replica is the estimated wait for a slot, plus the time to process the part of
+//! the prompt that it has not cached. All gateways agree by rendezvous hashing (Thaler and
+//! Ravishankar, 1998) on the preferred replica of a conversation, which is assumed to have its
+//! prompt cached. Another replica is selected only if waiting costs more than processing the
+//! prompt again.
 //!
-//! The cost of a replica is the time a request would wait there for a slot, plus the
-//! time to read what the replica does not hold of the prompt. Which replica holds a
-//! line of turns is not looked up: all gateways place it on the same replica by
-//! rendezvous hashing (Thaler and Ravishankar, 1998), and leave it only when waiting
-//! there costs more than reading the prompt anew elsewhere.
+//! Requests without a cacheable prompt are balanced by [`spread`].
 
 use std::time::Duration;
 
-use crate::load::{MeanLoad, expected_ahead};
+use crate::load::{MeanLoad, expected_queue_length};
 use crate::topology::Distance;
 
-/// A replica as the choice sees it.
+/// A replica that may be selected.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Identity of the replica.
+    /// Id of the replica.
     pub id: &'a str,
-    /// Requests that it runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// Requests of this gateway that run or wait there.
+    /// Number of outstanding requests of this gateway.
     pub own_load: u32,
-    /// Those of all other gateways.
+    /// Average number of outstanding requests of all other gateways.
     pub other_load: MeanLoad,
-    /// How far it is from the caller.
+    /// Distance from the gateway.
     pub distance: Distance,
-    /// Whether a connection to it is kept and free.
+    /// Whether there is an idle connection to the replica.
     pub is_connected: bool,
-    /// Place among replicas that cost the same. Each gateway has an order of its own:
-    /// with one order for all, hundreds of gateways would begin with the same replica.
+    /// Tie-breaker among replicas with equal cost. It differs between gateways, so that they do
+    /// not all select the same replica.
     pub rank: u64,
-    /// When this gateway last sent it something, as a count; 0 for never.
+    /// Sequence number of this gateway's last request to the replica; 0 for none.
     pub last_used: u64,
-    /// Extra time that its recent failures are worth.
+    /// Additional cost because of recent failures.
     pub penalty: Duration,
 }
 
-/// What waiting and reading cost.
+/// Parameters of the cost estimate.
 #[derive(Clone, Copy, Debug)]
 pub struct CostWeights {
-    /// Time that one request holds a slot, about.
+    /// Typical time for which a request occupies a slot.
     pub service_time: Duration,
-    /// Slowdown that each running request brings to a further one.
+    /// Slowdown of a request by each other running request.
     pub per_running: Duration,
-    /// Prompt tokens that a replica reads in a millisecond.
+    /// Number of prompt tokens that a replica processes per millisecond.
     pub tokens_per_ms: u32,
-    /// Cost of leaving the caller's zone.
+    /// Cost of leaving the gateway's zone.
     pub zone_crossing: Duration,
-    /// Cost of leaving the caller's region: each request and its answer go over the link that
-    /// is slowest and dearest. About one request's time, so that it stays in the region until
-    /// it would wait there for a slot about that long.
+    /// Cost of leaving the gateway's region. Corresponds to about one service time, so that
+    /// requests stay in the region unless they would wait about that long for a slot.
     pub region_crossing: Duration,
-    /// Cost of a new connection: a way there and back, and a place at the replica.
+    /// Cost of opening a new connection.
     pub connecting: Duration,
 }
 
 impl CostWeights {
-    /// Cost of going so far.
-    fn crossing(&self, distance: Distance) -> Duration {
+    fn crossing_cost(&self, distance: Distance) -> Duration {
         distance.cost(self.zone_crossing, self.region_crossing)
     }
 }
@@ -76,48 +74,55 @@
     }
 }
 
-/// Most of its requests that a zone sends to others because they wait less.
-const MOST_MOVED: f64 = 0.5;
+/// Maximum share of requests that a zone sends to other zones for a shorter wait.
+const MAX_REMOTE_SHARE: f64 = 0.5;
 
-/// Where a request would like to run, and what it brings.
+/// Cache affinity of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Affinity {
-    /// Hash of what its prompt shares with earlier ones; `None` without any.
+    /// Hash of the prompt prefix shared with earlier requests; `None` if there is none.
     pub key: Option<u64>,
-    /// Tokens that a replica without that prompt reads anew.
+    /// Number of tokens that a replica has to process if the prefix is not cached.
     pub tokens: u32,
 }
 
-/// Index of the cheapest candidate; `None` when there is none.
+/// Returns the index of the candidate with the lowest cost, or `None` without candidates.
 pub fn choose(
     candidates: &[Candidate<'_>],
     affinity: Affinity,
     weights: &CostWeights,
 ) -> Option<usize> {
-    let home = affinity.key.and_then(|key| home_of(candidates, key));
+    let preferred = affinity.key.and_then(|key| preferred_replica(candidates, key));
     let cost = |index: usize| {
         let candidate = &candidates[index];
-        let reading = if home == Some(index) || affinity.key.is_none() {
+        let prompt_time = if preferred == Some(index) || affinity.key.is_none() {
             Duration::ZERO
         } else {
             Duration::from_millis(u64::from(affinity.tokens / weights.tokens_per_ms.max(1)))
         };
-        let crossing = weights.crossing(candidate.distance);
+        let crossing_cost = weights.crossing_cost(candidate.distance);
         let is_connected = candidate.is_connected;
-        let connecting = if is_connected { Duration::ZERO } else { weights.connecting };
-        waiting_time(candidate, weights) + reading + crossing + connecting + candidate.penalty
+        let connection_cost = if is_connected { Duration::ZERO } else { weights.connecting };
+        waiting_time(candidate, weights)
+            + prompt_time
+            + crossing_cost
+            + connection_cost
+            + candidate.penalty
     };
     (0..candidates.len()).min_by_key(|index| (cost(*index), candidates[*index].rank))
 }
 
-/// Index of the replica for a request that would be served alike at any of them; `None` when there
-/// is none. `draw` is the request's own even draw from 0 to 1.
+/// Returns the index of the candidate for a request without affinity, or `None` without
+/// candidates. `draw` is a random number of the request, uniformly distributed between 0 and 1.
 ///
-/// What a gateway knows for certain is what it has under way itself. So it sends in turn to the
-/// replicas that have least of that; what it hears of others is too late to tell which replica has
-/// a free slot now, and all gateways hear the same. Only the mean load of a zone is steady enough:
-/// where one waits longer than another, a share of the requests goes over in proportion. To move
-/// all of them would overload the other zone before anybody hears of it.
+/// In the nearest zone, the candidate with the fewest outstanding requests of this gateway is
+/// selected, and among equal ones the least recently used. A farther candidate with fewer
+/// outstanding requests is preferred if that outweighs the cost of leaving the zone.
+///
+/// Load reports about other gateways are too old for the choice between single replicas, so only
+/// the average load of zones is compared. If the expected wait is shorter farther away, a
+/// proportional share of the requests is sent there. Sending all of them would overload the other
+/// zones before the gateways learn of it.
 pub fn spread(candidates: &[Candidate<'_>], draw: f64, weights: &CostWeights) -> Option<usize> {
     let order = |index: &usize| {
         let candidate = &candidates[*index];
@@ -130,28 +135,29 @@
     let Some(other) = far.iter().copied().min_by_key(order) else {
         return Some(best);
     };
-    let is_held_up = |index: usize| (candidates[index].penalty, candidates[index].own_load);
-    if is_held_up(other) < is_held_up(best) {
-        let crossing = weights.crossing(candidates[other].distance);
-        let fewer = candidates[best].own_load.saturating_sub(candidates[other].own_load);
-        let gain = weights.service_time * fewer / candidates[best].slots.max(1)
+    let local_load = |index: usize| (candidates[index].penalty, candidates[index].own_load);
+    if local_load(other) < local_load(best) {
+        let crossing_cost = weights.crossing_cost(candidates[other].distance);
+        let surplus = candidates[best].own_load.saturating_sub(candidates[other].own_load);
+        let gain = weights.service_time * surplus / candidates[best].slots.max(1)
             + candidates[best].penalty.saturating_sub(candidates[other].penalty);
-        return Some(if crossing < gain { other } else { best });
+        return Some(if crossing_cost < gain { other } else { best });
     }
     let wait = |indices: &[usize]| mean_wait(candidates, indices, weights);
-    let crossing = weights.crossing(candidates[other].distance);
-    let gain = wait(&near).saturating_sub(wait(&far) + crossing);
-    let share = (gain.as_secs_f64() / weights.service_time.as_secs_f64() / 2.0).min(MOST_MOVED);
+    let crossing_cost = weights.crossing_cost(candidates[other].distance);
+    let gain = wait(&near).saturating_sub(wait(&far) + crossing_cost);
+    let share =
+        (gain.as_secs_f64() / weights.service_time.as_secs_f64() / 2.0).min(MAX_REMOTE_SHARE);
     Some(if draw < share { other } else { best })
 }
 
-/// Time that a request is expected to wait at one of these replicas, by their mean load.
+/// Returns the expected wait for a slot, averaged over these candidates.
 fn mean_wait(candidates: &[Candidate<'_>], indices: &[usize], weights: &CostWeights) -> Duration {
     let waits = indices.iter().map(|index| {
         let candidate = &candidates[*index];
         let slots = candidate.slots.max(1);
-        let ahead = expected_ahead(candidate.own_load, candidate.other_load, slots);
-        weights.service_time.mul_f64(ahead / f64::from(slots))
+        let queue_length = expected_queue_length(candidate.own_load, candidate.other_load, slots);
+        weights.service_time.mul_f64(queue_length / f64::from(slots))
     });
     waits.sum::<Duration>() / u32::try_from(indices.len()).unwrap_or(1).max(1)
 }
@@ -160,13 +166,14 @@
     let slots = candidate.slots.max(1);
     let load = f64::from(candidate.own_load) + candidate.other_load.get();
     let running = load.min(f64::from(slots));
-    let ahead = expected_ahead(candidate.own_load, candidate.other_load, slots);
-    weights.per_running.mul_f64(running) + weights.service_time.mul_f64(ahead / f64::from(slots))
+    let queue_length = expected_queue_length(candidate.own_load, candidate.other_load, slots);
+    weights.per_running.mul_f64(running)
+        + weights.service_time.mul_f64(queue_length / f64::from(slots))
 }
 
-/// The candidate with the highest hash of key and identity. Candidates of the caller's region go
-/// before all others: gateways of a region agree on one, and a line of turns stays in its region.
-fn home_of(candidates: &[Candidate<'_>], key: u64) -> Option<usize> {
+/// Returns the candidate with the highest hash of key and id. Candidates in the gateway's region
+/// take precedence, so that all gateways of a region agree and a conversation stays in its region.
+fn preferred_replica(candidates: &[Candidate<'_>], key: u64) -> Option<usize> {
     let rank = |index: usize| {
         let candidate = &candidates[index];
         let is_near = candidate.distance < Distance::OtherRegion;
@@ -175,7 +182,7 @@
     (0..candidates.len()).max_by_key(|index| rank(*index))
 }
 
-/// A hash that is equal in every process and release.
+/// Returns a hash that is the same in all processes and releases.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! From host and path to a route.
+//! Look-up of routes by host and path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 use crate::configuration::{Configuration, Limits, Route, Service};
 use crate::tenant::{KeyRing, KeySecret};
 
-/// A configuration, indexed for look-ups.
+/// A configuration indexed for look-ups.
 #[derive(Debug)]
 pub struct RouteTable {
     version: u64,
     limits: Limits,
-    /// Routes of each host, longest prefix first.
+    /// Routes by host, longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
     keys: KeyRing,
 }
 
 impl RouteTable {
-    /// Indexes a valid configuration; its keys are hashed with `secret`.
+    /// Indexes a valid configuration. API keys are hashed with `secret`.
     pub fn new(configuration: Configuration, secret: &KeySecret) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in configuration.routes {
@@ -38,24 +38,24 @@
         }
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on requests and connections of callers.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Whose keys are whose.
+    /// Returns the look-up of tenants by API key.
     pub fn keys(&self) -> &KeyRing {
         &self.keys
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// `host` may carry a port and `path` a query; both are ignored.
+    /// A port in `host` and a query in `path` are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let path = path.split_once('?').map_or(path, |(before, _)| before);
@@ -63,7 +63,7 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The service called `name`.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/crates/routing/src/tenant.rs
+++ b/crates/routing/src/tenant.rs
@@ -1,8 +1,7 @@
-//! Tenants, their keys, and the look-up from a key to its tenant.
+//! Tenants, their API keys, and the look-up of a tenant by key.
 //!
-//! A key is kept as text only while a configuration is read. From then on there is a
-//! keyed hash of it, whose secret belongs to the process, so that neither memory nor a
-//! log tells a key.
+//! Keys are held as plain text only while a configuration is loaded. Afterwards only a keyed hash
+//! is stored, with a secret of the process, so that keys can't be read from memory or logs.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,12 +12,12 @@
 
 use crate::eligibility::HomeRegions;
 
-/// A key as a caller or an operator wrote it. It is never shown.
+/// API key in plain text, as sent by a caller or configured by an operator. Redacted in `Debug`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// Takes a key's text.
+    /// Creates a key from its text.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
@@ -30,23 +29,23 @@
     }
 }
 
-/// What a request shows of whom it comes from.
+/// Credential of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     Missing,
-    /// Something that is no key: another scheme, no text, or two at a time.
+    /// Unsupported scheme, invalid text, or more than one credential.
     Unreadable,
-    /// A key.
+    /// An API key.
     Key(ApiKey),
 }
 
-/// Requests that a tenant may send, over all gateways together.
+/// Rate limit of a tenant, over all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Requests a second in the long run.
+    /// Sustained rate, in requests per second.
     pub per_second: f64,
-    /// Requests on top of that, at once.
+    /// Burst size, in requests.
     pub burst: f64,
 }
 
@@ -56,72 +55,73 @@
     }
 }
 
-/// A tenant.
+/// A tenant with its keys and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as replicas are told it.
+    /// Name, as sent to replicas.
     pub id: TenantId,
-    /// Its keys.
+    /// API keys.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, before that of their routes; 0 is the most urgent.
+    /// Priority of its requests, which takes precedence over that of their route; 0 is the
+    /// highest.
     pub priority: Option<u8>,
-    /// What it may send; `None` for no limit.
+    /// Rate limit, if any.
     pub limit: Option<RateLimit>,
-    /// Where its requests may be served and kept.
+    /// Regions in which its requests may be served and their content stored.
     pub homes: HomeRegions,
 }
 
-/// Adds what is wrong with the tenants of a configuration.
-pub(crate) fn check(tenants: &[Tenant], found: &mut Vec<Finding>) {
-    let mut names = HashMap::new();
-    let mut holders = HashMap::new();
-    for (number, tenant) in tenants.iter().enumerate() {
-        let field = format!("tenants[{number}]");
-        check_name(&field, tenant, found);
-        check_limit(&field, tenant, found);
-        if let Some(other) = names.insert(tenant.id.as_str(), number) {
-            let problem = format!("has the name of tenants[{other}]");
-            found.push(Finding::of_field(format!("{field}.name"), problem, "each name once"));
+/// Adds findings about the tenants of a configuration.
+pub(crate) fn check(tenants: &[Tenant], findings: &mut Vec<Finding>) {
+    let mut indices_by_name = HashMap::new();
+    let mut indices_by_key = HashMap::new();
+    for (index, tenant) in tenants.iter().enumerate() {
+        let field = format!("tenants[{index}]");
+        check_name(&field, tenant, findings);
+        check_limit(&field, tenant, findings);
+        if let Some(previous) = indices_by_name.insert(tenant.id.as_str(), index) {
+            let problem = format!("has the name of tenants[{previous}]");
+            findings.push(Finding::of_field(format!("{field}.name"), problem, "each name once"));
         }
         for key in &tenant.keys {
-            let holder = *holders.entry(key.0.as_str()).or_insert(number);
-            if holder != number {
-                let problem = format!("has a key of tenants[{holder}]");
+            let first = *indices_by_key.entry(key.0.as_str()).or_insert(index);
+            if first != index {
+                let problem = format!("has a key of tenants[{first}]");
                 let accepted = "keys that no other tenant has";
-                found.push(Finding::of_field(format!("{field}.api_keys"), problem, accepted));
+                findings.push(Finding::of_field(format!("{field}.api_keys"), problem, accepted));
             }
         }
     }
 }
 
-/// The name goes into a header, and in front of names of the tenant's own.
-fn check_name(field: &str, tenant: &Tenant, found: &mut Vec<Finding>) {
+/// The name is sent in a header and prefixed to names that the tenant chooses.
+fn check_name(field: &str, tenant: &Tenant, findings: &mut Vec<Finding>) {
     let name = tenant.id.as_str();
     if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
         let accepted = "visible ASCII without blanks";
-        found.push(Finding::of_field(format!("{field}.name"), format!("{name:?}"), accepted));
+        findings.push(Finding::of_field(format!("{field}.name"), format!("{name:?}"), accepted));
     }
 }
 
-fn check_limit(field: &str, tenant: &Tenant, found: &mut Vec<Finding>) {
+fn check_limit(field: &str, tenant: &Tenant, findings: &mut Vec<Finding>) {
     let Some(limit) = tenant.limit else {
         return;
     };
-    let is_amount = |value: f64| value.is_finite() && value >= 0.0;
-    if !is_amount(limit.per_second) || !is_amount(limit.burst) {
+    let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+    if !is_valid(limit.per_second) || !is_valid(limit.burst) {
         let accepted = "numbers from 0 on";
-        found.push(Finding::of_field(format!("{field}.limit"), limit.to_string(), accepted));
+        findings.push(Finding::of_field(format!("{field}.limit"), limit.to_string(), accepted));
     }
 }
 
-/// The secret of one process, with which it hashes keys.
+/// Secret of the process for hashing API keys.
 #[derive(Clone)]
 pub struct KeySecret([u8; blake3::KEY_LEN]);
 
 impl KeySecret {
-    /// Takes random bytes.
-    pub fn new(random: [u8; blake3::KEY_LEN]) -> Self {
-        Self(random)
+    /// Creates a secret from random bytes.
+    pub fn new(bytes: [u8; blake3::KEY_LEN]) -> Self {
+        Self(bytes)
     }
 
     fn digest(&self, key: &ApiKey) -> blake3::Hash {
@@ -135,42 +135,42 @@
     }
 }
 
-/// From keys to tenants.
+/// Look-up of tenants by API key.
 #[derive(Debug)]
 pub struct KeyRing {
     secret: KeySecret,
     tenants: Vec<Arc<Tenant>>,
-    /// Index of the tenant, by key. Two hashes are compared in the same time whatever they
-    /// are.
-    holders: HashMap<blake3::Hash, usize>,
+    /// Index of the tenant, by hash of the key. Hashes are compared in constant time.
+    indices_by_key: HashMap<blake3::Hash, usize>,
 }
 
 impl KeyRing {
-    /// Takes the tenants of a valid configuration and forgets their keys' text.
+    /// Creates the look-up from the tenants of a valid configuration. Drops the plain text of
+    /// keys.
     pub fn new(tenants: Vec<Tenant>, secret: &KeySecret) -> Self {
-        let mut holders = HashMap::new();
-        let mut kept = Vec::with_capacity(tenants.len());
+        let mut indices_by_key = HashMap::new();
+        let mut indexed = Vec::with_capacity(tenants.len());
         for mut tenant in tenants {
             let keys = std::mem::take(&mut tenant.keys);
-            holders.extend(keys.iter().map(|key| (secret.digest(key), kept.len())));
-            kept.push(Arc::new(tenant));
+            indices_by_key.extend(keys.iter().map(|key| (secret.digest(key), indexed.len())));
+            indexed.push(Arc::new(tenant));
         }
-        Self { secret: secret.clone(), tenants: kept, holders }
+        Self { secret: secret.clone(), tenants: indexed, indices_by_key }
     }
 
-    /// Whether there is no tenant: then requests need no key.
+    /// Returns whether there are no tenants; requests then need no API key.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// Tenants held.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// The tenant that holds a key.
+    /// Returns the tenant with this key.
     pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
-        let index = self.holders.get(&self.secret.digest(key))?;
+        let index = self.indices_by_key.get(&self.secret.digest(key))?;
         self.tenants.get(*index)
     }
 }
--- a/crates/routing/src/topology.rs
+++ b/crates/routing/src/topology.rs
@@ -1,4 +1,4 @@
-//! Where zones lie: which region each belongs to, and how far two of them are apart.
+//! Zones, their regions, and distances between zones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use crate::eligibility::HomeRegions;
 
-/// How far a zone is from another one.
+/// Distance between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
     /// The same zone.
     SameZone,
     /// Another zone of the same region.
     SameRegion,
-    /// A zone of another region, or one whose region is not known.
+    /// A zone of another region, or of an unknown region.
     OtherRegion,
 }
 
 impl Distance {
-    /// What a way of this distance costs, given the costs of leaving a zone and a region; nothing
-    /// within a zone.
+    /// Returns the cost of this distance, given the costs of leaving the zone and the region. The
+    /// cost within a zone is zero.
     pub const fn cost(self, same_region: Duration, other_region: Duration) -> Duration {
         match self {
             Self::SameZone => Duration::ZERO,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// One word for logs and metrics.
+    /// Name in logs and metrics.
     pub const fn word(self) -> &'static str {
         match self {
             Self::SameZone => "same_zone",
@@ -41,7 +41,7 @@
 
 /// The zones of a deployment with their regions.
 ///
-/// A deployment that names no regions is one region: every two of its zones are at
+/// Without any configured regions, all zones belong to one region: distinct zones are at
 /// [`Distance::SameRegion`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Topology {
@@ -49,44 +49,44 @@
 }
 
 impl Topology {
-    /// No zone is known.
+    /// Creates a topology without zones.
     pub const fn empty() -> Self {
         Self { regions: BTreeMap::new() }
     }
 
-    /// A topology of these zones.
+    /// Creates a topology from zones with their regions.
     pub fn new(regions: BTreeMap<Zone, Region>) -> Self {
         Self { regions }
     }
 
-    /// The region of a zone; `None` when it is not known.
+    /// Returns the region of a zone, or `None` if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> Option<&Region> {
         self.regions.get(zone)
     }
 
-    /// Whether this zone exists. Without a list of zones nothing is known of any.
+    /// Returns whether the zone is listed.
     pub fn contains(&self, zone: &Zone) -> bool {
         self.regions.contains_key(zone)
     }
 
-    /// All zones, each with its region.
+    /// Iterates over all zones with their regions.
     pub fn zones(&self) -> impl Iterator<Item = (&Zone, &Region)> {
         self.regions.iter()
     }
 
-    /// Whether some zone lies in this region.
+    /// Returns whether any zone belongs to the region.
     pub fn has_region(&self, region: &Region) -> bool {
-        self.regions.values().any(|known| known == region)
+        self.regions.values().any(|zone_region| zone_region == region)
     }
 
-    /// Whether some zone lies in one of these homes. Homes that allow any region always have one,
-    /// also where no zones are listed.
+    /// Returns whether any zone belongs to one of the home regions. Unrestricted homes always
+    /// match, even without any listed zones.
     pub fn has_home(&self, homes: &HomeRegions) -> bool {
         !homes.is_bound() || self.regions.values().any(|region| homes.allows(Some(region)))
     }
 
-    /// Whether every zone lies in one of these homes. Where no zones are listed, only homes that
-    /// allow any region cover them.
+    /// Returns whether every zone belongs to one of the home regions. Without any listed zones,
+    /// only unrestricted homes match.
     pub fn is_covered_by(&self, homes: &HomeRegions) -> bool {
         if !homes.is_bound() {
             return true;
@@ -95,7 +95,7 @@
         !self.regions.is_empty() && regions.all(|region| homes.allows(Some(region)))
     }
 
-    /// How far `to` is from `from`.
+    /// Returns the distance between two zones.
     pub fn distance(&self, from: &str, to: &str) -> Distance {
         if from == to {
             return Distance::SameZone;
--- a/crates/routing/tests/configuration.rs
+++ b/crates/routing/tests/configuration.rs
@@ -1,5 +1,4 @@
-//! Configurations are validated whole, routes found by the longest prefix, and
-//! weights kept.
+//! Validation of configurations, route look-up and distribution by weight.
 
 use std::time::Duration;
 
@@ -39,17 +38,17 @@
 }
 
 #[test]
-fn everything_wrong_is_reported_at_once() {
-    let mut timeless = route("timeless", "h", "/c/", &[("a", 1)]);
-    timeless.timeout = Duration::ZERO;
-    let wrong = configuration(vec![
+fn all_findings_are_reported_at_once() {
+    let mut zero_timeout = route("timeless", "h", "/c/", &[("a", 1)]);
+    zero_timeout.timeout = Duration::ZERO;
+    let invalid = configuration(vec![
         route("unknown", "h", "/a/", &[("nobody", 1)]),
         route("weightless", "h", "/b/", &[("a", 0), ("b", 0)]),
-        timeless,
+        zero_timeout,
         route("twin", "h", "/a/", &[("a", 1)]),
         route("slashless", "h", "/d", &[("a", 1)]),
     ]);
-    let findings = wrong.validate().expect_err("five findings").0;
+    let findings = invalid.validate().expect_err("five findings").0;
     let fields: Vec<&str> = findings.iter().map(|finding| finding.place.field.as_str()).collect();
     let expected = [
         "routes[0].backends",
@@ -87,7 +86,7 @@
 }
 
 #[test]
-fn weights_share_the_requests() {
+fn requests_are_distributed_by_weight() {
     let split = route("split", "h", "/a/", &[("a", 90), ("b", 10)]);
     let hashes = (0..20_000_u32).map(|number| stable_hash(&[&number.to_le_bytes()]));
     let to_b = hashes.filter(|hash| split.backend_for(*hash) == Some("b")).count();
--- a/crates/routing/tests/eligibility.rs
+++ b/crates/routing/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which replicas may get a request, and how far zones are apart.
+//! Eligibility of replicas, and distances between zones.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -31,33 +31,33 @@
 }
 
 #[test]
-fn the_first_reason_against_a_replica_is_told() {
+fn the_first_reason_for_ineligibility_is_returned() {
     let topology = topology();
     let north = HomeRegions::only([Region::new("north")]);
-    let judge = |homes: &HomeRegions, drained: &DrainedZones, replica: &Replica| {
-        EligibilityRules { topology: &topology, homes, drained }.judge(replica)
+    let check = |homes: &HomeRegions, drained: &DrainedZones, replica: &Replica| {
+        EligibilityRules { topology: &topology, homes, drained }.check(replica)
     };
     let ready = replica("south-a", ReplicaState::Ready);
-    let leaving = replica("south-a", ReplicaState::Draining);
+    let draining = replica("south-a", ReplicaState::Draining);
     let anywhere = HomeRegions::anywhere();
-    assert_eq!(judge(&anywhere, &DrainedZones::none(), &ready), Eligibility::Eligible);
-    assert_eq!(judge(&north, &drained("south-a"), &leaving), Eligibility::Leaving);
-    assert_eq!(judge(&north, &drained("south-a"), &ready), Eligibility::OutsideHome);
-    assert_eq!(judge(&anywhere, &drained("south-a"), &ready), Eligibility::ZoneDrained);
-    assert_eq!(judge(&anywhere, &drained("north-a"), &ready), Eligibility::Eligible);
+    assert_eq!(check(&anywhere, &DrainedZones::none(), &ready), Eligibility::Eligible);
+    assert_eq!(check(&north, &drained("south-a"), &draining), Eligibility::Draining);
+    assert_eq!(check(&north, &drained("south-a"), &ready), Eligibility::OutsideHome);
+    assert_eq!(check(&anywhere, &drained("south-a"), &ready), Eligibility::ZoneDrained);
+    assert_eq!(check(&anywhere, &drained("north-a"), &ready), Eligibility::Eligible);
 }
 
 #[test]
-fn a_replica_of_an_unknown_zone_is_in_no_home() {
+fn a_replica_in_an_unknown_zone_is_outside_all_homes() {
     let north = HomeRegions::only([Region::new("north")]);
     let topology = topology();
     let rules = EligibilityRules { topology: &topology, homes: &north, drained: &drained("x") };
-    let stray = replica("nowhere", ReplicaState::Ready);
-    assert_eq!(rules.judge(&stray), Eligibility::OutsideHome);
+    let replica_in_unknown_zone = replica("nowhere", ReplicaState::Ready);
+    assert_eq!(rules.check(&replica_in_unknown_zone), Eligibility::OutsideHome);
 }
 
 #[test]
-fn homes_of_route_and_tenant_bind_together() {
+fn homes_of_route_and_tenant_are_intersected() {
     let (north, south) = (Region::new("north"), Region::new("south"));
     let both = HomeRegions::only([north.clone(), south.clone()]);
     let one = HomeRegions::only([south.clone()]);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn zones_are_in_the_same_region_where_no_regions_are_named() {
+fn without_regions_all_zones_are_in_the_same_region() {
     assert_eq!(Topology::empty().distance("a", "b"), Distance::SameRegion);
     assert_eq!(Topology::empty().distance("a", "a"), Distance::SameZone);
     assert_eq!(topology().distance("north-a", "north-b"), Distance::SameRegion);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_replica_is_cold_until_its_time_is_over_and_may_be_cold_again() {
+fn a_replica_is_cold_until_its_cold_time_ends() {
     let now = Instant::now();
     let mut cold = ColdReplicas::default();
     cold.note("r", now + Duration::from_secs(3));
--- a/crates/routing/tests/homes.rs
+++ b/crates/routing/tests/homes.rs
@@ -1,4 +1,4 @@
-//! What is told about homes when a configuration is put in force.
+//! Warnings about home regions in a configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,8 +44,9 @@
 
 fn problems(routes: Vec<Route>, tenants: Vec<Tenant>) -> Vec<HomeProblem> {
     let limits = Limits::default();
-    let document = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let HomeFindings { problems, more, .. } = question_homes(&document, &topology(), usize::MAX);
+    let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
+    let HomeFindings { problems, more, .. } =
+        question_homes(&configuration, &topology(), usize::MAX);
     assert_eq!(more, 0);
     problems
 }
@@ -55,80 +56,80 @@
 }
 
 #[test]
-fn homes_that_exist_and_meet_are_nothing_to_tell() {
+fn valid_homes_cause_no_warnings() {
     let routes = vec![route("a", HomeRegions::anywhere()), route("b", homes(&["north", "south"]))];
     let tenants = vec![tenant("t", homes(&["south"])), tenant("u", HomeRegions::anywhere())];
     assert_eq!(problems(routes, tenants), []);
 }
 
 #[test]
-fn a_region_without_a_zone_is_told_and_the_others_stay_homes() {
+fn a_region_without_a_zone_is_reported_and_ignored() {
     let owner = of_route("a");
     let unknown = HomeProblem::UnknownRegion { owner, region: Region::new("west") };
     assert_eq!(problems(vec![route("a", homes(&["north", "west"]))], Vec::new()), [unknown]);
 }
 
 #[test]
-fn names_of_regions_are_compared_as_they_are_written() {
-    let found = problems(vec![route("a", homes(&["North"]))], Vec::new());
+fn region_names_are_case_sensitive() {
+    let findings = problems(vec![route("a", homes(&["North"]))], Vec::new());
     let region = Region::new("North");
     let unknown = HomeProblem::UnknownRegion { owner: of_route("a"), region };
-    assert_eq!(found, [unknown, HomeProblem::NoHome { owner: of_route("a") }]);
+    assert_eq!(findings, [unknown, HomeProblem::NoHome { owner: of_route("a") }]);
 }
 
 #[test]
-fn an_empty_list_is_no_home() {
-    let found = problems(vec![route("a", homes(&[]))], Vec::new());
-    assert_eq!(found, [HomeProblem::NoHome { owner: of_route("a") }]);
+fn an_empty_list_contains_no_home() {
+    let findings = problems(vec![route("a", homes(&[]))], Vec::new());
+    assert_eq!(findings, [HomeProblem::NoHome { owner: of_route("a") }]);
 }
 
 #[test]
-fn a_route_and_a_tenant_that_do_not_meet_are_told() {
+fn a_route_and_a_tenant_without_a_common_home_are_reported() {
     let routes = vec![route("a", homes(&["north"])), route("b", HomeRegions::anywhere())];
     let id = TenantId::new("t");
-    let apart = HomeProblem::NoOverlap { route: "a".to_owned(), tenant: id };
-    assert_eq!(problems(routes, vec![tenant("t", homes(&["south"]))]), [apart]);
+    let no_overlap = HomeProblem::NoOverlap { route: "a".to_owned(), tenant: id };
+    assert_eq!(problems(routes, vec![tenant("t", homes(&["south"]))]), [no_overlap]);
 }
 
 #[test]
-fn a_hundred_homes_are_as_good_as_one() {
+fn a_hundred_homes_are_checked_like_one() {
     let mut names: Vec<String> = (0..99).map(|number| format!("r{number}")).collect();
     names.push("south".to_owned());
     let many = HomeRegions::only(names.into_iter().map(Region::new));
-    let found = problems(vec![route("a", many.clone())], vec![tenant("t", many)]);
-    assert_eq!(found.len(), 2 * 99);
-    let is_unknown = |found: &HomeProblem| matches!(found, HomeProblem::UnknownRegion { .. });
-    assert!(found.iter().all(is_unknown));
+    let findings = problems(vec![route("a", many.clone())], vec![tenant("t", many)]);
+    assert_eq!(findings.len(), 2 * 99);
+    let is_unknown = |problem: &HomeProblem| matches!(problem, HomeProblem::UnknownRegion { .. });
+    assert!(findings.iter().all(is_unknown));
 }
 
 #[test]
-fn turns_that_would_be_kept_outside_of_their_homes_are_told() {
-    let kept = |homes| Route { retain: true, ..route("a", homes) };
-    assert_eq!(problems(vec![kept(homes(&["north", "south"]))], Vec::new()), []);
-    let elsewhere = HomeProblem::KeptElsewhere { owner: of_route("a") };
-    assert_eq!(problems(vec![kept(homes(&["north"]))], Vec::new()), [elsewhere]);
+fn turns_retained_outside_their_homes_are_reported() {
+    let retaining = |homes| Route { retain: true, ..route("a", homes) };
+    assert_eq!(problems(vec![retaining(homes(&["north", "south"]))], Vec::new()), []);
+    let stored_outside = HomeProblem::StoredOutsideHome { owner: of_route("a") };
+    assert_eq!(problems(vec![retaining(homes(&["north"]))], Vec::new()), [stored_outside]);
 }
 
 #[test]
-fn without_a_list_of_zones_no_region_is_known() {
+fn without_listed_zones_no_region_is_known() {
     let limits = Limits::default();
     let routes = vec![route("a", homes(&["north"]))];
     let tenants = Vec::new();
-    let document = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let found = question_homes(&document, &Topology::empty(), usize::MAX);
-    assert!(found.problems.contains(&HomeProblem::NoHome { owner: of_route("a") }));
+    let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
+    let findings = question_homes(&configuration, &Topology::empty(), usize::MAX);
+    assert!(findings.problems.contains(&HomeProblem::NoHome { owner: of_route("a") }));
 }
 
 #[test]
-fn of_very_many_problems_the_first_are_kept_and_the_others_counted() {
+fn problems_beyond_the_limit_are_counted() {
     let name = |number: usize| format!("n{number}");
     let routes = (0..50).map(|number| route(&name(number), homes(&["north"]))).collect();
     let tenants = (0..2_000).map(|number| tenant(&name(number), homes(&["south"]))).collect();
     let limits = Limits::default();
-    let document = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let found = question_homes(&document, &topology(), 3);
-    let apart =
+    let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
+    let findings = question_homes(&configuration, &topology(), 3);
+    let no_overlap =
         |number| HomeProblem::NoOverlap { route: name(number), tenant: TenantId::new("n0") };
-    assert_eq!(found.problems, [apart(0), apart(1), apart(2)]);
-    assert_eq!(found.more, 50 * 2_000 - 3);
+    assert_eq!(findings.problems, [no_overlap(0), no_overlap(1), no_overlap(2)]);
+    assert_eq!(findings.more, 50 * 2_000 - 3);
 }
--- a/crates/routing/tests/incarnation.rs
+++ b/crates/routing/tests/incarnation.rs
@@ -1,4 +1,4 @@
-//! Starts of replicas under one identity.
+//! Tracking of replica incarnations over successive lists.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -29,7 +29,7 @@
     }
 }
 
-fn used(starts: &mut NewestStarts, list: &[Replica]) -> Vec<Replica> {
+fn usable_entries(starts: &mut NewestStarts, list: &[Replica]) -> Vec<Replica> {
     let review = starts.take(list.iter());
     let entries = list.iter().zip(review.entries);
     let newest = entries.filter(|(_, start)| *start == ListedStart::Newest);
@@ -39,9 +39,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// An identity may be any text, with the separator of a start in it, too.
+    /// An identity may contain the separator.
     #[test]
-    fn a_start_is_read_as_it_was_shown(
+    fn an_incarnation_is_parsed_as_it_was_formatted(
         identity in "[a-z0-9@-]{1,12}", start in proptest::option::of(any::<u64>()),
     ) {
         let start = start.map(StartTime::from_unix_ms);
@@ -51,9 +51,9 @@
         prop_assert_eq!(Incarnation::identity_of(&id), incarnation.identity.as_str());
     }
 
-    /// Lists of several readers, each of them late by its own measure, in any order.
+    /// Lists may arrive in any order, since readers have different delays.
     #[test]
-    fn once_a_start_is_known_no_earlier_one_is_used(
+    fn an_earlier_start_never_replaces_a_later_one(
         lists in proptest::collection::vec(
             proptest::collection::vec((0_u8..3, proptest::option::of(0_u64..5)), 0..6), 1..20,
         ),
@@ -67,38 +67,42 @@
                 .collect();
             for listed in &list {
                 let Incarnation { identity, start } = Incarnation::from(listed.id.as_str());
-                let place: usize = identity[2..].parse().expect("a number");
-                newest[place] = newest[place].max(start);
+                let index: usize = identity[2..].parse().expect("a number");
+                newest[index] = newest[index].max(start);
             }
-            for used in used(&mut starts, &list) {
+            for used in usable_entries(&mut starts, &list) {
                 let Incarnation { identity, start } = Incarnation::from(used.id.as_str());
-                let place: usize = identity[2..].parse().expect("a number");
-                prop_assert_eq!(start, newest[place]);
+                let index: usize = identity[2..].parse().expect("a number");
+                prop_assert_eq!(start, newest[index]);
             }
         }
     }
 }
 
 #[test]
-fn of_two_entries_the_later_start_is_used() {
+fn the_entry_with_the_latest_start_is_used() {
     let mut starts = NewestStarts::default();
     let list = [replica("i-1", Some(7), 1), replica("i-1", Some(9), 2), replica("i-1", None, 3)];
-    assert_eq!(used(&mut starts, &list), [list[1].clone()]);
+    assert_eq!(usable_entries(&mut starts, &list), [list[1].clone()]);
 }
 
-/// It is not known which of them is the replica, and requests must not go to another one.
+/// It is unknown which entry is correct, and requests must not be sent to a wrong address.
 #[test]
-fn of_two_entries_that_differ_about_one_start_none_is_used() {
+fn conflicting_entries_of_one_start_are_not_used() {
     let mut starts = NewestStarts::default();
-    let other = replica("i-2", None, 3);
-    let list = [replica("i-1", Some(7), 1), other.clone(), replica("i-1", Some(7), 2)];
-    assert_eq!(used(&mut starts, &list), [other]);
-    let same = [replica("i-1", Some(7), 1), replica("i-1", Some(7), 1)];
-    assert_eq!(used(&mut starts, &same), [same[0].clone()], "equal entries are one");
+    let unrelated = replica("i-2", None, 3);
+    let list = [replica("i-1", Some(7), 1), unrelated.clone(), replica("i-1", Some(7), 2)];
+    assert_eq!(usable_entries(&mut starts, &list), [unrelated]);
+    let duplicates = [replica("i-1", Some(7), 1), replica("i-1", Some(7), 1)];
+    assert_eq!(
+        usable_entries(&mut starts, &duplicates),
+        [duplicates[0].clone()],
+        "equal entries are used once"
+    );
 }
 
 #[test]
-fn a_start_under_a_known_identity_is_counted_once() {
+fn a_restart_is_counted_once() {
     let mut starts = NewestStarts::default();
     assert_eq!(starts.take([replica("i-1", Some(7), 1)].iter()).restarted, 0);
     assert_eq!(starts.take([replica("i-1", Some(9), 1)].iter()).restarted, 1);
@@ -106,12 +110,13 @@
     assert_eq!(starts.take([replica("i-1", Some(7), 1)].iter()).restarted, 0);
 }
 
-/// A start that was wrong about its time does not keep its successors out for good.
+/// A wrong start time must not exclude later incarnations forever.
 #[test]
-fn a_start_that_is_listed_no_more_is_forgotten() {
+fn an_unlisted_start_is_forgotten() {
     let mut starts = NewestStarts::default();
-    used(&mut starts, &[replica("i-1", Some(9), 1)]);
+    usable_entries(&mut starts, &[replica("i-1", Some(9), 1)]);
     let earlier = [replica("i-1", Some(7), 1)];
-    let used_at = (0..1_000).position(|_| !used(&mut starts, &earlier).is_empty());
-    assert!(used_at.is_some_and(|readings| readings > 50), "{used_at:?}");
+    let readings_until_used =
+        (0..1_000).position(|_| !usable_entries(&mut starts, &earlier).is_empty());
+    assert!(readings_until_used.is_some_and(|readings| readings > 50), "{readings_until_used:?}");
 }
--- a/crates/routing/tests/select.rs
+++ b/crates/routing/tests/select.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica.
+//! Replica selection by cost.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nobody_is_chosen_from_none() {
+fn no_candidates_yield_no_choice() {
     assert_eq!(choose(&[], Affinity::default(), &CostWeights::default()), None);
 }
 
@@ -38,27 +38,27 @@
 }
 
 #[test]
-fn a_full_home_is_left_when_waiting_costs_more_than_reading() {
+fn a_busy_preferred_replica_is_left_when_waiting_costs_more() {
     let weights = CostWeights::default();
     let affinity = Affinity { key: Some(7), tokens: 600 };
-    let home = choose(&fleet([0; 6]), affinity, &weights).expect("a home");
+    let preferred = choose(&fleet([0; 6]), affinity, &weights).expect("a preferred replica");
     let mut loads = [0; 6];
-    loads[home] = 40;
-    assert_ne!(choose(&fleet(loads), affinity, &weights), Some(home));
+    loads[preferred] = 40;
+    assert_ne!(choose(&fleet(loads), affinity, &weights), Some(preferred));
 }
 
 #[test]
-fn a_penalty_moves_work_away() {
+fn a_penalized_replica_is_avoided() {
     let mut candidates = fleet([0; 6]);
     let weights = CostWeights::default();
     let affinity = Affinity { key: Some(7), tokens: 600 };
-    let home = choose(&candidates, affinity, &weights).expect("a home");
-    candidates[home].penalty = Duration::from_secs(1);
-    assert_ne!(choose(&candidates, affinity, &weights), Some(home));
+    let preferred = choose(&candidates, affinity, &weights).expect("a preferred replica");
+    candidates[preferred].penalty = Duration::from_secs(1);
+    assert_ne!(choose(&candidates, affinity, &weights), Some(preferred));
 }
 
 #[test]
-fn a_kept_connection_is_used_while_its_replica_is_not_busy() {
+fn an_idle_connection_is_reused_while_its_replica_has_free_slots() {
     let weights = CostWeights::default();
     let mut candidates = fleet([0; 6]);
     candidates.iter_mut().for_each(|candidate| candidate.is_connected = false);
@@ -70,17 +70,17 @@
 }
 
 #[test]
-fn of_equal_replicas_the_gateways_own_order_decides() {
+fn ties_are_broken_by_rank() {
     let weights = CostWeights::default();
     let mut candidates = fleet([0; 6]);
-    for (place, candidate) in candidates.iter_mut().enumerate() {
-        candidate.rank = (place as u64 + 3) % 6;
+    for (index, candidate) in candidates.iter_mut().enumerate() {
+        candidate.rank = (index as u64 + 3) % 6;
     }
     assert_eq!(choose(&candidates, Affinity::default(), &weights), Some(3));
 }
 
 #[test]
-fn a_region_is_left_only_for_a_wait_or_a_failure_there() {
+fn the_region_is_left_only_for_a_long_wait_or_a_failure() {
     let weights = CostWeights::default();
     let mut candidates = fleet([4, 4, 0, 0, 0, 0]);
     candidates[1].distance = Distance::SameRegion;
@@ -90,7 +90,7 @@
     let chosen = |candidates: &[Candidate<'_>]| {
         choose(candidates, Affinity::default(), &weights).expect("one")
     };
-    // One more would have to wait for a moment only.
+    // The expected wait is shorter than the cost of leaving the zone.
     assert_eq!(chosen(&candidates), 0);
     candidates[0].own_load = 12;
     assert_eq!(chosen(&candidates), 1);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_line_of_turns_has_its_home_in_the_region_of_its_callers() {
+fn a_conversation_prefers_a_replica_in_its_region() {
     let weights = CostWeights::default();
     for key in 0..64 {
         let affinity = Affinity { key: Some(key), tokens: 600 };
@@ -111,7 +111,7 @@
         candidates[1].distance = Distance::SameRegion;
         let first = choose(&candidates, affinity, &weights).expect("one");
         assert!(first < 2, "key {key} went to {first}");
-        // The same from the region's other zone, whatever the order of the gateway there.
+        // A gateway in the other zone of the region selects the same replica.
         candidates[0].distance = Distance::SameRegion;
         candidates[1].distance = Distance::SameZone;
         candidates[0].rank = 9;
@@ -126,10 +126,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Gateways that list the replicas in another order choose the same one, and a
-    /// replica that leaves moves only what was placed on it.
+    /// The selection does not depend on the order of candidates, and the removal of a replica
+    /// affects only conversations that were placed on it.
     #[test]
-    fn placement_is_agreed_and_stable(key: u64, rotation in 0usize..6, gone in 0usize..6) {
+    fn placement_is_consistent_between_gateways(key: u64, rotation in 0usize..6, removed in 0usize..6) {
         let weights = CostWeights::default();
         let affinity = Affinity { key: Some(key), tokens: 10_000 };
         let candidates = fleet([0; 6]);
@@ -138,9 +138,9 @@
         rotated.rotate_left(rotation);
         let other = rotated[choose(&rotated, affinity, &weights).expect("one")].id;
         prop_assert_eq!(chosen, other);
-        let mut fewer = candidates;
-        let gone = fewer.remove(gone).id;
-        let after = fewer[choose(&fewer, affinity, &weights).expect("one")].id;
-        prop_assert!(chosen == gone || chosen == after);
+        let mut remaining = candidates;
+        let removed = remaining.remove(removed).id;
+        let after = remaining[choose(&remaining, affinity, &weights).expect("one")].id;
+        prop_assert!(chosen == removed || chosen == after);
     }
 }
--- a/crates/routing/tests/tenant.rs
+++ b/crates/routing/tests/tenant.rs
@@ -1,4 +1,4 @@
-//! Keys belong to one tenant each, are found by their hash alone and are never shown.
+//! API keys identify one tenant each, and never appear in debug output.
 
 use std::collections::BTreeMap;
 
@@ -29,15 +29,15 @@
     Tenant { limit: Some(RateLimit { per_second, burst }), ..tenant(name, &[]) }
 }
 
-fn fields_found(tenants: Vec<Tenant>) -> Vec<String> {
+fn invalid_fields(tenants: Vec<Tenant>) -> Vec<String> {
     let configuration = Configuration { version: 1, tenants, ..Configuration::default() };
     let findings = configuration.validate().expect_err("findings").0;
     findings.into_iter().map(|finding| finding.place.field).collect()
 }
 
 #[test]
-fn everything_wrong_with_tenants_is_reported_at_once() {
-    let fields = fields_found(vec![
+fn all_findings_about_tenants_are_reported_at_once() {
+    let fields = invalid_fields(vec![
         tenant("first", &["one", "two", "one"]),
         tenant("second", &["three", "two"]),
         tenant("first", &[]),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn large_limits_small_bursts_and_a_key_named_twice_by_one_tenant_are_fine() {
+fn large_limits_small_bursts_and_duplicate_keys_of_one_tenant_are_valid() {
     let tenants = vec![
         tenant("first", &["one", "one"]),
         limited("large", 1e12, 1e12),
@@ -70,45 +70,45 @@
 }
 
 #[test]
-fn no_text_shows_a_key() {
-    let shown = tenant("first", &["very-secret"]);
-    assert!(!format!("{shown:?}").contains("very-secret"));
+fn debug_output_contains_no_key() {
+    let first = tenant("first", &["very-secret"]);
+    assert!(!format!("{first:?}").contains("very-secret"));
     let secret = KeySecret::new([42; 32]);
-    let ring = KeyRing::new(vec![shown], &secret);
+    let ring = KeyRing::new(vec![first], &secret);
     let text = format!("{ring:?} {secret:?}");
     assert!(!text.contains("very-secret"));
     assert!(!text.contains("42"));
 }
 
 #[test]
-fn fifty_thousand_tenants_are_held_and_found() {
+fn fifty_thousand_tenants_are_found() {
     let named = |number: u32| tenant(&format!("t{number}"), &[&format!("key-{number}")]);
     let ring = KeyRing::new((0..50_000).map(named).collect(), &KeySecret::new([1; 32]));
     assert_eq!(ring.len(), 50_000);
-    let holder = ring.holder(&ApiKey::new("key-49999")).expect("a holder");
-    assert_eq!(holder.id.as_str(), "t49999");
+    let found = ring.holder(&ApiKey::new("key-49999")).expect("a tenant");
+    assert_eq!(found.id.as_str(), "t49999");
     assert!(ring.holder(&ApiKey::new("key-50000")).is_none());
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever keys are held, each is found at its tenant and no other text is.
+    /// Each configured key maps to its tenant, and any other key to none.
     #[test]
-    fn a_key_leads_to_its_holder_only(
+    fn a_key_maps_to_its_tenant_only(
         keys in proptest::collection::btree_map("[a-z0-9]{1,12}", 0_usize..5, 0..20),
         other in "[a-z0-9 ]{0,13}",
         secret in any::<[u8; 32]>(),
     ) {
-        let mut held: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
-        for (key, holder) in &keys {
-            held.entry(*holder).or_default().push(key);
+        let mut keys_by_tenant: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
+        for (key, tenant_index) in &keys {
+            keys_by_tenant.entry(*tenant_index).or_default().push(key);
         }
-        let tenants = held.iter().map(|(holder, keys)| tenant(&format!("t{holder}"), keys));
+        let tenants = keys_by_tenant.iter().map(|(tenant_index, keys)| tenant(&format!("t{tenant_index}"), keys));
         let ring = KeyRing::new(tenants.collect(), &KeySecret::new(secret));
-        for (key, holder) in &keys {
-            let found = ring.holder(&ApiKey::new(key.as_str())).expect("a holder");
-            prop_assert_eq!(found.id.as_str(), format!("t{holder}"));
+        for (key, tenant_index) in &keys {
+            let found = ring.holder(&ApiKey::new(key.as_str())).expect("a tenant");
+            prop_assert_eq!(found.id.as_str(), format!("t{tenant_index}"));
         }
         if !keys.contains_key(&other) {
             prop_assert!(ring.holder(&ApiKey::new(other.as_str())).is_none());
