--- a/crates/limiter/tests/limits.rs
+++ b/crates/limiter/tests/limits.rs
@@ -9,14 +9,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use support::{
-    CONFIG_PROPAGATION, FaultEvent, InjectedBug, LimitScheme, Simulation, TenantLoad, max_excess,
+    CONFIG_PROPAGATION, FaultEvent, InjectedBug, Scheme, Simulation, TenantLoad, max_excess,
     tolerance, traffic, with_delays,
 };
 
 const GATEWAYS: usize = 12;
 const SECONDS: f64 = 24.0;
-const SCHEMES: [LimitScheme; 3] =
-    [LimitScheme::AskEach, LimitScheme::Leased { spare: 6 }, LimitScheme::LeasedLearned];
+const SCHEMES: [Scheme; 3] = [Scheme::AskEach, Scheme::Leased { spare: 6 }, Scheme::LeasedLearned];
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -88,7 +87,7 @@
         loads in loads(), faults in faults(), seed in any::<u64>(),
     ) {
         let traffic = with_delays(traffic(&loads, GATEWAYS, SECONDS, seed), seed);
-        let simulation = Simulation::new(LimitScheme::LeasedLearned, InjectedBug::None, &loads, GATEWAYS);
+        let simulation = Simulation::new(Scheme::LeasedLearned, InjectedBug::None, &loads, GATEWAYS);
         for (tenant, send_times) in &simulation.run(&traffic, &faults).send_times {
             let excess = max_excess(send_times, loads[*tenant].limit, Duration::ZERO);
             prop_assert!(excess <= 0.0, "tenant {tenant}: exceeded by {excess}");
@@ -109,7 +108,7 @@
         let mut faults = faults;
         faults.push((changed_at, FaultEvent::LimitChange(0, lowered)));
         faults.sort_by_key(|(at, _)| *at);
-        let scheme = LimitScheme::LeasedLearned;
+        let scheme = Scheme::LeasedLearned;
         let outcome = Simulation::new(scheme, InjectedBug::None, &loads, GATEWAYS).run(&traffic, &faults);
         let send_times = outcome.send_times.get(&0).cloned().unwrap_or_default();
         let excess = max_excess(&send_times, lowered, changed_at + CONFIG_PROPAGATION + tolerance().window);
@@ -125,7 +124,7 @@
 fn excess_of(bug: InjectedBug, faults: &[(Duration, FaultEvent)], from: Duration) -> f64 {
     let loads = overloaded_tenant();
     let traffic = traffic(&loads, GATEWAYS, SECONDS, 11);
-    let scheme = LimitScheme::LeasedLearned;
+    let scheme = Scheme::LeasedLearned;
     let outcome = Simulation::new(scheme, bug, &loads, GATEWAYS).run(&traffic, faults);
     let changed_limit = faults.iter().find_map(|(_, fault)| match fault {
         FaultEvent::LimitChange(_, limit) => Some(*limit),
--- a/crates/limiter/tests/support/mod.rs
+++ b/crates/limiter/tests/support/mod.rs
@@ -31,7 +31,7 @@
 
 /// Rate-limiting scheme.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitScheme {
+pub enum Scheme {
     /// Every gateway enforces an equal share of every limit, without a leader.
     EqualShares,
     /// The leader decides on each request with a token bucket.
@@ -191,7 +191,7 @@
 
 /// Gateways with a leader, and the state of the simulated network.
 pub struct Simulation {
-    scheme: LimitScheme,
+    scheme: Scheme,
     bug: InjectedBug,
     origin: Instant,
     issuer: PermitIssuer,
@@ -206,12 +206,7 @@
 }
 
 impl Simulation {
-    pub fn new(
-        scheme: LimitScheme,
-        bug: InjectedBug,
-        loads: &[TenantLoad],
-        gateways: usize,
-    ) -> Self {
+    pub fn new(scheme: Scheme, bug: InjectedBug, loads: &[TenantLoad], gateways: usize) -> Self {
         let origin = Instant::now();
         let known_limits: Vec<_> = loads.iter().map(|load| (1, load.limit)).collect();
         let gateway = || Gateway {
@@ -321,13 +316,13 @@
         }
         let now = self.origin + request.at;
         match self.scheme {
-            LimitScheme::EqualShares => self.admit_by_share(request, now),
-            LimitScheme::Bucket => self.admit_by_bucket(request, is_partitioned, now),
-            LimitScheme::AskEach => self.request_permit(request, 0, is_partitioned, now),
-            LimitScheme::Leased { spare } => {
+            Scheme::EqualShares => self.admit_by_share(request, now),
+            Scheme::Bucket => self.admit_by_bucket(request, is_partitioned, now),
+            Scheme::AskEach => self.request_permit(request, 0, is_partitioned, now),
+            Scheme::Leased { spare } => {
                 self.admit_leased(request, Some(spare), is_partitioned, now)
             }
-            LimitScheme::LeasedLearned => self.admit_leased(request, None, is_partitioned, now),
+            Scheme::LeasedLearned => self.admit_leased(request, None, is_partitioned, now),
         }
     }
 
--- a/crates/limiter/tests/ways.rs
+++ b/crates/limiter/tests/ways.rs
@@ -7,9 +7,7 @@
 use std::time::Duration;
 
 use calicohoist_routing::RateLimit;
-use support::{
-    InjectedBug, LimitScheme, Outcome, Request, Simulation, TenantLoad, max_excess, traffic,
-};
+use support::{InjectedBug, Outcome, Request, Scheme, Simulation, TenantLoad, max_excess, traffic};
 
 const SECONDS: f64 = 30.0;
 /// Share of tool calls among all requests.
@@ -38,7 +36,7 @@
     below: Outcome,
 }
 
-fn run_scheme(scheme: LimitScheme, gateways: usize) -> Row {
+fn run_scheme(scheme: Scheme, gateways: usize) -> Row {
     let loads = loads();
     let shifted = |request: &Request| Request { at: request.at + TRAFFIC_START, ..*request };
     let traffic: Vec<Request> = traffic(&loads, gateways, SECONDS, 5).iter().map(shifted).collect();
@@ -60,13 +58,8 @@
     println!("|---|---|---|---|---|---|---|---|---|");
     for gateways in [69, 255] {
         let mut rows = Vec::new();
-        let spares = [1, 2, 6].map(|spare| LimitScheme::Leased { spare });
-        let schemes = [
-            LimitScheme::EqualShares,
-            LimitScheme::Bucket,
-            LimitScheme::AskEach,
-            LimitScheme::LeasedLearned,
-        ];
+        let spares = [1, 2, 6].map(|spare| Scheme::Leased { spare });
+        let schemes = [Scheme::EqualShares, Scheme::Bucket, Scheme::AskEach, Scheme::LeasedLearned];
         for scheme in schemes.into_iter().chain(spares) {
             let Row { hot, excess, below } = run_scheme(scheme, gateways);
             println!(
@@ -81,14 +74,13 @@
             );
             rows.push((scheme, Row { hot, excess, below }));
         }
-        let row_of = |scheme: LimitScheme| {
-            &rows.iter().find(|(candidate, _)| *candidate == scheme).expect("a row").1
-        };
-        let equal_shares = row_of(LimitScheme::EqualShares);
-        let leased_learned = row_of(LimitScheme::LeasedLearned);
-        let ask_each = row_of(LimitScheme::AskEach);
+        let row =
+            |scheme: Scheme| &rows.iter().find(|(other, _)| *other == scheme).expect("a row").1;
+        let equal_shares = row(Scheme::EqualShares);
+        let leased_learned = row(Scheme::LeasedLearned);
+        let ask_each = row(Scheme::AskEach);
         assert!(leased_learned.excess <= 0.0);
-        let bucket = row_of(LimitScheme::Bucket);
+        let bucket = row(Scheme::Bucket);
         assert!(
             leased_learned.below.refused * 2 < bucket.below.refused,
             "{}",
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -103,8 +103,9 @@
     let id = |index: usize| format!("r{index}");
     let replica = |index| ServiceReplica { id: id(index), running: 0, waiting: VecDeque::new() };
     let mut replicas: Vec<ServiceReplica> = (0..REPLICAS).map(replica).collect();
-    let rank =
-        |gateway: usize, index: usize| stable_hash(&[&gateway.to_le_bytes(), id(index).as_bytes()]);
+    let rank = |gateway: usize, number: usize| {
+        stable_hash(&[&gateway.to_le_bytes(), id(number).as_bytes()])
+    };
     let view = |gateway| GatewayView {
         zone: gateway % ZONES,
         own: vec![0; REPLICAS],
