--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use calicohoist_limiter::{Issued, PermitAnswer, PermitRequest, Purpose};
+use calicohoist_limiter::{IssueOutcome, PermitAnswer, PermitPurpose, PermitRequest};
 use calicohoist_scheduler::PlacementRequest;
 use tokio::runtime::Handle;
 
@@ -41,25 +41,25 @@
                 return back.send(answer);
             }
             let purpose = match &program {
-                Some(program) if *is_under_way => Purpose::GoOn(program),
-                Some(program) => Purpose::Begin(program),
-                None => Purpose::Single,
+                Some(program) if *is_under_way => PermitPurpose::LaterTurn(program),
+                Some(program) => PermitPurpose::FirstTurn(program),
+                None => PermitPurpose::NoProgram,
             };
             let issued = permit.map(|permit| hub.limits.issue(hub.term(), &permit, purpose));
             let hold = match issued {
                 None => Duration::ZERO,
-                Some(Issued::Answer(known)) => {
+                Some(IssueOutcome::Answer(known)) => {
                     *permitted = Some(known);
                     if let PermitAnswer::OverLimit(_) = known {
                         return back.send(answer);
                     }
                     Duration::ZERO
                 }
-                Some(Issued::Later(grant, hold)) => {
+                Some(IssueOutcome::Delayed(grant, hold)) => {
                     *permitted = Some(PermitAnswer::Granted(grant));
                     hold
                 }
-                Some(Issued::NotNow) => return back.send(Answer::Unavailable),
+                Some(IssueOutcome::LogBacklog) => return back.send(Answer::Unavailable),
             };
             let runtime = hub.runtime.clone();
             act_after(&runtime, hold, move || back.send(hub.placed(answer, &turn, placement)));
@@ -98,10 +98,10 @@
             let Response::Leads(term) = response else {
                 return back.send(hub.answer(response));
             };
-            let (known, hold) = match hub.limits.issue(term, &permit, Purpose::Single) {
-                Issued::Answer(known) => (known, Duration::ZERO),
-                Issued::Later(grant, hold) => (PermitAnswer::Granted(grant), hold),
-                Issued::NotNow => return back.send(Answer::Unavailable),
+            let (known, hold) = match hub.limits.issue(term, &permit, PermitPurpose::NoProgram) {
+                IssueOutcome::Answer(known) => (known, Duration::ZERO),
+                IssueOutcome::Delayed(grant, hold) => (PermitAnswer::Granted(grant), hold),
+                IssueOutcome::LogBacklog => return back.send(Answer::Unavailable),
             };
             act_after(&hub.runtime, hold, move || back.send(Answer::Permit(known)));
         });
--- a/crates/ledger/src/server/limits.rs
+++ b/crates/ledger/src/server/limits.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_limiter::{
-    Issued, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitRequest, Purpose,
-    TenantUse,
+    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurpose,
+    PermitRequest, TenantUse,
 };
 use calicohoist_telemetry::{Event, emit};
 use parking_lot::Mutex;
@@ -71,12 +71,17 @@
 
     /// What becomes of a request. `term` is that in which this machine leads now, with a
     /// quorum behind it.
-    pub fn issue(&self, term: u64, request: &PermitRequest, purpose: Purpose<'_>) -> Issued {
+    pub fn issue(
+        &self,
+        term: u64,
+        request: &PermitRequest,
+        purpose: PermitPurpose<'_>,
+    ) -> IssueOutcome {
         let (issued, is_urgent) = self.within(term, |issuer, now| {
             let issued = issuer.issue(request, purpose, now);
             (issued, issuer.wants_note(&request.tenant))
         });
-        if !matches!(issued, Issued::Answer(PermitAnswer::OverLimit(_))) {
+        if !matches!(issued, IssueOutcome::Answer(PermitAnswer::OverLimit(_))) {
             self.work.notify_one();
         }
         if is_urgent {
@@ -89,11 +94,11 @@
     pub fn refuse_early(&self, term: u64, request: &PermitRequest) -> Option<PermitAnswer> {
         let issued = self.within(term, |issuer, now| {
             let is_exhausted = issuer.is_exhausted(request, now);
-            is_exhausted.then(|| issuer.issue(request, Purpose::Single, now))
+            is_exhausted.then(|| issuer.issue(request, PermitPurpose::NoProgram, now))
         });
         match issued {
-            Some(Issued::Answer(answer)) => Some(answer),
-            Some(Issued::Later(..) | Issued::NotNow) | None => None,
+            Some(IssueOutcome::Answer(answer)) => Some(answer),
+            Some(IssueOutcome::Delayed(..) | IssueOutcome::LogBacklog) | None => None,
         }
     }
 
--- a/crates/ledger/tests/permits.rs
+++ b/crates/ledger/tests/permits.rs
@@ -7,7 +7,7 @@
 use calicohoist_ledger::server::limits::LimitDesk;
 use calicohoist_ledger::{LedgerState, Output, queries};
 use calicohoist_limiter::{
-    Issued, IssuedPermits, LimitTolerance, PermitAnswer, PermitRequest, Purpose,
+    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitPurpose, PermitRequest,
 };
 use calicohoist_replication::{GroupId, StateMachine};
 use calicohoist_routing::RateLimit;
@@ -100,17 +100,17 @@
     desk.learn(state.permits());
     // Told again, as after a snapshot.
     desk.learn(state.permits());
-    let single = || desk.issue(2, &request(limit), Purpose::Single);
-    assert!(matches!(single(), Issued::Answer(PermitAnswer::Granted(_))));
+    let single = || desk.issue(2, &request(limit), PermitPurpose::NoProgram);
+    assert!(matches!(single(), IssueOutcome::Answer(PermitAnswer::Granted(_))));
     assert_eq!(desk.uses()[0].issued, 8);
-    assert_eq!(single(), Issued::NotNow, "nothing more before a note");
+    assert_eq!(single(), IssueOutcome::LogBacklog, "nothing more before a note");
 
     apply(&mut state, &note("t", 3, 100));
     let next = LimitDesk::new(tolerance);
     next.learn(state.permits());
     assert!(next.refuse_early(3, &request(limit)).is_some());
     assert!(matches!(
-        next.issue(3, &request(limit), Purpose::Single),
-        Issued::Answer(PermitAnswer::OverLimit(_))
+        next.issue(3, &request(limit), PermitPurpose::NoProgram),
+        IssueOutcome::Answer(PermitAnswer::OverLimit(_))
     ));
 }
--- a/crates/limiter/src/account.rs
+++ b/crates/limiter/src/account.rs
@@ -5,8 +5,8 @@
 
 use calicohoist_routing::RateLimit;
 
-use crate::issuer::Issued;
-use crate::permit::{PermitAnswer, PermitGrant, Purpose};
+use crate::issuer::IssueOutcome;
+use crate::permit::{PermitAnswer, PermitGrant, PermitPurpose};
 use crate::tolerance::LimitTolerance;
 use crate::window::IssueWindow;
 
@@ -93,30 +93,30 @@
     }
 
     /// Decides on a request for one permit and up to `spare` additional ones.
-    pub fn decide(&mut self, spare: u32, purpose: Purpose<'_>, now: Instant) -> Issued {
+    pub fn decide(&mut self, spare: u32, purpose: PermitPurpose<'_>, now: Instant) -> IssueOutcome {
         self.update_program_rate(now);
         let delay = self.time_until_capacity(now);
         let is_admitted = match purpose {
-            Purpose::Begin(_) => {
+            PermitPurpose::FirstTurn(_) => {
                 delay.is_zero() && (!self.is_near_limit(now) || self.can_start_program(now))
             }
-            Purpose::GoOn(_) | Purpose::Single => delay <= MAX_DELAY,
+            PermitPurpose::LaterTurn(_) | PermitPurpose::NoProgram => delay <= MAX_DELAY,
         };
         if !is_admitted {
-            return Issued::Answer(PermitAnswer::OverLimit(self.retry_after(purpose, now)));
+            return IssueOutcome::Answer(PermitAnswer::OverLimit(self.retry_after(purpose, now)));
         }
         let unlogged_quota = self.issuable_unlogged();
         if unlogged_quota == 0 {
-            return Issued::NotNow;
+            return IssueOutcome::LogBacklog;
         }
         self.record_request(purpose, now);
         let spare = self.grantable_spare(spare, now).min(unlogged_quota - 1);
         self.issue(spare, now + delay);
         let grant = PermitGrant { permits: 1 + spare, life: self.tolerance.permit_lifetime() };
         if delay.is_zero() {
-            return Issued::Answer(PermitAnswer::Granted(grant));
+            return IssueOutcome::Answer(PermitAnswer::Granted(grant));
         }
-        Issued::Later(grant, delay)
+        IssueOutcome::Delayed(grant, delay)
     }
 
     /// Returns whether the issued permits should be written to the log soon.
@@ -202,9 +202,9 @@
         required <= self.remaining(now) + expiring as f64
     }
 
-    fn record_request(&mut self, purpose: Purpose<'_>, now: Instant) {
+    fn record_request(&mut self, purpose: PermitPurpose<'_>, now: Instant) {
         self.interval_requests += 1;
-        if let Purpose::Begin(program) | Purpose::GoOn(program) = purpose {
+        if let PermitPurpose::FirstTurn(program) | PermitPurpose::LaterTurn(program) = purpose {
             self.programs.insert(program.to_owned(), now);
         }
     }
@@ -241,11 +241,11 @@
 
     /// Returns the time after which a refused request should be retried. Successive requests get
     /// retry times spaced according to the limit, so that they are not all retried at once.
-    fn retry_after(&mut self, purpose: Purpose<'_>, now: Instant) -> Duration {
+    fn retry_after(&mut self, purpose: PermitPurpose<'_>, now: Instant) -> Duration {
         let LimitTolerance { window, .. } = self.tolerance;
         let required = match purpose {
-            Purpose::Begin(_) => self.program_rate,
-            Purpose::GoOn(_) | Purpose::Single => 1.0,
+            PermitPurpose::FirstTurn(_) => self.program_rate,
+            PermitPurpose::LaterTurn(_) | PermitPurpose::NoProgram => 1.0,
         };
         let spacing = window.mul_f64((required / self.issuable().max(1.0)).min(1.0));
         let shortfall = (required - self.remaining(now)).max(1.0);
--- a/crates/limiter/src/issuer.rs
+++ b/crates/limiter/src/issuer.rs
@@ -11,18 +11,18 @@
 use calicohoist_types::TenantId;
 
 use crate::account::TenantAccount;
-use crate::permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitRequest, Purpose};
+use crate::permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitPurpose, PermitRequest};
 use crate::tolerance::LimitTolerance;
 
 /// Decision on a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Issued {
+pub enum IssueOutcome {
     /// Answer at once.
     Answer(PermitAnswer),
     /// Grant after this delay, when the window has capacity.
-    Later(PermitGrant, Duration),
+    Delayed(PermitGrant, Duration),
     /// Too many issued permits are not yet recorded in the log; retry after the next log write.
-    NotNow,
+    LogBacklog,
 }
 
 /// Usage of one tenant's limit.
@@ -62,7 +62,12 @@
     }
 
     /// Decides on a request, and counts the permits that it grants.
-    pub fn issue(&mut self, request: &PermitRequest, purpose: Purpose<'_>, now: Instant) -> Issued {
+    pub fn issue(
+        &mut self,
+        request: &PermitRequest,
+        purpose: PermitPurpose<'_>,
+        now: Instant,
+    ) -> IssueOutcome {
         self.account_of(request, now).decide(request.spare, purpose, now)
     }
 
--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -22,8 +22,8 @@
 pub mod tolerance;
 pub mod window;
 
-pub use issuer::{Issued, PermitIssuer, TenantUse};
-pub use permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitRequest, Purpose};
+pub use issuer::{IssueOutcome, PermitIssuer, TenantUse};
+pub use permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitPurpose, PermitRequest};
 pub use purse::PermitPurse;
 pub use tolerance::LimitTolerance;
 pub use window::IssueWindow;
--- a/crates/limiter/src/permit.rs
+++ b/crates/limiter/src/permit.rs
@@ -21,13 +21,13 @@
 
 /// Kind of request that a permit is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose<'a> {
+pub enum PermitPurpose<'a> {
     /// The first turn of the program with this id.
-    Begin(&'a str),
+    FirstTurn(&'a str),
     /// A later turn of the program with this id.
-    GoOn(&'a str),
+    LaterTurn(&'a str),
     /// A request without a known program.
-    Single,
+    NoProgram,
 }
 
 /// Permits granted to a gateway.
--- a/crates/limiter/tests/support/mod.rs
+++ b/crates/limiter/tests/support/mod.rs
@@ -9,8 +9,8 @@
 
 use bucket::TokenBucket;
 use calicohoist_limiter::{
-    Issued, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurse, PermitRequest,
-    Purpose,
+    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurpose,
+    PermitPurse, PermitRequest,
 };
 use calicohoist_routing::RateLimit;
 use calicohoist_types::TenantId;
@@ -395,20 +395,20 @@
         let permit_request = PermitRequest { tenant: tenant.clone(), limit, configuration, spare };
         let program = format!("p{}", request.program);
         let purpose = match (request.is_turn, request.is_first) {
-            (true, true) => Purpose::Begin(&program),
-            (true, false) => Purpose::GoOn(&program),
-            (false, _) => Purpose::Single,
+            (true, true) => PermitPurpose::FirstTurn(&program),
+            (true, false) => PermitPurpose::LaterTurn(&program),
+            (false, _) => PermitPurpose::NoProgram,
         };
         let mut issued = self.issuer.issue(&permit_request, purpose, now);
-        if issued == Issued::NotNow {
+        if issued == IssueOutcome::LogBacklog {
             // The leader answers after the next log write.
             self.write_log(request.at);
             issued = self.issuer.issue(&permit_request, purpose, now);
         }
         let (answer, delay) = match issued {
-            Issued::Answer(answer) => (answer, Duration::ZERO),
-            Issued::Later(grant, delay) => (PermitAnswer::Granted(grant), delay),
-            Issued::NotNow => return None,
+            IssueOutcome::Answer(answer) => (answer, Duration::ZERO),
+            IssueOutcome::Delayed(grant, delay) => (PermitAnswer::Granted(grant), delay),
+            IssueOutcome::LogBacklog => return None,
         };
         let gateway = &mut self.gateways[request.gateway];
         match answer {
