--- a/crates/ledger/src/server/limits.rs
+++ b/crates/ledger/src/server/limits.rs
@@ -6,7 +6,7 @@
 
 use calicohoist_limiter::{
     IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurpose,
-    PermitRequest, TenantUse,
+    PermitRequest, TenantUsage,
 };
 use calicohoist_telemetry::{Event, emit};
 use parking_lot::Mutex;
@@ -79,7 +79,7 @@
     ) -> IssueOutcome {
         let (issued, is_urgent) = self.within(term, |issuer, now| {
             let issued = issuer.issue(request, purpose, now);
-            (issued, issuer.wants_note(&request.tenant))
+            (issued, issuer.needs_logging(&request.tenant))
         });
         if !matches!(issued, IssueOutcome::Answer(PermitAnswer::OverLimit(_))) {
             self.work.notify_one();
@@ -115,8 +115,8 @@
     }
 
     /// What tenants use of their limits.
-    pub fn uses(&self) -> Vec<TenantUse> {
-        self.state.lock().issuer.uses(Instant::now())
+    pub fn uses(&self) -> Vec<TenantUsage> {
+        self.state.lock().issuer.usage(Instant::now())
     }
 
     fn within<T>(&self, term: u64, act: impl FnOnce(&mut PermitIssuer, Instant) -> T) -> T {
@@ -136,7 +136,7 @@
         let mut state = self.state.lock();
         let elapsed = state.noted.map_or(Duration::ZERO, |noted| now - noted);
         state.noted = Some(now);
-        UnnotedPermits { term: state.term, issued: state.issuer.take_unnoted(), elapsed }
+        UnnotedPermits { term: state.term, issued: state.issuer.take_unlogged(), elapsed }
     }
 
     /// Logs which tenants press on their limits.
@@ -163,9 +163,9 @@
             return;
         }
         if is_noted {
-            state.issuer.confirm_noted(issued);
+            state.issuer.confirm_logged(issued);
         } else {
-            state.issuer.return_unnoted(issued);
+            state.issuer.return_unlogged(issued);
         }
     }
 
@@ -214,7 +214,7 @@
                 continue;
             };
             for issued in &note.issued {
-                self.issuer.inherit(issued, at);
+                self.issuer.restore(issued, at);
             }
         }
     }
--- a/crates/limiter/src/account.rs
+++ b/crates/limiter/src/account.rs
@@ -75,7 +75,7 @@
     }
 
     /// Restores permits that an earlier leader issued at `at`.
-    pub fn inherit(&mut self, count: u32, at: Instant) {
+    pub fn restore(&mut self, count: u32, at: Instant) {
         self.issued.add(count, at);
     }
 
@@ -120,22 +120,22 @@
     }
 
     /// Returns whether the issued permits should be written to the log soon.
-    pub fn wants_note(&self) -> bool {
+    pub fn needs_logging(&self) -> bool {
         self.issuable_unlogged() <= self.unlogged
     }
 
     /// Takes the number of permits that have to be written to the log.
-    pub fn take_unnoted(&mut self) -> u32 {
+    pub fn take_unlogged(&mut self) -> u32 {
         std::mem::take(&mut self.pending_log)
     }
 
     /// Marks `count` taken permits as written to the log.
-    pub fn confirm_noted(&mut self, count: u32) {
+    pub fn confirm_logged(&mut self, count: u32) {
         self.unlogged = self.unlogged.saturating_sub(count);
     }
 
     /// Returns `count` taken permits whose log write failed, so that they are written again.
-    pub fn return_unnoted(&mut self, count: u32) {
+    pub fn return_unlogged(&mut self, count: u32) {
         self.pending_log += count;
     }
 
--- a/crates/limiter/src/issuer.rs
+++ b/crates/limiter/src/issuer.rs
@@ -27,7 +27,7 @@
 
 /// Usage of one tenant's limit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantId,
     /// The configured limit.
@@ -52,8 +52,8 @@
     }
 
     /// Restores permits that an earlier leader issued at `at`. Must be called in order of time.
-    pub fn inherit(&mut self, issued: &IssuedPermits, at: Instant) {
-        self.account(&issued.tenant, at).inherit(issued.count, at);
+    pub fn restore(&mut self, issued: &IssuedPermits, at: Instant) {
+        self.account(&issued.tenant, at).restore(issued.count, at);
     }
 
     /// Returns whether a request would be refused regardless of its purpose.
@@ -72,49 +72,49 @@
     }
 
     /// Returns whether a tenant's issued permits should be written to the log soon.
-    pub fn wants_note(&self, tenant: &TenantId) -> bool {
-        self.tenants.get(tenant).is_some_and(TenantAccount::wants_note)
+    pub fn needs_logging(&self, tenant: &TenantId) -> bool {
+        self.tenants.get(tenant).is_some_and(TenantAccount::needs_logging)
     }
 
     /// Takes the issued permits that have to be written to the log.
-    pub fn take_unnoted(&mut self) -> Vec<IssuedPermits> {
+    pub fn take_unlogged(&mut self) -> Vec<IssuedPermits> {
         let accounts = self.tenants.iter_mut();
         let taken = accounts.map(|(tenant, account)| IssuedPermits {
             tenant: tenant.clone(),
-            count: account.take_unnoted(),
+            count: account.take_unlogged(),
         });
         taken.filter(|issued| issued.count > 0).collect()
     }
 
     /// Marks taken permits as written to the log.
-    pub fn confirm_noted(&mut self, logged: &[IssuedPermits]) {
+    pub fn confirm_logged(&mut self, logged: &[IssuedPermits]) {
         for issued in logged {
             if let Some(account) = self.tenants.get_mut(&issued.tenant) {
-                account.confirm_noted(issued.count);
+                account.confirm_logged(issued.count);
             }
         }
     }
 
     /// Returns taken permits whose log write failed, so that they are written again.
-    pub fn return_unnoted(&mut self, failed: &[IssuedPermits]) {
+    pub fn return_unlogged(&mut self, failed: &[IssuedPermits]) {
         for issued in failed {
             if let Some(account) = self.tenants.get_mut(&issued.tenant) {
-                account.return_unnoted(issued.count);
+                account.return_unlogged(issued.count);
             }
         }
     }
 
     /// Returns the usage of all tenants with a limit, the least remaining capacity first.
-    pub fn uses(&mut self, now: Instant) -> Vec<TenantUse> {
+    pub fn usage(&mut self, now: Instant) -> Vec<TenantUsage> {
         let tolerance = self.tolerance;
         let entries = self.tenants.iter_mut().filter_map(|(tenant, account)| {
             let (limit, issued, programs) = account.usage(now)?;
-            Some(TenantUse { tenant: tenant.clone(), limit, issued, programs })
+            Some(TenantUsage { tenant: tenant.clone(), limit, issued, programs })
         });
-        let mut uses: Vec<TenantUse> = entries.collect();
-        let remaining = |entry: &TenantUse| tolerance.allowed(entry.limit) - entry.issued as f64;
-        uses.sort_by(|one, other| remaining(one).total_cmp(&remaining(other)));
-        uses
+        let mut usage: Vec<TenantUsage> = entries.collect();
+        let remaining = |entry: &TenantUsage| tolerance.allowed(entry.limit) - entry.issued as f64;
+        usage.sort_by(|one, other| remaining(one).total_cmp(&remaining(other)));
+        usage
     }
 
     /// Returns the account of the request's tenant, with the limit updated from the request.
--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod tolerance;
 pub mod window;
 
-pub use issuer::{IssueOutcome, PermitIssuer, TenantUse};
+pub use issuer::{IssueOutcome, PermitIssuer, TenantUsage};
 pub use permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitPurpose, PermitRequest};
 pub use purse::PermitPurse;
 pub use tolerance::LimitTolerance;
--- a/crates/limiter/src/tolerance.rs
+++ b/crates/limiter/src/tolerance.rs
@@ -41,7 +41,7 @@
 
 impl LimitTolerance {
     /// Upper bound on the window. Log records of issued permits are retained long enough for it.
-    pub const LONGEST_WINDOW: Duration = Duration::from_secs(10);
+    pub const MAX_WINDOW: Duration = Duration::from_secs(10);
 
     /// Time from the request for a permit to its expiry. An expired permit allows no request.
     pub fn permit_lifetime(&self) -> Duration {
--- a/crates/limiter/tests/support/mod.rs
+++ b/crates/limiter/tests/support/mod.rs
@@ -288,15 +288,15 @@
         self.issuer = PermitIssuer::new(tolerance());
         if self.bug != InjectedBug::NothingInherited {
             for (at, issued) in &self.log {
-                self.issuer.inherit(issued, self.origin + *at);
+                self.issuer.restore(issued, self.origin + *at);
             }
         }
     }
 
     fn write_log(&mut self, at: Duration) {
         self.logged_at = at;
-        let issued = self.issuer.take_unnoted();
-        self.issuer.confirm_noted(&issued);
+        let issued = self.issuer.take_unlogged();
+        self.issuer.confirm_logged(&issued);
         if self.bug != InjectedBug::NeverNoted {
             self.log.extend(issued.into_iter().map(|issued| (at, issued)));
         }
