--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -24,6 +24,6 @@
 
 pub use issuer::{IssueOutcome, PermitIssuer, TenantUsage};
 pub use permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitPurpose, PermitRequest};
-pub use purse::PermitPurse;
+pub use purse::PermitCache;
 pub use tolerance::LimitTolerance;
 pub use window::IssueWindow;
--- a/crates/limiter/src/purse.rs
+++ b/crates/limiter/src/purse.rs
@@ -44,14 +44,14 @@
 
 /// Cached permits of a gateway, by tenant.
 #[derive(Debug, Default)]
-pub struct PermitPurse {
+pub struct PermitCache {
     tenants: HashMap<TenantId, TenantPermits>,
 }
 
-impl PermitPurse {
+impl PermitCache {
     /// Consumes one permit for a request other than a turn. Returns the deadline for sending it,
     /// or `None` if there is no valid permit.
-    pub fn spend(&mut self, tenant: &TenantId, now: Instant) -> Option<Instant> {
+    pub fn consume(&mut self, tenant: &TenantId, now: Instant) -> Option<Instant> {
         let entry = self.tenants.entry(tenant.clone()).or_default();
         entry.requests_since_turn += 1;
         entry.batches.retain(|batch| batch.expires_at > now && batch.count > 0);
@@ -63,7 +63,7 @@
 
     /// Records a turn, and returns the number of spare permits to request for the requests that
     /// follow it.
-    pub fn note_turn(&mut self, tenant: &TenantId, now: Instant) -> u32 {
+    pub fn record_turn(&mut self, tenant: &TenantId, now: Instant) -> u32 {
         let available = self.available(tenant, now);
         let entry = self.tenants.entry(tenant.clone()).or_default();
         let requests = f64::from(entry.requests_since_turn).min(MAX_REQUESTS_PER_TURN);
@@ -76,7 +76,7 @@
 
     /// Adds the permits of a grant that was requested at `requested_at`, without the one that the
     /// requester itself uses.
-    pub fn put(
+    pub fn add_grant(
         &mut self,
         tenant: &TenantId,
         grant: PermitGrant,
--- a/crates/limiter/tests/support/mod.rs
+++ b/crates/limiter/tests/support/mod.rs
@@ -9,8 +9,8 @@
 
 use bucket::TokenBucket;
 use calicohoist_limiter::{
-    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurpose,
-    PermitPurse, PermitRequest,
+    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitCache, PermitIssuer,
+    PermitPurpose, PermitRequest,
 };
 use calicohoist_routing::RateLimit;
 use calicohoist_types::TenantId;
@@ -183,7 +183,7 @@
 }
 
 struct Gateway {
-    permits: PermitPurse,
+    permits: PermitCache,
     shares: HashMap<usize, TokenBucket>,
     partitioned_until: Duration,
     known_limits: Vec<(u64, RateLimit)>,
@@ -210,7 +210,7 @@
         let origin = Instant::now();
         let known_limits: Vec<_> = loads.iter().map(|load| (1, load.limit)).collect();
         let gateway = || Gateway {
-            permits: PermitPurse::default(),
+            permits: PermitCache::default(),
             shares: HashMap::new(),
             partitioned_until: Duration::ZERO,
             known_limits: known_limits.clone(),
@@ -270,7 +270,7 @@
         match fault {
             FaultEvent::LeaderChange => self.change_leader(),
             FaultEvent::GatewayRestart(gateway) => {
-                self.gateways[gateway].permits = PermitPurse::default();
+                self.gateways[gateway].permits = PermitCache::default();
                 self.refresh_limits(gateway);
             }
             FaultEvent::Partition(gateway, duration) => {
@@ -364,10 +364,10 @@
         let tenant = tenant_id(request.tenant);
         let permits = &mut self.gateways[request.gateway].permits;
         if request.is_turn {
-            let estimate = permits.note_turn(&tenant, now);
+            let estimate = permits.record_turn(&tenant, now);
             return self.request_permit(request, spare.unwrap_or(estimate), is_partitioned, now);
         }
-        if let Some(expires_at) = permits.spend(&tenant, now) {
+        if let Some(expires_at) = permits.consume(&tenant, now) {
             return Some(request.delay.min(expires_at - now));
         }
         self.request_permit(request, 0, is_partitioned, now)
@@ -417,7 +417,7 @@
                     grant.life = Duration::from_secs(600);
                     grant.permits += 40;
                 }
-                gateway.permits.put(&tenant, grant, now, now);
+                gateway.permits.add_grant(&tenant, grant, now, now);
                 Some(delay.max(request.delay))
             }
             PermitAnswer::OverLimit(_) => None,
--- a/crates/proxy/src/app.rs
+++ b/crates/proxy/src/app.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_ledger::client::LedgerClient;
-use calicohoist_limiter::PermitPurse;
+use calicohoist_limiter::PermitCache;
 use calicohoist_routing::{CostWeights, KeySecret, RouteTable};
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, watch};
@@ -37,7 +37,7 @@
     /// Costs in the choice of a replica.
     pub weights: CostWeights,
     /// Permits that tenants' limits leave to this gateway.
-    pub purse: Mutex<PermitPurse>,
+    pub purse: Mutex<PermitCache>,
     /// Hashes the keys of callers.
     pub key_secret: KeySecret,
     table: watch::Sender<Option<Arc<RouteTable>>>,
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -71,7 +71,7 @@
 /// limit.
 pub fn request_for_turn(app: &App, call: &Call) -> Option<PermitRequest> {
     let mut request = request_of(call)?;
-    request.spare = app.purse.lock().note_turn(&request.tenant, Instant::now());
+    request.spare = app.purse.lock().record_turn(&request.tenant, Instant::now());
     Some(request)
 }
 
@@ -84,7 +84,7 @@
         return Ok(Permit::Unlimited);
     };
     let now = Instant::now();
-    let held = app.purse.lock().spend(&request.tenant, now);
+    let held = app.purse.lock().consume(&request.tenant, now);
     if let Some(until) = held {
         PERMITS.count("held");
         return Ok(Permit::Until(until));
@@ -116,7 +116,7 @@
 ) -> Result<Permit, Refusal> {
     match answer {
         PermitAnswer::Granted(grant) => {
-            app.purse.lock().put(&request.tenant, grant, asked, Instant::now());
+            app.purse.lock().add_grant(&request.tenant, grant, asked, Instant::now());
             Ok(Permit::Until(asked + grant.life))
         }
         PermitAnswer::OverLimit(retry_after) => Err(Refusal::OverLimit {
