--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -11,19 +11,19 @@
 //! - [`permit`]: messages between gateways and the leader;
 //! - `account`: the leader's state of one tenant;
 //! - [`issuer`]: the leader's side;
-//! - [`purse`]: the gateway's side.
+//! - [`permit_cache`]: the gateway's side.
 //!
 //! This crate performs no I/O and does not read the clock.
 
 mod account;
 pub mod issuer;
 pub mod permit;
-pub mod purse;
+pub mod permit_cache;
 pub mod tolerance;
 pub mod window;
 
 pub use issuer::{IssueOutcome, PermitIssuer, TenantUsage};
 pub use permit::{IssuedPermits, PermitAnswer, PermitGrant, PermitPurpose, PermitRequest};
-pub use purse::PermitCache;
+pub use permit_cache::PermitCache;
 pub use tolerance::LimitTolerance;
 pub use window::IssueWindow;
