--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -5,8 +5,8 @@
 
 use calicohoist_discovery::ListedReplica;
 use calicohoist_routing::{
-    ColdChange, ColdReplicas, ColdWatch, DrainedZones, ListedStart, NewestStarts, ReplicaList,
-    Topology,
+    ColdChange, ColdReplicas, ColdWatch, DrainedZones, EntryStatus, IncarnationTracker,
+    ReplicaList, Topology,
 };
 use calicohoist_scheduler::FleetView;
 use calicohoist_telemetry::metrics::{Counter, Gauge};
@@ -115,7 +115,7 @@
         return;
     };
     let (mut watched_term, mut watch) = (0, ColdWatch::default());
-    let mut starts = NewestStarts::default();
+    let mut starts = IncarnationTracker::default();
     loop {
         if standing.wait_for(|standing| standing.is_leader).await.is_err() {
             return;
@@ -138,15 +138,18 @@
 }
 
 /// The entries that count: the newest start of each replica.
-fn newest_starts(starts: &mut NewestStarts, listed: Vec<ListedReplica>) -> Vec<ListedReplica> {
-    let review = starts.take(listed.iter().map(|listed| &listed.replica));
-    let left_out = review.left_out();
+fn newest_starts(
+    starts: &mut IncarnationTracker,
+    listed: Vec<ListedReplica>,
+) -> Vec<ListedReplica> {
+    let review = starts.update(listed.iter().map(|listed| &listed.replica));
+    let left_out = review.ignored();
     RESTARTS.add("restarted", review.restarted as u64);
     RESTARTS.add("left_out", left_out as u64);
     if review.restarted > 0 {
         emit!(Event::ReplicasRestarted; replicas = review.restarted, left_out = left_out);
     }
-    let counts = review.entries.iter().map(|entry| *entry == ListedStart::Newest);
+    let counts = review.entries.iter().map(|entry| *entry == EntryStatus::Newest);
     listed.into_iter().zip(counts).filter_map(|(listed, counts)| counts.then_some(listed)).collect()
 }
 
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use calicohoist_routing::select::Affinity;
 use calicohoist_routing::{
-    Candidate, ColdReplicas, CostWeights, DrainedZones, EligibilityRules, HomeRegions, ListedStart,
-    MeanLoad, NewestStarts, Replica, ReturnedZones, Topology, choose, spread, stable_hash,
+    Candidate, ColdReplicas, CostWeights, DrainedZones, EligibilityRules, EntryStatus, HomeRegions,
+    IncarnationTracker, MeanLoad, Replica, ReturnedZones, Topology, choose, spread, stable_hash,
 };
 use parking_lot::{MappedRwLockReadGuard, Mutex, RwLock, RwLockReadGuard};
 
@@ -138,7 +138,7 @@
     returned: RwLock<ReturnedZones>,
     services: RwLock<Arc<ByService>>,
     /// The newest starts that lists have shown: those of two leaders may come in any order.
-    starts: Mutex<NewestStarts>,
+    starts: Mutex<IncarnationTracker>,
     /// The same members in the order of the list.
     listed: RwLock<Vec<Arc<Member>>>,
     /// When the newest list known here was read, by whomever.
@@ -173,7 +173,7 @@
 
     /// Replaces the list. What is known of replicas that stay is kept.
     pub fn update(&self, replicas: Vec<Replica>) {
-        let review = self.starts.lock().take(replicas.iter());
+        let review = self.starts.lock().update(replicas.iter());
         let before = self.services.read().clone();
         let known: HashMap<&str, &Arc<Member>> =
             before.values().flatten().map(|member| (member.replica.id.as_str(), member)).collect();
@@ -190,7 +190,7 @@
             };
             // Loads go by the place in the list, so that each entry keeps its own.
             listed.push(Arc::clone(&member));
-            if start != ListedStart::Newest {
+            if start != EntryStatus::Newest {
                 continue;
             }
             services.entry(member.replica.service.clone()).or_default().push(member);
--- a/crates/routing/src/incarnation.rs
+++ b/crates/routing/src/incarnation.rs
@@ -93,7 +93,7 @@
 
 /// Status of an entry in a replica list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListedStart {
+pub enum EntryStatus {
     /// The newest known incarnation of its replica.
     Newest,
     /// A later incarnation of the same replica is known, or the entry is a duplicate.
@@ -104,17 +104,17 @@
 
 /// Result of processing a replica list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StartReview {
+pub struct IncarnationUpdate {
     /// Status of each entry, in the order of the list.
-    pub entries: Vec<ListedStart>,
+    pub entries: Vec<EntryStatus>,
     /// Number of replicas that have restarted since the previous list.
     pub restarted: usize,
 }
 
-impl StartReview {
+impl IncarnationUpdate {
     /// Returns the number of entries that must not be used.
-    pub fn left_out(&self) -> usize {
-        self.entries.iter().filter(|entry| **entry != ListedStart::Newest).count()
+    pub fn ignored(&self) -> usize {
+        self.entries.iter().filter(|entry| **entry != EntryStatus::Newest).count()
     }
 }
 
@@ -128,14 +128,17 @@
 /// Tracks the newest start of each replica over successive lists. An older start never replaces a
 /// newer one, regardless of the order in which lists arrive.
 #[derive(Clone, Debug, Default)]
-pub struct NewestStarts {
+pub struct IncarnationTracker {
     reading: u64,
     tracked: HashMap<String, TrackedStart>,
 }
 
-impl NewestStarts {
+impl IncarnationTracker {
     /// Processes a complete list, and determines the status of each entry.
-    pub fn take<'a>(&mut self, list: impl Iterator<Item = &'a Replica> + Clone) -> StartReview {
+    pub fn update<'a>(
+        &mut self,
+        list: impl Iterator<Item = &'a Replica> + Clone,
+    ) -> IncarnationUpdate {
         self.reading += 1;
         let restarted = list.clone().filter(|replica| self.record(replica)).count();
         let keep_readings =
@@ -149,10 +152,10 @@
                 .compare(replica);
         }
         let status = |replica: &'a Replica| match groups.get_mut(replica.id.as_str()) {
-            None => ListedStart::Superseded,
+            None => EntryStatus::Superseded,
             Some(group) => group.next_status(),
         };
-        StartReview { entries: list.map(status).collect(), restarted }
+        IncarnationUpdate { entries: list.map(status).collect(), restarted }
     }
 
     /// Records the start of a replica. Returns whether it is a restart.
@@ -192,13 +195,13 @@
     }
 
     /// Returns the status of the next entry. Only the first of equal entries is used.
-    fn next_status(&mut self) -> ListedStart {
+    fn next_status(&mut self) -> EntryStatus {
         if self.is_ambiguous {
-            return ListedStart::Ambiguous;
+            return EntryStatus::Ambiguous;
         }
         if std::mem::replace(&mut self.is_first_used, true) {
-            return ListedStart::Superseded;
+            return EntryStatus::Superseded;
         }
-        ListedStart::Newest
+        EntryStatus::Newest
     }
 }
--- a/crates/routing/tests/incarnation.rs
+++ b/crates/routing/tests/incarnation.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use calicohoist_routing::{
-    Incarnation, ListedStart, NewestStarts, Replica, ReplicaState, StartTime,
+    EntryStatus, Incarnation, IncarnationTracker, Replica, ReplicaState, StartTime,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -29,10 +29,10 @@
     }
 }
 
-fn usable_entries(starts: &mut NewestStarts, list: &[Replica]) -> Vec<Replica> {
-    let review = starts.take(list.iter());
-    let entries = list.iter().zip(review.entries);
-    let newest = entries.filter(|(_, start)| *start == ListedStart::Newest);
+fn usable_entries(tracker: &mut IncarnationTracker, list: &[Replica]) -> Vec<Replica> {
+    let update = tracker.update(list.iter());
+    let entries = list.iter().zip(update.entries);
+    let newest = entries.filter(|(_, start)| *start == EntryStatus::Newest);
     newest.map(|(replica, _)| replica.clone()).collect()
 }
 
@@ -58,7 +58,7 @@
             proptest::collection::vec((0_u8..3, proptest::option::of(0_u64..5)), 0..6), 1..20,
         ),
     ) {
-        let mut starts = NewestStarts::default();
+        let mut tracker = IncarnationTracker::default();
         let mut newest = [None; 3];
         for list in lists {
             let list: Vec<Replica> = list
@@ -70,7 +70,7 @@
                 let index: usize = identity[2..].parse().expect("a number");
                 newest[index] = newest[index].max(start);
             }
-            for used in usable_entries(&mut starts, &list) {
+            for used in usable_entries(&mut tracker, &list) {
                 let Incarnation { identity, start } = Incarnation::from(used.id.as_str());
                 let index: usize = identity[2..].parse().expect("a number");
                 prop_assert_eq!(start, newest[index]);
@@ -81,21 +81,21 @@
 
 #[test]
 fn the_entry_with_the_latest_start_is_used() {
-    let mut starts = NewestStarts::default();
+    let mut tracker = IncarnationTracker::default();
     let list = [replica("i-1", Some(7), 1), replica("i-1", Some(9), 2), replica("i-1", None, 3)];
-    assert_eq!(usable_entries(&mut starts, &list), [list[1].clone()]);
+    assert_eq!(usable_entries(&mut tracker, &list), [list[1].clone()]);
 }
 
 /// It is unknown which entry is correct, and requests must not be sent to a wrong address.
 #[test]
 fn conflicting_entries_of_one_start_are_not_used() {
-    let mut starts = NewestStarts::default();
+    let mut tracker = IncarnationTracker::default();
     let unrelated = replica("i-2", None, 3);
     let list = [replica("i-1", Some(7), 1), unrelated.clone(), replica("i-1", Some(7), 2)];
-    assert_eq!(usable_entries(&mut starts, &list), [unrelated]);
+    assert_eq!(usable_entries(&mut tracker, &list), [unrelated]);
     let duplicates = [replica("i-1", Some(7), 1), replica("i-1", Some(7), 1)];
     assert_eq!(
-        usable_entries(&mut starts, &duplicates),
+        usable_entries(&mut tracker, &duplicates),
         [duplicates[0].clone()],
         "equal entries are used once"
     );
@@ -103,20 +103,20 @@
 
 #[test]
 fn a_restart_is_counted_once() {
-    let mut starts = NewestStarts::default();
-    assert_eq!(starts.take([replica("i-1", Some(7), 1)].iter()).restarted, 0);
-    assert_eq!(starts.take([replica("i-1", Some(9), 1)].iter()).restarted, 1);
-    assert_eq!(starts.take([replica("i-1", Some(9), 1)].iter()).restarted, 0);
-    assert_eq!(starts.take([replica("i-1", Some(7), 1)].iter()).restarted, 0);
+    let mut tracker = IncarnationTracker::default();
+    assert_eq!(tracker.update([replica("i-1", Some(7), 1)].iter()).restarted, 0);
+    assert_eq!(tracker.update([replica("i-1", Some(9), 1)].iter()).restarted, 1);
+    assert_eq!(tracker.update([replica("i-1", Some(9), 1)].iter()).restarted, 0);
+    assert_eq!(tracker.update([replica("i-1", Some(7), 1)].iter()).restarted, 0);
 }
 
 /// A wrong start time must not exclude later incarnations forever.
 #[test]
 fn an_unlisted_start_is_forgotten() {
-    let mut starts = NewestStarts::default();
-    usable_entries(&mut starts, &[replica("i-1", Some(9), 1)]);
+    let mut tracker = IncarnationTracker::default();
+    usable_entries(&mut tracker, &[replica("i-1", Some(9), 1)]);
     let earlier = [replica("i-1", Some(7), 1)];
     let readings_until_used =
-        (0..1_000).position(|_| !usable_entries(&mut starts, &earlier).is_empty());
+        (0..1_000).position(|_| !usable_entries(&mut tracker, &earlier).is_empty());
     assert!(readings_until_used.is_some_and(|readings| readings > 50), "{readings_until_used:?}");
 }
