--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -5,7 +5,7 @@
 
 use calicohoist_discovery::ListedReplica;
 use calicohoist_routing::{
-    ColdChange, ColdReplicas, ColdWatch, DrainedZones, EntryStatus, IncarnationTracker,
+    ColdChange, ColdReplicas, ColdTracker, DrainedZones, EntryStatus, IncarnationTracker,
     ReplicaList, Topology,
 };
 use calicohoist_scheduler::FleetView;
@@ -68,7 +68,7 @@
         if self.cold_mark == seen {
             return None;
         }
-        Some((self.cold_mark, self.cold.left_ms(now)))
+        Some((self.cold_mark, self.cold.remaining_ms(now)))
     }
 }
 
@@ -114,7 +114,7 @@
     let Some(reader) = settings.list else {
         return;
     };
-    let (mut watched_term, mut watch) = (0, ColdWatch::default());
+    let (mut watched_term, mut watch) = (0, ColdTracker::default());
     let mut starts = IncarnationTracker::default();
     loop {
         if standing.wait_for(|standing| standing.is_leader).await.is_err() {
@@ -123,7 +123,7 @@
         let term = standing.borrow().term;
         if watched_term != term {
             // What was listed when this machine led before does not show what is new now.
-            (watched_term, watch) = (term, ColdWatch::default());
+            (watched_term, watch) = (term, ColdTracker::default());
         }
         let began = Instant::now();
         match reader.read().await {
@@ -155,14 +155,14 @@
 
 fn publish(
     out: &watch::Sender<Reading>,
-    watch: &mut ColdWatch,
+    watch: &mut ColdTracker,
     term: u64,
     listed: Vec<ListedReplica>,
     read_at: Instant,
 ) {
     let times = listed.iter().map(|listed| (listed.replica.id.as_str(), listed.cold_left));
-    let change = watch.take(times, read_at);
-    log_cold(&change, watch.cold().left(read_at).count());
+    let change = watch.update(times, read_at);
+    log_cold(&change, watch.cold().remaining(read_at).count());
     let replicas: Vec<_> = listed.into_iter().map(|listed| listed.replica).collect();
     let mark = ListMark::of(&replicas);
     out.send_if_modified(|reading| {
@@ -171,7 +171,7 @@
         let is_same = reading.term == term && reading.mark == mark;
         // A new leader tells everything anew: a gateway knows only one leader's marks.
         let is_cold_news = !change.became_cold.is_empty()
-            || (reading.term != term && reading.cold.left(read_at).next().is_some());
+            || (reading.term != term && reading.cold.remaining(read_at).next().is_some());
         if is_cold_news {
             reading.cold_mark = reading.cold_mark.next(term);
         }
--- a/crates/ledger/tests/cold.rs
+++ b/crates/ledger/tests/cold.rs
@@ -11,8 +11,8 @@
 fn a_replica_that_became_cold_is_news_until_it_was_seen() {
     let now = Instant::now();
     let mut cold = ColdReplicas::none();
-    cold.note("i-1", now + Duration::from_millis(3_000));
-    cold.note("i-2", now);
+    cold.mark_cold("i-1", now + Duration::from_millis(3_000));
+    cold.mark_cold("i-2", now);
     let mark = ChangeMark { term: 4, change: 1 };
     let reading = Reading { cold: Arc::new(cold), cold_mark: mark, ..Reading::default() };
     let news = reading.cold_news(ChangeMark::default(), now);
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -8,7 +8,7 @@
 use calicohoist_routing::select::Affinity;
 use calicohoist_routing::{
     Candidate, ColdReplicas, CostWeights, DrainedZones, EligibilityRules, EntryStatus, HomeRegions,
-    IncarnationTracker, MeanLoad, Replica, ReturnedZones, Topology, choose, spread, stable_hash,
+    IncarnationTracker, MeanLoad, Replica, Topology, UndrainedZones, choose, spread, stable_hash,
 };
 use parking_lot::{MappedRwLockReadGuard, Mutex, RwLock, RwLockReadGuard};
 
@@ -135,7 +135,7 @@
     /// list shows.
     cold: RwLock<ColdReplicas>,
     /// Zones whose replicas may have turned cold while they were drained.
-    returned: RwLock<ReturnedZones>,
+    returned: RwLock<UndrainedZones>,
     services: RwLock<Arc<ByService>>,
     /// The newest starts that lists have shown: those of two leaders may come in any order.
     starts: Mutex<IncarnationTracker>,
@@ -298,7 +298,7 @@
         let mut known = self.cold.write();
         known.expire(now);
         for (id, left_ms) in cold {
-            known.note(id, now + Duration::from_millis(u64::from(*left_ms)));
+            known.mark_cold(id, now + Duration::from_millis(u64::from(*left_ms)));
         }
     }
 
@@ -312,7 +312,7 @@
         let ids: HashSet<&str> = ids.iter().map(String::as_str).collect();
         let mut cold = self.cold.write();
         for replica in replicas.iter().filter(|replica| !ids.contains(replica.id.as_str())) {
-            cold.note(&replica.id, now + FIRST_SIGHT);
+            cold.mark_cold(&replica.id, now + FIRST_SIGHT);
         }
     }
 
@@ -341,7 +341,7 @@
 
     /// Takes in which zones are drained.
     pub fn set_drained(&self, drained: DrainedZones) {
-        self.returned.write().note(&drained, Instant::now());
+        self.returned.write().update(&drained, Instant::now());
         *self.drained.write() = Some(Arc::new(drained));
     }
 
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -261,7 +261,7 @@
         && let Some(member) = app.fleet.untroubled(&service.name, &placed_on.id, &homes)
     {
         let is_cold = leaves_out_cold && app.fleet.is_cold(&member.replica, now);
-        if placed_on.holds(is_cold, now) {
+        if placed_on.is_valid(is_cold, now) {
             return Some((member, placed_on.send_by));
         }
         COLD_REQUESTS.count("lapsed");
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -9,7 +9,7 @@
 use calicohoist_ledger::protocol::{ChangeMark, ListMark, News, Seen};
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_routing::{
-    ColdWatch, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, question_homes,
+    ColdTracker, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, question_homes,
 };
 use calicohoist_telemetry::metrics::Gauge;
 use calicohoist_telemetry::{Event, emit};
@@ -162,15 +162,15 @@
     }
 
     /// Takes in what this gateway's own reading tells of cold replicas.
-    fn note_listed_cold(&self, watch: &mut ColdWatch, listed: &[ListedReplica], began: Instant) {
+    fn note_listed_cold(&self, watch: &mut ColdTracker, listed: &[ListedReplica], began: Instant) {
         let times = listed.iter().map(|listed| (listed.replica.id.as_str(), listed.cold_left));
-        watch.take(times, began);
-        self.app.fleet.note_cold(&watch.cold().left_ms(began), began);
+        watch.update(times, began);
+        self.app.fleet.note_cold(&watch.cold().remaining_ms(began), began);
     }
 
     /// Reads the list here when no leader has told of a reading lately.
     async fn watch_list(&self) {
-        let mut watch = ColdWatch::default();
+        let mut watch = ColdTracker::default();
         tokio::time::sleep(LIST_AGE).await;
         loop {
             if self.app.fleet.list_age() < LIST_AGE {
--- a/crates/routing/src/cold.rs
+++ b/crates/routing/src/cold.rs
@@ -13,14 +13,14 @@
 const MAX_LIST_LAG: Duration = Duration::from_millis(800);
 /// Maximum time until a change of a replica is known: the delay of the list, the interval between
 /// two readings, and the duration of a reading.
-pub const LIST_SETTLES: Duration = Duration::from_millis(2_000);
+pub const LIST_SETTLE_TIME: Duration = Duration::from_millis(2_000);
 /// Upper bound on a listed cold time, so that a wrong entry does not keep a replica idle for long.
 const MAX_COLD_TIME: Duration = Duration::from_secs(60);
 /// Cold time of a new replica whose remaining cold time is not listed.
 const DEFAULT_COLD_TIME: Duration = Duration::from_secs(5);
 /// Lifetime of a placement at a cold replica. A request sent later would count towards the load of
 /// the next second.
-pub const COLD_PLACEMENT_LIFE: Duration = Duration::from_millis(300);
+pub const COLD_PLACEMENT_LIFETIME: Duration = Duration::from_millis(300);
 
 /// Replica at which the leader has placed a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,15 +41,15 @@
 
     /// Creates a placement at a cold replica. The gateway sent its query at `sent_at`, and the
     /// leader placed the request `waited` after receiving it. The network delay of the query is
-    /// ignored, so the placement expires at most [`COLD_PLACEMENT_LIFE`] after it was made. Clocks
-    /// of different machines are not compared.
+    /// ignored, so the placement expires at most [`COLD_PLACEMENT_LIFETIME`] after it was made.
+    /// Clocks of different machines are not compared.
     pub fn cold(id: String, sent_at: Instant, waited: Duration) -> Self {
-        Self { id, send_by: Some(sent_at + waited + COLD_PLACEMENT_LIFE) }
+        Self { id, send_by: Some(sent_at + waited + COLD_PLACEMENT_LIFETIME) }
     }
 
     /// Returns whether the request may still be sent to the replica. `is_cold` is the gateway's
     /// own knowledge: a placement made for a warm replica is invalid if the replica is cold.
-    pub fn holds(&self, is_cold: bool, now: Instant) -> bool {
+    pub fn is_valid(&self, is_cold: bool, now: Instant) -> bool {
         match self.send_by {
             Some(send_by) => now < send_by,
             None => !is_cold,
@@ -97,7 +97,7 @@
 
     /// Marks a replica as cold until `until`. A known later end is kept, since a delayed list may
     /// contain an earlier one.
-    pub fn note(&mut self, replica: &str, until: Instant) {
+    pub fn mark_cold(&mut self, replica: &str, until: Instant) {
         let known = self.until.entry(replica.to_owned()).or_insert(until);
         *known = (*known).max(until);
     }
@@ -108,15 +108,17 @@
     }
 
     /// Iterates over the cold replicas with their remaining cold time.
-    pub fn left(&self, now: Instant) -> impl Iterator<Item = (&str, Duration)> {
+    pub fn remaining(&self, now: Instant) -> impl Iterator<Item = (&str, Duration)> {
         let cold = self.until.iter().filter(move |(_, until)| now < **until);
         cold.map(move |(replica, until)| (replica.as_str(), *until - now))
     }
 
     /// Returns the cold replicas with their remaining cold time in ms, as sent to gateways.
-    pub fn left_ms(&self, now: Instant) -> Vec<(String, u32)> {
-        let to_ms = |left: Duration| u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        self.left(now).map(|(replica, left)| (replica.to_owned(), to_ms(left))).collect()
+    pub fn remaining_ms(&self, now: Instant) -> Vec<(String, u32)> {
+        let to_ms = |remaining: Duration| u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX);
+        self.remaining(now)
+            .map(|(replica, remaining)| (replica.to_owned(), to_ms(remaining)))
+            .collect()
     }
 
     /// Removes and returns the replicas whose cold time has ended.
@@ -139,17 +141,17 @@
 
 /// Tracks cold replicas over successive readings of the replica list.
 #[derive(Clone, Debug, Default)]
-pub struct ColdWatch {
+pub struct ColdTracker {
     cold: ColdReplicas,
     /// Replica ids of the last reading; `None` before the first.
     known: Option<BTreeSet<String>>,
 }
 
-impl ColdWatch {
+impl ColdTracker {
     /// Processes a reading that began at `read_at`. Each replica is listed with its remaining cold
     /// time, or `None` if that is unknown. A new replica without one is treated as cold, except in
     /// the first reading, in which the age of all replicas is unknown.
-    pub fn take<'a>(
+    pub fn update<'a>(
         &mut self,
         listed: impl Iterator<Item = (&'a str, Option<Duration>)>,
         read_at: Instant,
@@ -157,11 +159,12 @@
         let mut change =
             ColdChange { became_warm: self.cold.expire(read_at), became_cold: Vec::new() };
         let mut ids = BTreeSet::new();
-        for (replica, left) in listed {
+        for (replica, remaining) in listed {
             let is_new = self.known.as_ref().is_some_and(|known| !known.contains(replica));
-            let left = left.unwrap_or(if is_new { DEFAULT_COLD_TIME } else { Duration::ZERO });
+            let remaining =
+                remaining.unwrap_or(if is_new { DEFAULT_COLD_TIME } else { Duration::ZERO });
             ids.insert(replica.to_owned());
-            if self.note(replica, left, read_at) {
+            if self.record(replica, remaining, read_at) {
                 change.became_cold.push(replica.to_owned());
             }
         }
@@ -177,14 +180,14 @@
     /// Records a remaining cold time; returns whether it extends the known one. The recorded end
     /// is later by [`MAX_LIST_LAG`], so that variations of the list's delay do not count as
     /// extensions.
-    fn note(&mut self, replica: &str, left: Duration, read_at: Instant) -> bool {
-        if left.is_zero() {
+    fn record(&mut self, replica: &str, remaining: Duration, read_at: Instant) -> bool {
+        if remaining.is_zero() {
             return false;
         }
-        let until = read_at + left.min(MAX_COLD_TIME);
+        let until = read_at + remaining.min(MAX_COLD_TIME);
         let is_extended = !self.cold.is_cold(replica, until);
         if is_extended {
-            self.cold.note(replica, until + MAX_LIST_LAG);
+            self.cold.mark_cold(replica, until + MAX_LIST_LAG);
         }
         is_extended
     }
@@ -193,22 +196,22 @@
 /// Recently undrained zones. Replicas that restarted while the zone was drained may be cold
 /// without being listed as such yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReturnedZones {
+pub struct UndrainedZones {
     /// Drained zones as of the last update.
     drained: BTreeSet<Zone>,
     /// Time from which the replica list of an undrained zone is reliable, by zone.
     until: BTreeMap<Zone, Instant>,
 }
 
-impl ReturnedZones {
+impl UndrainedZones {
     /// Updates the drained zones, and removes zones whose replica list is reliable again.
-    pub fn note(&mut self, drained: &DrainedZones, now: Instant) {
+    pub fn update(&mut self, drained: &DrainedZones, now: Instant) {
         self.until.retain(|_, until| now < *until);
         if self.drained == drained.zones {
             return;
         }
         for zone in self.drained.difference(&drained.zones) {
-            self.until.insert(zone.clone(), now + LIST_SETTLES);
+            self.until.insert(zone.clone(), now + LIST_SETTLE_TIME);
         }
         self.drained.clone_from(&drained.zones);
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -27,8 +27,8 @@
 pub mod topology;
 
 pub use cold::{
-    COLD_PLACEMENT_LIFE, ColdChange, ColdLimit, ColdReplicas, ColdTolerance, ColdWatch,
-    LIST_SETTLES, PlacedReplica, ReturnedZones,
+    COLD_PLACEMENT_LIFETIME, ColdChange, ColdLimit, ColdReplicas, ColdTolerance, ColdTracker,
+    LIST_SETTLE_TIME, PlacedReplica, UndrainedZones,
 };
 pub use configuration::{Backend, Configuration, Engine, Limits, Route, RouteKind, Service};
 pub use eligibility::{DrainedZones, Eligibility, EligibilityRules, HomeRegions};
--- a/crates/routing/tests/cold.rs
+++ b/crates/routing/tests/cold.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_routing::{
-    COLD_PLACEMENT_LIFE, ColdWatch, DrainedZones, LIST_SETTLES, PlacedReplica, ReturnedZones,
+    COLD_PLACEMENT_LIFETIME, ColdTracker, DrainedZones, LIST_SETTLE_TIME, PlacedReplica,
+    UndrainedZones,
 };
 use calicohoist_types::Zone;
 
@@ -16,16 +17,16 @@
 
 /// Processes a reading, and returns the replicas that became cold.
 fn newly_cold(
-    tracker: &mut ColdWatch,
+    tracker: &mut ColdTracker,
     listed: &[(&str, Option<Duration>)],
     at: Instant,
 ) -> Vec<String> {
-    tracker.take(listed.iter().copied(), at).became_cold
+    tracker.update(listed.iter().copied(), at).became_cold
 }
 
 #[test]
 fn a_delayed_list_does_not_end_the_cold_time_early() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     assert_eq!(newly_cold(&mut tracker, &[("a", Some(ms(3_000)))], now), ["a"]);
     newly_cold(&mut tracker, &[("a", WARM)], now + READING_INTERVAL);
@@ -36,7 +37,7 @@
 
 #[test]
 fn an_unchanged_cold_time_is_not_reported_again() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     assert_eq!(newly_cold(&mut tracker, &[("a", Some(ms(3_000)))], now).len(), 1);
     // The delay of the list varies; without it, 2.3 s would remain.
@@ -50,7 +51,7 @@
 
 #[test]
 fn a_replica_that_is_cold_again_is_reported() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     newly_cold(&mut tracker, &[("a", Some(ms(1_000)))], now);
     assert_eq!(newly_cold(&mut tracker, &[("a", Some(ms(3_000)))], now + READING_INTERVAL), ["a"]);
@@ -61,7 +62,7 @@
 
 #[test]
 fn a_new_replica_without_a_listed_cold_time_is_cold() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     assert!(
         newly_cold(&mut tracker, &[("old", None)], now).is_empty(),
@@ -76,7 +77,7 @@
 
 #[test]
 fn a_new_replica_listed_as_warm_is_warm() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     newly_cold(&mut tracker, &[("old", WARM)], now);
     assert!(
@@ -87,39 +88,39 @@
 
 #[test]
 fn the_cold_time_is_bounded() {
-    let mut tracker = ColdWatch::default();
+    let mut tracker = ColdTracker::default();
     let now = Instant::now();
     newly_cold(&mut tracker, &[("a", Some(Duration::MAX))], now);
     assert!(tracker.cold().is_cold("a", now + ms(59_000)));
     let later = now + ms(62_000);
-    let change = tracker.take([].into_iter(), later);
+    let change = tracker.update([].into_iter(), later);
     assert_eq!(change.became_warm, ["a"]);
-    assert_eq!(tracker.cold().left(now).count(), 0, "the replica is removed");
+    assert_eq!(tracker.cold().remaining(now).count(), 0, "the replica is removed");
 }
 
 #[test]
 fn an_undrained_zone_is_tracked_until_the_list_is_reliable() {
-    let mut undrained = ReturnedZones::default();
+    let mut undrained = UndrainedZones::default();
     let now = Instant::now();
     let drained = DrainedZones { version: 1, zones: [Zone::new("a")].into() };
-    undrained.note(&drained, now);
+    undrained.update(&drained, now);
     assert!(!undrained.contains("a", now));
-    undrained.note(&DrainedZones { version: 2, zones: [].into() }, now);
-    assert!(undrained.contains("a", now + LIST_SETTLES - ms(1)));
+    undrained.update(&DrainedZones { version: 2, zones: [].into() }, now);
+    assert!(undrained.contains("a", now + LIST_SETTLE_TIME - ms(1)));
     assert!(!undrained.contains("b", now));
-    assert!(!undrained.contains("a", now + LIST_SETTLES));
+    assert!(!undrained.contains("a", now + LIST_SETTLE_TIME));
 }
 
 #[test]
 fn an_undrained_zone_is_removed_when_the_list_is_reliable() {
-    let mut undrained = ReturnedZones::default();
+    let mut undrained = UndrainedZones::default();
     let now = Instant::now();
-    undrained.note(&DrainedZones { version: 1, zones: [Zone::new("a")].into() }, now);
+    undrained.update(&DrainedZones { version: 1, zones: [Zone::new("a")].into() }, now);
     let none = DrainedZones { version: 2, zones: [].into() };
-    undrained.note(&none, now);
-    assert_ne!(undrained, ReturnedZones::default());
-    undrained.note(&none, now + LIST_SETTLES);
-    assert_eq!(undrained, ReturnedZones::default());
+    undrained.update(&none, now);
+    assert_ne!(undrained, UndrainedZones::default());
+    undrained.update(&none, now + LIST_SETTLE_TIME);
+    assert_eq!(undrained, UndrainedZones::default());
 }
 
 #[test]
@@ -127,10 +128,10 @@
     let sent_at = Instant::now();
     let placed = PlacedReplica::cold("a".to_owned(), sent_at, ms(700));
     let placed_at = sent_at + ms(700);
-    assert!(placed.holds(true, placed_at + COLD_PLACEMENT_LIFE - ms(1)));
-    assert!(!placed.holds(true, placed_at + COLD_PLACEMENT_LIFE));
+    assert!(placed.is_valid(true, placed_at + COLD_PLACEMENT_LIFETIME - ms(1)));
+    assert!(!placed.is_valid(true, placed_at + COLD_PLACEMENT_LIFETIME));
     assert!(
-        !placed.holds(false, placed_at + COLD_PLACEMENT_LIFE),
+        !placed.is_valid(false, placed_at + COLD_PLACEMENT_LIFETIME),
         "expires even if the gateway considers the replica warm"
     );
 }
@@ -139,6 +140,6 @@
 fn a_placement_at_a_warm_replica_is_invalid_if_it_is_cold() {
     let placed = PlacedReplica::warm("a".to_owned());
     let now = Instant::now();
-    assert!(placed.holds(false, now + ms(10_000)));
-    assert!(!placed.holds(true, now));
+    assert!(placed.is_valid(false, now + ms(10_000)));
+    assert!(!placed.is_valid(true, now));
 }
--- a/crates/routing/tests/eligibility.rs
+++ b/crates/routing/tests/eligibility.rs
@@ -81,12 +81,12 @@
 fn a_replica_is_cold_until_its_cold_time_ends() {
     let now = Instant::now();
     let mut cold = ColdReplicas::default();
-    cold.note("r", now + Duration::from_secs(3));
+    cold.mark_cold("r", now + Duration::from_secs(3));
     assert!(cold.is_cold("r", now) && !cold.is_cold("other", now));
     let later = now + Duration::from_secs(3);
     assert!(!cold.is_cold("r", later));
     cold.expire(later);
     assert_eq!(cold, ColdReplicas::none());
-    cold.note("r", later + Duration::from_secs(1));
-    assert_eq!(cold.left(later).collect::<Vec<_>>(), [("r", Duration::from_secs(1))]);
+    cold.mark_cold("r", later + Duration::from_secs(1));
+    assert_eq!(cold.remaining(later).collect::<Vec<_>>(), [("r", Duration::from_secs(1))]);
 }
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -40,7 +40,7 @@
     /// It runs at this replica.
     Run(String),
     /// It runs at this replica, which is cold, if it is sent there within
-    /// [`calicohoist_routing::COLD_PLACEMENT_LIFE`] after it was placed.
+    /// [`calicohoist_routing::COLD_PLACEMENT_LIFETIME`] after it was placed.
     RunCold {
         /// The replica.
         replica: String,
--- a/crates/scheduler/src/cold.rs
+++ b/crates/scheduler/src/cold.rs
@@ -7,14 +7,14 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use calicohoist_routing::{ColdLimit, ColdTolerance, LIST_SETTLES, Replica, ReturnedZones};
+use calicohoist_routing::{ColdLimit, ColdTolerance, LIST_SETTLE_TIME, Replica, UndrainedZones};
 
 use crate::placement::FleetView;
 
 /// The limit is counted over this span.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Longest time between a placement and its arrival at the replica: its life
-/// ([`calicohoist_routing::COLD_PLACEMENT_LIFE`]) and the way there with a new connection. What
+/// ([`calicohoist_routing::COLD_PLACEMENT_LIFETIME`]) and the way there with a new connection. What
 /// was placed within a window and this may arrive within one window.
 const ARRIVAL_SPREAD: Duration = Duration::from_millis(500);
 /// A leader that lost its quorum places for so long beside the next one: the longest election
@@ -66,7 +66,7 @@
     /// What was placed lately, by replica, oldest first; at warm ones too, which may turn out to
     /// have been cold.
     placed: HashMap<String, VecDeque<Instant>>,
-    returned: ReturnedZones,
+    returned: UndrainedZones,
     /// Replicas that failed, each with the time from which the list shows whether they have
     /// started again.
     restarting: HashMap<String, Instant>,
@@ -87,12 +87,12 @@
     /// Takes in which zones are drained: replicas of one that is given back count as cold for a
     /// moment.
     pub fn note_fleet(&mut self, view: &FleetView<'_>, now: Instant) {
-        self.returned.note(view.drained, now);
+        self.returned.update(view.drained, now);
     }
 
     /// A replica is known to fail until `until`, and may start again after that.
     pub fn note_failing(&mut self, replica: &str, until: Instant) {
-        self.restarting.insert(replica.to_owned(), until + LIST_SETTLES);
+        self.restarting.insert(replica.to_owned(), until + LIST_SETTLE_TIME);
     }
 
     /// Whether a turn may go there now; without a limit nothing binds.
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -156,7 +156,7 @@
     /// This replica is the best one.
     At(String),
     /// This replica is the best one, and cold: the turn has to be sent there within
-    /// [`calicohoist_routing::COLD_PLACEMENT_LIFE`].
+    /// [`calicohoist_routing::COLD_PLACEMENT_LIFETIME`].
     AtCold(String),
     /// Every replica that takes work has reached the limit.
     NoRoom,
--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -92,7 +92,7 @@
 
 fn with_cold(ids: &[&str], cold: &[&str], until: Instant) -> Fleet {
     let mut fleet = Fleet::new(ids);
-    cold.iter().for_each(|id| fleet.cold.note(id, until));
+    cold.iter().for_each(|id| fleet.cold.mark_cold(id, until));
     fleet
 }
 
@@ -151,7 +151,7 @@
     for turn in 0..MOST {
         fleet.place(&mut placer, &turn.to_string(), now);
     }
-    fleet.cold.note("c", now + ms(60_000));
+    fleet.cold.mark_cold("c", now + ms(60_000));
     assert_eq!(fleet.place(&mut placer, "t", now + ms(1_499)), Placement::NoRoom);
     assert_eq!(fleet.fill(&mut placer, "c", now + ms(1_500)), STEADY);
 }
--- a/crates/scheduler/tests/cold_return.rs
+++ b/crates/scheduler/tests/cold_return.rs
@@ -156,7 +156,7 @@
         let until = self.at(ms) + LIMIT.lasts;
         for number in 0..COLD_REPLICAS {
             let replica = replica(number, "cold");
-            self.cold.note(&replica.id, until);
+            self.cold.mark_cold(&replica.id, until);
             self.replicas.push(replica);
         }
     }
@@ -230,7 +230,7 @@
             Decision::Wait | Decision::Refuse(_) => return,
         };
         let is_cold = self.limit.is_some() && self.cold.is_cold(&placed.id, self.at(ms));
-        if placed.holds(is_cold, self.at(ms)) {
+        if placed.is_valid(is_cold, self.at(ms)) {
             return self.send(ms, turn, placed.id);
         }
         self.lapsed += 1;
