--- a/crates/ledger/src/server/traffic.rs
+++ b/crates/ledger/src/server/traffic.rs
@@ -40,7 +40,7 @@
 
 /// Counts bytes of this kind; a `distance` of `None` is not known yet.
 pub fn note(peer: Peer, kind: &'static str, distance: Option<Distance>, bytes: usize) {
-    let distance = distance.map_or("unknown", Distance::word);
+    let distance = distance.map_or("unknown", Distance::as_str);
     let counter = match peer {
         Peer::Ledger => &PEER_BYTES,
         Peer::Gateway => &ANSWER_BYTES,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -84,7 +84,7 @@
     fn note_other_load(&self, load: u32, now: Instant) {
         let mut known = self.other_load.lock();
         let since = known.reported.map(|at| now.saturating_duration_since(at));
-        *known = OtherLoad { mean: known.mean.after(load, since), reported: Some(now) };
+        *known = OtherLoad { mean: known.mean.updated(load, since), reported: Some(now) };
     }
 }
 
--- a/crates/proxy/src/flow/home.rs
+++ b/crates/proxy/src/flow/home.rs
@@ -19,7 +19,7 @@
 /// When no zone or no replica lies in its homes, or its turns would be kept outside of them, too.
 pub fn check(app: &App, call: &Call) -> Result<(), Refusal> {
     let homes = call.homes();
-    if !homes.is_bound() {
+    if !homes.is_restricted() {
         return Ok(());
     }
     let topology = &app.settings.topology;
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -195,8 +195,8 @@
     app.dialect().remove_credential(headers);
     let problem = match credential {
         Credential::Missing => KeyProblem::Missing,
-        Credential::Unreadable => KeyProblem::Unreadable,
-        Credential::Key(key) => match table.keys().holder(&key) {
+        Credential::Malformed => KeyProblem::Unreadable,
+        Credential::Key(key) => match table.keys().find(&key) {
             Some(tenant) => return Ok(Some(Arc::clone(tenant))),
             None => KeyProblem::Unknown,
         },
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -9,7 +9,7 @@
 use calicohoist_ledger::protocol::{ChangeMark, ListMark, News, Seen};
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_routing::{
-    ColdTracker, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, question_homes,
+    ColdTracker, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, check_homes,
 };
 use calicohoist_telemetry::metrics::Gauge;
 use calicohoist_telemetry::{Event, emit};
@@ -141,7 +141,7 @@
         match self.app.dialect().parse_configuration(&document) {
             Ok(configuration) => {
                 let topology = &self.app.settings.topology;
-                let findings = question_homes(&configuration, topology, MOST_HOME_LINES);
+                let findings = check_homes(&configuration, topology, MOST_HOME_LINES);
                 if self.app.put_table(RouteTable::new(configuration, &self.app.key_secret)) {
                     emit!(Event::ConfigurationApplied; version = version, bytes = document.len());
                     log_homes(version, &findings);
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns whether only some regions are allowed.
-    pub fn is_bound(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
--- a/crates/routing/src/homes.rs
+++ b/crates/routing/src/homes.rs
@@ -1,7 +1,7 @@
 //! Warnings about home regions in a configuration.
 //!
 //! Home regions do not affect the validity of a configuration, since regions are added and removed
-//! independently of it. Problems found by [`question_homes`] are logged when a configuration is
+//! independently of it. Problems found by [`check_homes`] are logged when a configuration is
 //! applied. Region names are case-sensitive.
 
 use std::fmt;
@@ -110,7 +110,7 @@
 
 /// Checks the home regions of all routes and tenants. Returns at most `limit` problems; further
 /// ones are only counted.
-pub fn question_homes(
+pub fn check_homes(
     configuration: &Configuration,
     topology: &Topology,
     limit: usize,
@@ -126,7 +126,7 @@
     }
     let retains = routes.iter().any(|route| route.retain);
     let restricted = RestrictedRoutes::new(routes, topology);
-    for tenant in configuration.tenants.iter().filter(|tenant| tenant.homes.is_bound()) {
+    for tenant in configuration.tenants.iter().filter(|tenant| tenant.homes.is_restricted()) {
         let owner = || HomeOwner::Tenant(tenant.id.clone());
         check_owner(&owner, &tenant.homes, topology, &mut findings);
         if retains && !topology.is_covered_by(&tenant.homes) {
@@ -167,7 +167,8 @@
     fn new(routes: &'a [Route], topology: &Topology) -> Self {
         let mut homes: Vec<&HomeRegions> = Vec::new();
         let mut restricted = Vec::new();
-        let has_home = |route: &&Route| route.homes.is_bound() && topology.has_home(&route.homes);
+        let has_home =
+            |route: &&Route| route.homes.is_restricted() && topology.has_home(&route.homes);
         for route in routes.iter().filter(has_home) {
             let index = homes.iter().position(|existing| **existing == route.homes);
             let index = index.unwrap_or_else(|| {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -32,7 +32,7 @@
 };
 pub use configuration::{Backend, Configuration, Engine, Limits, Route, RouteKind, Service};
 pub use eligibility::{DrainedZones, Eligibility, EligibilityRules, HomeRegions};
-pub use homes::{HomeFindings, HomeOwner, HomeProblem, question_homes};
+pub use homes::{HomeFindings, HomeOwner, HomeProblem, check_homes};
 pub use incarnation::{EntryStatus, Incarnation, IncarnationTracker, IncarnationUpdate, StartTime};
 pub use load::{MeanLoad, expected_queue_length};
 pub use replica::{Replica, ReplicaList, ReplicaState};
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -17,7 +17,7 @@
     /// Returns the average after another report, which arrived `since` after the previous one. The
     /// first report is used unchanged.
     #[must_use]
-    pub fn after(self, load: u32, since: Option<Duration>) -> Self {
+    pub fn updated(self, load: u32, since: Option<Duration>) -> Self {
         let load = f64::from(load);
         let Some(since) = since else {
             return Self(load);
--- a/crates/routing/src/tenant.rs
+++ b/crates/routing/src/tenant.rs
@@ -35,7 +35,7 @@
     /// No credential.
     Missing,
     /// Unsupported scheme, invalid text, or more than one credential.
-    Unreadable,
+    Malformed,
     /// An API key.
     Key(ApiKey),
 }
@@ -169,7 +169,7 @@
     }
 
     /// Returns the tenant with this key.
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
+    pub fn find(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         let index = self.indices_by_key.get(&self.secret.digest(key))?;
         self.tenants.get(*index)
     }
--- a/crates/routing/src/topology.rs
+++ b/crates/routing/src/topology.rs
@@ -30,7 +30,7 @@
     }
 
     /// Name in logs and metrics.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::SameZone => "same_zone",
             Self::SameRegion => "same_region",
@@ -82,13 +82,13 @@
     /// Returns whether any zone belongs to one of the home regions. Unrestricted homes always
     /// match, even without any listed zones.
     pub fn has_home(&self, homes: &HomeRegions) -> bool {
-        !homes.is_bound() || self.regions.values().any(|region| homes.allows(Some(region)))
+        !homes.is_restricted() || self.regions.values().any(|region| homes.allows(Some(region)))
     }
 
     /// Returns whether every zone belongs to one of the home regions. Without any listed zones,
     /// only unrestricted homes match.
     pub fn is_covered_by(&self, homes: &HomeRegions) -> bool {
-        if !homes.is_bound() {
+        if !homes.is_restricted() {
             return true;
         }
         let mut regions = self.regions.values();
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -162,7 +162,7 @@
                     .collect();
                 for view in &mut views {
                     for (index, mean) in view.others.iter_mut().enumerate() {
-                        *mean = mean.after(loads[index] - view.own[index], Some(REPORT_INTERVAL));
+                        *mean = mean.updated(loads[index] - view.own[index], Some(REPORT_INTERVAL));
                     }
                 }
             }
@@ -224,7 +224,7 @@
         others in 0..60u32,
         slots in 1..32u32,
     ) {
-        let mean = MeanLoad::default().after(others, None);
+        let mean = MeanLoad::default().updated(others, None);
         let expected = expected_queue_length(own, mean, slots);
         let sum = queue_length_by_sum(own, f64::from(others), slots);
         prop_assert!((expected - sum).abs() < 1e-6, "{expected} against {sum}");
--- a/crates/routing/tests/eligibility.rs
+++ b/crates/routing/tests/eligibility.rs
@@ -63,7 +63,7 @@
     let one = HomeRegions::only([south.clone()]);
     assert_eq!(both.intersection(&one), one);
     assert_eq!(one.intersection(&HomeRegions::anywhere()), one);
-    assert!(!HomeRegions::anywhere().intersection(&HomeRegions::anywhere()).is_bound());
+    assert!(!HomeRegions::anywhere().intersection(&HomeRegions::anywhere()).is_restricted());
     let none = one.intersection(&HomeRegions::only([north.clone()]));
     assert!(!none.allows(Some(&north)) && !none.allows(Some(&south)) && !none.allows(None));
 }
--- a/crates/routing/tests/homes.rs
+++ b/crates/routing/tests/homes.rs
@@ -5,7 +5,7 @@
 
 use calicohoist_routing::{
     Backend, Configuration, HomeFindings, HomeOwner, HomeProblem, HomeRegions, Limits, Route,
-    RouteKind, Tenant, Topology, question_homes,
+    RouteKind, Tenant, Topology, check_homes,
 };
 use calicohoist_types::{Region, TenantId, Zone};
 
@@ -45,8 +45,7 @@
 fn problems(routes: Vec<Route>, tenants: Vec<Tenant>) -> Vec<HomeProblem> {
     let limits = Limits::default();
     let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let HomeFindings { problems, more, .. } =
-        question_homes(&configuration, &topology(), usize::MAX);
+    let HomeFindings { problems, more, .. } = check_homes(&configuration, &topology(), usize::MAX);
     assert_eq!(more, 0);
     problems
 }
@@ -116,7 +115,7 @@
     let routes = vec![route("a", homes(&["north"]))];
     let tenants = Vec::new();
     let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let findings = question_homes(&configuration, &Topology::empty(), usize::MAX);
+    let findings = check_homes(&configuration, &Topology::empty(), usize::MAX);
     assert!(findings.problems.contains(&HomeProblem::NoHome { owner: of_route("a") }));
 }
 
@@ -127,7 +126,7 @@
     let tenants = (0..2_000).map(|number| tenant(&name(number), homes(&["south"]))).collect();
     let limits = Limits::default();
     let configuration = Configuration { version: 1, routes, services: Vec::new(), limits, tenants };
-    let findings = question_homes(&configuration, &topology(), 3);
+    let findings = check_homes(&configuration, &topology(), 3);
     let no_overlap =
         |number| HomeProblem::NoOverlap { route: name(number), tenant: TenantId::new("n0") };
     assert_eq!(findings.problems, [no_overlap(0), no_overlap(1), no_overlap(2)]);
--- a/crates/routing/tests/tenant.rs
+++ b/crates/routing/tests/tenant.rs
@@ -85,9 +85,9 @@
     let named = |number: u32| tenant(&format!("t{number}"), &[&format!("key-{number}")]);
     let ring = KeyRing::new((0..50_000).map(named).collect(), &KeySecret::new([1; 32]));
     assert_eq!(ring.len(), 50_000);
-    let found = ring.holder(&ApiKey::new("key-49999")).expect("a tenant");
+    let found = ring.find(&ApiKey::new("key-49999")).expect("a tenant");
     assert_eq!(found.id.as_str(), "t49999");
-    assert!(ring.holder(&ApiKey::new("key-50000")).is_none());
+    assert!(ring.find(&ApiKey::new("key-50000")).is_none());
 }
 
 proptest! {
@@ -107,11 +107,11 @@
         let tenants = keys_by_tenant.iter().map(|(tenant_index, keys)| tenant(&format!("t{tenant_index}"), keys));
         let ring = KeyRing::new(tenants.collect(), &KeySecret::new(secret));
         for (key, tenant_index) in &keys {
-            let found = ring.holder(&ApiKey::new(key.as_str())).expect("a tenant");
+            let found = ring.find(&ApiKey::new(key.as_str())).expect("a tenant");
             prop_assert_eq!(found.id.as_str(), format!("t{tenant_index}"));
         }
         if !keys.contains_key(&other) {
-            prop_assert!(ring.holder(&ApiKey::new(other.as_str())).is_none());
+            prop_assert!(ring.find(&ApiKey::new(other.as_str())).is_none());
         }
     }
 }
