--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -38,5 +38,5 @@
 pub use replica::{Replica, ReplicaList, ReplicaState};
 pub use select::{Affinity, Candidate, CostWeights, choose, spread, stable_hash};
 pub use table::RouteTable;
-pub use tenant::{ApiKey, Credential, KeyRing, KeySecret, RateLimit, Tenant};
+pub use tenant::{ApiKey, ApiKeyIndex, Credential, KeySecret, RateLimit, Tenant};
 pub use topology::{Distance, Topology};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::configuration::{Configuration, Limits, Route, Service};
-use crate::tenant::{KeyRing, KeySecret};
+use crate::tenant::{ApiKeyIndex, KeySecret};
 
 /// A configuration indexed for look-ups.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// Routes by host, longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
-    keys: KeyRing,
+    keys: ApiKeyIndex,
 }
 
 impl RouteTable {
@@ -34,7 +34,7 @@
             limits: configuration.limits,
             hosts,
             services: services.collect(),
-            keys: KeyRing::new(configuration.tenants, secret),
+            keys: ApiKeyIndex::new(configuration.tenants, secret),
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns the look-up of tenants by API key.
-    pub fn keys(&self) -> &KeyRing {
+    pub fn keys(&self) -> &ApiKeyIndex {
         &self.keys
     }
 
--- a/crates/routing/src/tenant.rs
+++ b/crates/routing/src/tenant.rs
@@ -137,14 +137,14 @@
 
 /// Look-up of tenants by API key.
 #[derive(Debug)]
-pub struct KeyRing {
+pub struct ApiKeyIndex {
     secret: KeySecret,
     tenants: Vec<Arc<Tenant>>,
     /// Index of the tenant, by hash of the key. Hashes are compared in constant time.
     indices_by_key: HashMap<blake3::Hash, usize>,
 }
 
-impl KeyRing {
+impl ApiKeyIndex {
     /// Creates the look-up from the tenants of a valid configuration. Drops the plain text of
     /// keys.
     pub fn new(tenants: Vec<Tenant>, secret: &KeySecret) -> Self {
--- a/crates/routing/tests/tenant.rs
+++ b/crates/routing/tests/tenant.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use calicohoist_routing::{ApiKey, Configuration, KeyRing, KeySecret, RateLimit, Tenant};
+use calicohoist_routing::{ApiKey, ApiKeyIndex, Configuration, KeySecret, RateLimit, Tenant};
 use calicohoist_types::TenantId;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -74,8 +74,8 @@
     let first = tenant("first", &["very-secret"]);
     assert!(!format!("{first:?}").contains("very-secret"));
     let secret = KeySecret::new([42; 32]);
-    let ring = KeyRing::new(vec![first], &secret);
-    let text = format!("{ring:?} {secret:?}");
+    let index = ApiKeyIndex::new(vec![first], &secret);
+    let text = format!("{index:?} {secret:?}");
     assert!(!text.contains("very-secret"));
     assert!(!text.contains("42"));
 }
@@ -83,11 +83,11 @@
 #[test]
 fn fifty_thousand_tenants_are_found() {
     let named = |number: u32| tenant(&format!("t{number}"), &[&format!("key-{number}")]);
-    let ring = KeyRing::new((0..50_000).map(named).collect(), &KeySecret::new([1; 32]));
-    assert_eq!(ring.len(), 50_000);
-    let found = ring.find(&ApiKey::new("key-49999")).expect("a tenant");
+    let index = ApiKeyIndex::new((0..50_000).map(named).collect(), &KeySecret::new([1; 32]));
+    assert_eq!(index.len(), 50_000);
+    let found = index.find(&ApiKey::new("key-49999")).expect("a tenant");
     assert_eq!(found.id.as_str(), "t49999");
-    assert!(ring.find(&ApiKey::new("key-50000")).is_none());
+    assert!(index.find(&ApiKey::new("key-50000")).is_none());
 }
 
 proptest! {
@@ -105,13 +105,13 @@
             keys_by_tenant.entry(*tenant_index).or_default().push(key);
         }
         let tenants = keys_by_tenant.iter().map(|(tenant_index, keys)| tenant(&format!("t{tenant_index}"), keys));
-        let ring = KeyRing::new(tenants.collect(), &KeySecret::new(secret));
+        let index = ApiKeyIndex::new(tenants.collect(), &KeySecret::new(secret));
         for (key, tenant_index) in &keys {
-            let found = ring.find(&ApiKey::new(key.as_str())).expect("a tenant");
+            let found = index.find(&ApiKey::new(key.as_str())).expect("a tenant");
             prop_assert_eq!(found.id.as_str(), format!("t{tenant_index}"));
         }
         if !keys.contains_key(&other) {
-            prop_assert!(ring.find(&ApiKey::new(other.as_str())).is_none());
+            prop_assert!(index.find(&ApiKey::new(other.as_str())).is_none());
         }
     }
 }
