--- a/crates/limiter/tests/ways.rs
+++ b/crates/limiter/tests/ways.rs
@@ -25,7 +25,7 @@
     loads
 }
 
-/// Start of the traffic: the leader has been in office for a while.
+/// Start of the traffic, some time after the election of the leader.
 const TRAFFIC_START: Duration = Duration::from_secs(5);
 
 struct Row {
