--- a/crates/ledger/src/server/limits.rs
+++ b/crates/ledger/src/server/limits.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_limiter::{
-    Issued, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitRequest, Purpose,
-    TenantUse,
+    IssueOutcome, IssuedPermits, LimitTolerance, PermitAnswer, PermitIssuer, PermitPurpose,
+    PermitRequest, TenantUsage,
 };
 use calicohoist_telemetry::{Event, emit};
 use parking_lot::Mutex;
@@ -71,12 +71,17 @@
 
     /// What becomes of a request. `term` is that in which this machine leads now, with a
     /// quorum behind it.
-    pub fn issue(&self, term: u64, request: &PermitRequest, purpose: Purpose<'_>) -> Issued {
+    pub fn issue(
+        &self,
+        term: u64,
+        request: &PermitRequest,
+        purpose: PermitPurpose<'_>,
+    ) -> IssueOutcome {
         let (issued, is_urgent) = self.within(term, |issuer, now| {
             let issued = issuer.issue(request, purpose, now);
-            (issued, issuer.wants_note(&request.tenant))
+            (issued, issuer.needs_logging(&request.tenant))
         });
-        if !matches!(issued, Issued::Answer(PermitAnswer::OverLimit(_))) {
+        if !matches!(issued, IssueOutcome::Answer(PermitAnswer::OverLimit(_))) {
             self.work.notify_one();
         }
         if is_urgent {
@@ -89,11 +94,11 @@
     pub fn refuse_early(&self, term: u64, request: &PermitRequest) -> Option<PermitAnswer> {
         let issued = self.within(term, |issuer, now| {
             let is_exhausted = issuer.is_exhausted(request, now);
-            is_exhausted.then(|| issuer.issue(request, Purpose::Single, now))
+            is_exhausted.then(|| issuer.issue(request, PermitPurpose::NoProgram, now))
         });
         match issued {
-            Some(Issued::Answer(answer)) => Some(answer),
-            Some(Issued::Later(..) | Issued::NotNow) | None => None,
+            Some(IssueOutcome::Answer(answer)) => Some(answer),
+            Some(IssueOutcome::Delayed(..) | IssueOutcome::LogBacklog) | None => None,
         }
     }
 
@@ -110,8 +115,8 @@
     }
 
     /// What tenants use of their limits.
-    pub fn uses(&self) -> Vec<TenantUse> {
-        self.state.lock().issuer.uses(Instant::now())
+    pub fn uses(&self) -> Vec<TenantUsage> {
+        self.state.lock().issuer.usage(Instant::now())
     }
 
     fn within<T>(&self, term: u64, act: impl FnOnce(&mut PermitIssuer, Instant) -> T) -> T {
@@ -131,7 +136,7 @@
         let mut state = self.state.lock();
         let elapsed = state.noted.map_or(Duration::ZERO, |noted| now - noted);
         state.noted = Some(now);
-        UnnotedPermits { term: state.term, issued: state.issuer.take_unnoted(), elapsed }
+        UnnotedPermits { term: state.term, issued: state.issuer.take_unlogged(), elapsed }
     }
 
     /// Logs which tenants press on their limits.
@@ -158,9 +163,9 @@
             return;
         }
         if is_noted {
-            state.issuer.confirm_noted(issued);
+            state.issuer.confirm_logged(issued);
         } else {
-            state.issuer.return_unnoted(issued);
+            state.issuer.return_unlogged(issued);
         }
     }
 
@@ -209,7 +214,7 @@
                 continue;
             };
             for issued in &note.issued {
-                self.issuer.inherit(issued, at);
+                self.issuer.restore(issued, at);
             }
         }
     }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use calicohoist_routing::select::Affinity;
 use calicohoist_routing::{
-    Candidate, ColdReplicas, CostWeights, DrainedZones, EligibilityRules, HomeRegions, ListedStart,
-    MeanLoad, NewestStarts, Replica, ReturnedZones, Topology, choose, spread, stable_hash,
+    Candidate, ColdReplicas, CostWeights, DrainedZones, EligibilityRules, EntryStatus, HomeRegions,
+    IncarnationTracker, MeanLoad, Replica, Topology, UndrainedZones, choose, spread, stable_hash,
 };
 use parking_lot::{MappedRwLockReadGuard, Mutex, RwLock, RwLockReadGuard};
 
@@ -84,7 +84,7 @@
     fn note_other_load(&self, load: u32, now: Instant) {
         let mut known = self.other_load.lock();
         let since = known.reported.map(|at| now.saturating_duration_since(at));
-        *known = OtherLoad { mean: known.mean.after(load, since), reported: Some(now) };
+        *known = OtherLoad { mean: known.mean.updated(load, since), reported: Some(now) };
     }
 }
 
@@ -135,10 +135,10 @@
     /// list shows.
     cold: RwLock<ColdReplicas>,
     /// Zones whose replicas may have turned cold while they were drained.
-    returned: RwLock<ReturnedZones>,
+    returned: RwLock<UndrainedZones>,
     services: RwLock<Arc<ByService>>,
     /// The newest starts that lists have shown: those of two leaders may come in any order.
-    starts: Mutex<NewestStarts>,
+    starts: Mutex<IncarnationTracker>,
     /// The same members in the order of the list.
     listed: RwLock<Vec<Arc<Member>>>,
     /// When the newest list known here was read, by whomever.
@@ -173,7 +173,7 @@
 
     /// Replaces the list. What is known of replicas that stay is kept.
     pub fn update(&self, replicas: Vec<Replica>) {
-        let review = self.starts.lock().take(replicas.iter());
+        let review = self.starts.lock().update(replicas.iter());
         let before = self.services.read().clone();
         let known: HashMap<&str, &Arc<Member>> =
             before.values().flatten().map(|member| (member.replica.id.as_str(), member)).collect();
@@ -190,7 +190,7 @@
             };
             // Loads go by the place in the list, so that each entry keeps its own.
             listed.push(Arc::clone(&member));
-            if start != ListedStart::Newest {
+            if start != EntryStatus::Newest {
                 continue;
             }
             services.entry(member.replica.service.clone()).or_default().push(member);
@@ -298,7 +298,7 @@
         let mut known = self.cold.write();
         known.expire(now);
         for (id, left_ms) in cold {
-            known.note(id, now + Duration::from_millis(u64::from(*left_ms)));
+            known.mark_cold(id, now + Duration::from_millis(u64::from(*left_ms)));
         }
     }
 
@@ -312,7 +312,7 @@
         let ids: HashSet<&str> = ids.iter().map(String::as_str).collect();
         let mut cold = self.cold.write();
         for replica in replicas.iter().filter(|replica| !ids.contains(replica.id.as_str())) {
-            cold.note(&replica.id, now + FIRST_SIGHT);
+            cold.mark_cold(&replica.id, now + FIRST_SIGHT);
         }
     }
 
@@ -341,7 +341,7 @@
 
     /// Takes in which zones are drained.
     pub fn set_drained(&self, drained: DrainedZones) {
-        self.returned.write().note(&drained, Instant::now());
+        self.returned.write().update(&drained, Instant::now());
         *self.drained.write() = Some(Arc::new(drained));
     }
 
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,24 +1,24 @@
-//! From host and path to a route.
+//! Look-up of routes by host and path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::configuration::{Configuration, Limits, Route, Service};
-use crate::tenant::{KeyRing, KeySecret};
+use crate::tenant::{ApiKeyIndex, KeySecret};
 
-/// A configuration, indexed for look-ups.
+/// A configuration indexed for look-ups.
 #[derive(Debug)]
 pub struct RouteTable {
     version: u64,
     limits: Limits,
-    /// Routes of each host, longest prefix first.
+    /// Routes by host, longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
-    keys: KeyRing,
+    keys: ApiKeyIndex,
 }
 
 impl RouteTable {
-    /// Indexes a valid configuration; its keys are hashed with `secret`.
+    /// Indexes a valid configuration. API keys are hashed with `secret`.
     pub fn new(configuration: Configuration, secret: &KeySecret) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in configuration.routes {
@@ -34,28 +34,28 @@
             limits: configuration.limits,
             hosts,
             services: services.collect(),
-            keys: KeyRing::new(configuration.tenants, secret),
+            keys: ApiKeyIndex::new(configuration.tenants, secret),
         }
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on requests and connections of callers.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Whose keys are whose.
-    pub fn keys(&self) -> &KeyRing {
+    /// Returns the look-up of tenants by API key.
+    pub fn keys(&self) -> &ApiKeyIndex {
         &self.keys
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// `host` may carry a port and `path` a query; both are ignored.
+    /// A port in `host` and a query in `path` are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let path = path.split_once('?').map_or(path, |(before, _)| before);
@@ -63,7 +63,7 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The service called `name`.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -40,7 +40,7 @@
     /// The turn runs on this replica.
     Run(String),
     /// The turn runs on this replica, which is cold. The decision is void unless the turn is sent
-    /// within [`calicohoist_routing::COLD_PLACEMENT_LIFE`] after its placement.
+    /// within [`calicohoist_routing::COLD_PLACEMENT_LIFETIME`] after its placement.
     RunCold {
         /// Identity of the replica.
         replica: String,
--- a/crates/scheduler/src/cold.rs
+++ b/crates/scheduler/src/cold.rs
@@ -8,14 +8,14 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use calicohoist_routing::{ColdLimit, ColdTolerance, LIST_SETTLES, Replica, ReturnedZones};
+use calicohoist_routing::{ColdLimit, ColdTolerance, LIST_SETTLE_TIME, Replica, UndrainedZones};
 
 use crate::placement::FleetView;
 
 /// Window over which the limit is counted.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// Maximum time between a placement and its arrival at the replica: the lifetime of the placement
-/// ([`calicohoist_routing::COLD_PLACEMENT_LIFE`]) and the network delay with a new connection.
+/// ([`calicohoist_routing::COLD_PLACEMENT_LIFETIME`]) and the network delay with a new connection.
 /// Placements made within a window extended by this time may arrive within a single window.
 const MAX_ARRIVAL_DELAY: Duration = Duration::from_millis(500);
 /// Time for which a deposed leader may still place turns: the longest election timeout, rounded
@@ -67,7 +67,7 @@
     /// Recent placements by replica, oldest first. Warm replicas are included, since a replica
     /// may turn out to have been cold.
     placements: HashMap<String, VecDeque<Instant>>,
-    returned_zones: ReturnedZones,
+    returned_zones: UndrainedZones,
     /// Failed replicas, each with the time until which it counts as cold because it may have
     /// restarted unnoticed.
     cold_after_failure: HashMap<String, Instant>,
@@ -88,12 +88,12 @@
     /// Updates the drained zones. The replicas of a zone that is no longer drained count as cold
     /// for a short time.
     pub fn update_drained_zones(&mut self, view: &FleetView<'_>, now: Instant) {
-        self.returned_zones.note(view.drained, now);
+        self.returned_zones.update(view.drained, now);
     }
 
     /// Marks a replica as failing until `until`; it may restart after that.
     pub fn mark_failing(&mut self, replica: &str, until: Instant) {
-        self.cold_after_failure.insert(replica.to_owned(), until + LIST_SETTLES);
+        self.cold_after_failure.insert(replica.to_owned(), until + LIST_SETTLE_TIME);
     }
 
     /// Checks the rate limit of a replica. Services without a limit are not restricted.
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -158,7 +158,7 @@
     /// Placed on a warm replica.
     Warm(String),
     /// Placed on a cold replica. The turn has to be sent within
-    /// [`calicohoist_routing::COLD_PLACEMENT_LIFE`].
+    /// [`calicohoist_routing::COLD_PLACEMENT_LIFETIME`].
     Cold(String),
     /// All eligible replicas have reached their limit.
     NoCapacity,
--- a/crates/scheduler/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -92,7 +92,7 @@
 
 fn fleet_with_cold(ids: &[&str], cold: &[&str], until: Instant) -> Fleet {
     let mut fleet = Fleet::new(ids);
-    cold.iter().for_each(|id| fleet.cold.note(id, until));
+    cold.iter().for_each(|id| fleet.cold.mark_cold(id, until));
     fleet
 }
 
@@ -158,7 +158,7 @@
     for turn in 0..BURST_LIMIT {
         fleet.place(&mut placer, &turn.to_string(), now);
     }
-    fleet.cold.note("c", now + ms(60_000));
+    fleet.cold.mark_cold("c", now + ms(60_000));
     assert_eq!(fleet.place(&mut placer, "t", now + ms(1_499)), Placement::NoCapacity);
     assert_eq!(fleet.fill(&mut placer, "c", now + ms(1_500)), STEADY_LIMIT);
 }
