--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -1,7 +1,7 @@
-//! Operators' calls.
+//! HTTP endpoint for operators.
 //!
-//! Any machine takes them. One that does not lead sends the caller on to the leader;
-//! one that knows no leader, or cannot be certain of the outcome, says so.
+//! Every machine accepts requests. A follower redirects the caller to the leader. A machine that
+//! knows no leader, or does not know the outcome of a change, answers that it is unavailable.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -28,39 +28,38 @@
 const MAX_BODY_BYTES: usize = 16 << 20;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Operators give up on a call after about a second and ask elsewhere.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Age of the list of replicas up to which a zone that it does not show counts as unknown: a
-/// leader reads it every 700 ms, and a reading takes up to a second.
-const LIST_FRESH: Duration = Duration::from_millis(2_000);
+/// Maximum age of a list of replicas from which a zone may be considered unknown. It covers the
+/// read interval and the duration of a read.
+const MAX_LIST_AGE: Duration = Duration::from_millis(2_000);
 
-/// A call of an operator, understood.
+/// A parsed operator request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// Put a configuration in force.
+    /// Activate a configuration.
     PutConfiguration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// Read the configuration in force.
+    /// Read the active configuration.
     GetConfiguration,
-    /// Empty a machine.
+    /// Retire a machine.
     Retire {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Whether a machine is empty.
+    /// Read whether a retiring machine is empty.
     GetRetiring {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Send nothing more to the replicas of a zone.
+    /// Stop sending requests to the replicas of a zone.
     DrainZone {
         /// The zone.
         zone: Zone,
     },
-    /// Take a drained zone into use again.
+    /// End the draining of a zone.
     RestoreZone {
         /// The zone.
         zone: Zone,
@@ -68,7 +67,7 @@
 }
 
 impl ControlCall {
-    /// The zone that it is about.
+    /// Returns the zone to drain or restore, if any.
     fn zone(&self) -> Option<&Zone> {
         match self {
             Self::DrainZone { zone } | Self::RestoreZone { zone } => Some(zone),
@@ -77,10 +76,10 @@
     }
 }
 
-/// Why a call was not understood.
+/// Why a request could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No such call.
+    /// The path does not exist.
     Unknown,
     /// The path exists, but not with this method.
     WrongMethod,
@@ -88,89 +87,89 @@
     Invalid(Findings),
 }
 
-/// What an operator is told.
+/// Outcome of an operator request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlOutcome {
-    /// It is done.
+    /// The change was applied.
     Done,
-    /// The configuration in force, as it was sent.
+    /// The active configuration as sent by the operator.
     Configuration(Bytes),
-    /// Whether the machine is empty.
+    /// State of a retiring machine.
     Retiring {
-        /// It is.
+        /// Whether it no longer holds a replica.
         is_empty: bool,
     },
-    /// There is no such thing.
+    /// The path, machine or zone does not exist.
     NotFound,
     /// The path exists, but not with this method.
     WrongMethod,
-    /// It would leave too few machines.
+    /// Too few machines would remain.
     TooFewLeft,
     /// The body is not acceptable.
     Invalid(Findings),
-    /// Nobody can be certain now.
+    /// There is no leader, or the outcome is unknown.
     Unavailable,
 }
 
-/// How operators speak.
+/// Parses operator requests and renders their outcomes.
 pub trait ControlCodec: Send + Sync {
-    /// Understands a call.
+    /// Parses a request.
     ///
     /// # Errors
     /// See [`CallError`].
     fn parse(&self, method: &Method, path: &str, body: &[u8]) -> Result<ControlCall, CallError>;
 
-    /// Status and JSON body of an outcome.
+    /// Returns the HTTP status and JSON body for an outcome.
     fn render(&self, outcome: &ControlOutcome) -> (StatusCode, Vec<u8>);
 }
 
-/// Whether a zone exists, as far as this machine can tell.
+/// Whether a zone exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ZoneJudgement {
+enum ZoneExistence {
     Known,
-    /// The newest list of replicas does not show it either.
+    /// The zone does not exist according to a recent list of replicas.
     Unknown,
-    /// Replicas may lie there: this machine has no fresh list.
+    /// The list of replicas is too old to tell.
     Uncertain,
 }
 
-/// Tells whether a caller is still there. The connection belongs to the library that serves it, so
-/// this is a second descriptor of the same socket.
-struct CallerWatch(std::net::TcpStream);
+/// Detects whether the caller has closed its connection. Holds a duplicate of the socket's file
+/// descriptor, because hyper owns the stream.
+struct ConnectionMonitor(std::net::TcpStream);
 
-impl CallerWatch {
-    fn of(stream: TcpStream) -> std::io::Result<(TcpStream, Self)> {
+impl ConnectionMonitor {
+    fn new(stream: TcpStream) -> std::io::Result<(TcpStream, Self)> {
         let stream = stream.into_std()?;
-        let watched = Self(stream.try_clone()?);
-        Ok((TcpStream::from_std(stream)?, watched))
+        let monitor = Self(stream.try_clone()?);
+        Ok((TcpStream::from_std(stream)?, monitor))
     }
 
-    /// Whether the caller has closed the connection.
-    fn has_left(&self) -> bool {
+    /// Returns whether the caller has closed the connection.
+    fn is_closed(&self) -> bool {
         match self.0.peek(&mut [0]) {
             Ok(read) => read == 0,
-            // The socket is non-blocking; any other error is a broken connection.
+            // The socket is non-blocking. All other errors mean a broken connection.
             Err(error) => error.kind() != std::io::ErrorKind::WouldBlock,
         }
     }
 }
 
-/// What operators' calls are answered from.
+/// Handles operator requests.
 #[derive(Clone)]
 pub struct Control {
     /// Settings of this machine.
     pub settings: Arc<LedgerSettings>,
-    /// The replicated log.
+    /// Handle of the replica thread.
     pub replica: ReplicaHandle,
-    /// What is known of the group.
+    /// Status of the Raft group.
     pub standing: watch::Receiver<Standing>,
-    /// The list of replicas.
+    /// Replicas found by discovery.
     pub list: watch::Receiver<Reading>,
     /// The other ledger machines.
     pub peers: KnownPeers,
 }
 
-/// Takes connections of operators.
+/// Accepts connections from operators.
 pub async fn accept(listener: TcpListener, control: Control) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -180,18 +179,18 @@
 }
 
 async fn serve(stream: TcpStream, control: Control) {
-    let Ok((stream, watched)) = CallerWatch::of(stream) else {
-        // No descriptor is left to watch it with; the operator asks another machine.
+    let Ok((stream, monitor)) = ConnectionMonitor::new(stream) else {
+        // No file descriptor is available. The operator can use another machine.
         return;
     };
-    let watched = Arc::new(watched);
+    let monitor = Arc::new(monitor);
     let service = service_fn(move |request| {
-        let (control, watched) = (control.clone(), Arc::clone(&watched));
-        async move { Ok::<_, Infallible>(control.handle(request, &watched).await) }
+        let (control, monitor) = (control.clone(), Arc::clone(&monitor));
+        async move { Ok::<_, Infallible>(control.handle(request, &monitor).await) }
     });
     let mut server = hyper::server::conn::http1::Builder::new();
     server.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
-    // An operator that goes away is no event of ours.
+    // Connection errors are not logged: the operator has disconnected.
     let _ = server.serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -199,13 +198,13 @@
     async fn handle(
         &self,
         request: HttpRequest<Incoming>,
-        caller: &CallerWatch,
+        caller: &ConnectionMonitor,
     ) -> HttpResponse<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
         let body = Limited::new(body, MAX_BODY_BYTES).collect();
         let Ok(Ok(body)) = tokio::time::timeout(BODY_TIMEOUT, body).await else {
-            return plain(StatusCode::BAD_REQUEST, Vec::new());
+            return json_response(StatusCode::BAD_REQUEST, Vec::new());
         };
         let body = body.to_bytes();
         let call = match self.settings.control.parse(&head.method, &path, &body) {
@@ -217,13 +216,13 @@
                 return self.render(&ControlOutcome::Invalid(findings));
             }
         };
-        let response = tokio::time::timeout(PATIENCE, self.perform(&call, &body, caller)).await;
+        let response = tokio::time::timeout(CALL_TIMEOUT, self.perform(&call, &body, caller)).await;
         let response = response.unwrap_or(Response::Lost);
         emit!(
             Event::ControlCall;
             call = format!("{call:?}"),
             bytes = body.len(),
-            outcome = summary(&response),
+            outcome = summarize(&response),
         );
         match response {
             Response::NotLeader(leader) => self.redirect(leader, &path),
@@ -231,16 +230,21 @@
         }
     }
 
-    async fn perform(&self, call: &ControlCall, body: &Bytes, caller: &CallerWatch) -> Response {
+    async fn perform(
+        &self,
+        call: &ControlCall,
+        body: &Bytes,
+        caller: &ConnectionMonitor,
+    ) -> Response {
         if let Some(zone) = call.zone() {
-            // A caller that has closed its connection may have asked another machine since, and
-            // withdrawn the order there. The library drops a call under way when its caller
-            // closes, but it begins a call before it reads a close that came along with it.
-            if caller.has_left() {
+            // A caller that has disconnected may already have requested the opposite change from
+            // another machine. Hyper cancels a running handler when the caller disconnects, but
+            // starts a handler before it notices that the connection is closed.
+            if caller.is_closed() {
                 return Response::Overdue;
             }
-            if self.judge_zone(zone) != ZoneJudgement::Known {
-                return self.refuse_zone(zone).await;
+            if self.zone_existence(zone) != ZoneExistence::Known {
+                return self.reject_zone(zone).await;
             }
             if let Some(lag) = self.fleet_lag() {
                 return Response::FleetLags(lag);
@@ -249,8 +253,8 @@
         self.replica.call(to_request(call.clone(), body)).await
     }
 
-    /// What keeps the ledger from draining zones, as far as the leader knows: a machine of an older
-    /// build would leave the order out of its state.
+    /// On the leader, returns a member that may not support zone drains. A machine running an
+    /// older build would not apply the command to its state.
     fn fleet_lag(&self) -> Option<FleetLag> {
         let standing = self.standing.borrow();
         let own = super::machine_number(self.settings.ip);
@@ -258,11 +262,11 @@
         standing.is_leader.then(|| self.peers.lag(others)).flatten()
     }
 
-    /// Answers an order for a zone that this machine does not know, without proposing it.
-    async fn refuse_zone(&self, zone: &Zone) -> Response {
+    /// Rejects a change of a zone that is not known to exist, after confirming the leadership.
+    async fn reject_zone(&self, zone: &Zone) -> Response {
         match self.replica.call(Request::ConfirmLeadership).await {
-            // Looked up again: only now are the drained zones known here certain to be the newest.
-            Response::Leads(_) if self.judge_zone(zone) == ZoneJudgement::Unknown => {
+            // Checked again, because only now are the drained zones known to be up to date.
+            Response::Leads(_) if self.zone_existence(zone) == ZoneExistence::Unknown => {
                 Response::UnknownZone
             }
             Response::Leads(_) => Response::Overdue,
@@ -270,9 +274,8 @@
         }
     }
 
-    /// Whether a zone exists: it is named in the settings, some listed replica lies there, or
-    /// it is drained.
-    fn judge_zone(&self, zone: &Zone) -> ZoneJudgement {
+    /// Looks a zone up in the topology, the drained zones and the list of replicas.
+    fn zone_existence(&self, zone: &Zone) -> ZoneExistence {
         let standing = self.standing.borrow();
         let reading = self.list.borrow();
         let mut replicas = reading.list.replicas.iter();
@@ -280,13 +283,13 @@
             || standing.drained.contains(zone.as_str())
             || replicas.any(|replica| replica.zone == zone.as_str())
         {
-            return ZoneJudgement::Known;
+            return ZoneExistence::Known;
         }
         let is_current = standing.is_leader && reading.term == standing.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed());
         match age {
-            Some(age) if age <= LIST_FRESH => ZoneJudgement::Unknown,
-            _ => ZoneJudgement::Uncertain,
+            Some(age) if age <= MAX_LIST_AGE => ZoneExistence::Unknown,
+            _ => ZoneExistence::Uncertain,
         }
     }
 
@@ -305,11 +308,11 @@
 
     fn render(&self, outcome: &ControlOutcome) -> HttpResponse<Full<Bytes>> {
         let (status, body) = self.settings.control.render(outcome);
-        plain(status, body)
+        json_response(status, body)
     }
 }
 
-fn plain(status: StatusCode, body: Vec<u8>) -> HttpResponse<Full<Bytes>> {
+fn json_response(status: StatusCode, body: Vec<u8>) -> HttpResponse<Full<Bytes>> {
     let response =
         HttpResponse::builder().status(status).header("content-type", "application/json");
     response.body(Full::new(Bytes::from(body))).unwrap_or_default()
@@ -335,7 +338,7 @@
         }
         Response::UnknownZone => ControlOutcome::NotFound,
         Response::Configuration(Some(held)) => ControlOutcome::Configuration(held.document),
-        // Before the first configuration nothing can be shown.
+        // No configuration has been activated yet.
         Response::Configuration(None) => ControlOutcome::Unavailable,
         Response::Retiring(RetiringOutcome::Accepted) => ControlOutcome::Done,
         Response::Retiring(RetiringOutcome::Unknown) => ControlOutcome::NotFound,
@@ -346,7 +349,7 @@
     }
 }
 
-fn summary(response: &Response) -> String {
+fn summarize(response: &Response) -> String {
     match response {
         Response::Configuration(held) => {
             format!("configuration {}", held.as_ref().map_or(0, |held| held.version))
--- a/crates/ledger/src/server/failures.rs
+++ b/crates/ledger/src/server/failures.rs
@@ -1,4 +1,4 @@
-//! Replicas that are left alone, as the leader tells all gateways.
+//! Replicas that receive no requests after failures, as the leader reports them to gateways.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +9,15 @@
 
 use crate::protocol::ChangeMark;
 
-/// Counts what gateways report in one term after the other.
+/// Tracks the failures reported by gateways within a term.
 pub struct FailureDesk {
-    state: Mutex<DeskState>,
-    /// The newest change, for those who wait for one.
+    state: Mutex<TrackerState>,
+    /// Mark of the newest change, for waiting watches.
     mark: watch::Sender<ChangeMark>,
 }
 
 #[derive(Default)]
-struct DeskState {
+struct TrackerState {
     term: u64,
     board: FailureBoard,
 }
@@ -29,32 +29,32 @@
 }
 
 impl FailureDesk {
-    /// Counts a failure; returns how long the replica is to be left alone from now on.
+    /// Records a failure. Returns for how long the replica is excluded if the failure excludes it.
     pub fn note(&self, term: u64, replica: &str, replicas: &[Replica]) -> Option<Duration> {
         let mut state = self.state.lock();
         if state.term != term {
-            *state = DeskState { term, ..DeskState::default() };
+            *state = TrackerState { term, ..TrackerState::default() };
         }
         state.board.retain(replicas);
-        let rest = state.board.note(replica, replicas, Instant::now())?;
+        let exclusion = state.board.note(replica, replicas, Instant::now())?;
         self.mark.send_modify(|mark| *mark = mark.next(term));
-        Some(rest)
+        Some(exclusion)
     }
 
-    /// Follows the changes.
+    /// Subscribes to changes.
     pub fn subscribe(&self) -> watch::Receiver<ChangeMark> {
         self.mark.subscribe()
     }
 
-    /// What has changed since `seen`: the replicas that are to be left alone, each for so many
-    /// ms.
+    /// Returns the excluded replicas with the remaining time in ms if they have changed since
+    /// `seen`.
     pub fn news(&self, seen: ChangeMark) -> Option<(ChangeMark, Vec<(String, u32)>)> {
         let mark = *self.mark.borrow();
         if mark == seen {
             return None;
         }
-        let resting = self.state.lock().board.resting(Instant::now());
+        let excluded = self.state.lock().board.resting(Instant::now());
         let in_ms = |left: Duration| u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        Some((mark, resting.into_iter().map(|(id, left)| (id, in_ms(left))).collect()))
+        Some((mark, excluded.into_iter().map(|(id, left)| (id, in_ms(left))).collect()))
     }
 }
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -1,9 +1,9 @@
-//! Questions of gateways.
+//! The service for gateways.
 //!
-//! - [`news`]: what they watch for, and what they report along with it;
-//! - [`older`]: what those of older builds are told;
-//! - [`shared`]: answers that are the same for all of them;
-//! - [`turns`]: whether, when and where a request runs.
+//! - [`news`]: long polling for updates, and the load reports sent with it;
+//! - [`older`]: translation for gateways running older builds;
+//! - [`shared`]: answers that are encoded once for all gateways;
+//! - [`turns`]: reservations, permits and placement.
 
 mod news;
 mod older;
@@ -36,12 +36,11 @@
 use super::traffic::{self, Peer};
 use super::turns::TurnDesk;
 use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
-use older::OlderGateways;
+use older::LegacyGateways;
 use shared::{SharedAnswer, SharedAnswers};
 
-/// How long a gateway that looks for a leader is kept waiting while nobody leads: what it
-/// would do meanwhile is ask again.
-const FIND_HOLD: Duration = Duration::from_millis(150);
+/// How long a request for the leader is held while there is none.
+const FIND_LEADER_TIMEOUT: Duration = Duration::from_millis(150);
 const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 static REFUSALS: RefusalLog = RefusalLog::new("gateway");
@@ -51,54 +50,53 @@
     "Bytes of answers to gateways, by what takes most of them",
     "answer",
 );
-static WAITING: Gauge = Gauge::new(
+static QUEUED_BYTES: Gauge = Gauge::new(
     "calicohoist_ledger_waiting_bytes",
     "Bytes of answers that wait for gateways to take them",
 );
 
-/// Where a ledger machine is, and where its askers are.
+/// Location of a ledger machine and of the gateways that send turns to it.
 #[derive(Debug)]
 pub struct HubPlace {
     /// Zone of this machine.
     pub zone: String,
-    /// Where zones lie.
+    /// Regions of the zones.
     pub topology: Arc<Topology>,
-    /// Turns by the zone of their gateways.
+    /// Turns by the zone of the gateway.
     pub loads: Arc<Mutex<ZoneLoads>>,
 }
 
-/// What all connections of gateways share.
+/// Answers the questions of gateways. All connections share it.
 #[derive(Clone)]
 pub struct Hub {
     replica: ReplicaHandle,
     standing: watch::Receiver<Standing>,
     list: watch::Receiver<Reading>,
     loads: Arc<Mutex<LoadBoard>>,
-    /// Turns of programs; of use on the leader only, which alone grants reservations.
+    /// Placement of turns; used on the leader only.
     turns: Arc<TurnDesk>,
-    /// Limits of tenants; of use on the leader only.
+    /// Tenant limits; used on the leader only.
     limits: Arc<LimitDesk>,
-    /// Replicas that fail; of use on the leader only.
+    /// Failing replicas; used on the leader only.
     failures: Arc<FailureDesk>,
-    /// Answers that wait on all connections.
-    waiting: WaitingBytes,
+    /// Bytes of answers queued on all connections.
+    queued_bytes: WaitingBytes,
     shared: Arc<Mutex<SharedAnswers>>,
-    older: OlderGateways,
-    /// Where this machine and its askers are.
-    place: Arc<HubPlace>,
-    /// Runs what the replica's thread must not wait for.
+    legacy: LegacyGateways,
+    location: Arc<HubPlace>,
+    /// Runs delayed work, because the replica thread must not block.
     runtime: Handle,
 }
 
 impl Hub {
-    /// Answers from `replica` and the readings of the list; made within a runtime.
+    /// Creates the service. Must be called within a Tokio runtime.
     pub fn new(
         replica: ReplicaHandle,
         standing: watch::Receiver<Standing>,
         list: watch::Receiver<Reading>,
         turns: Arc<TurnDesk>,
         limits: Arc<LimitDesk>,
-        place: HubPlace,
+        location: HubPlace,
     ) -> Self {
         Self {
             replica,
@@ -108,10 +106,10 @@
             turns,
             limits,
             failures: Arc::default(),
-            waiting: WaitingBytes::default(),
+            queued_bytes: WaitingBytes::default(),
             shared: Arc::default(),
-            older: OlderGateways::default(),
-            place: Arc::new(place),
+            legacy: LegacyGateways::default(),
+            location: Arc::new(location),
             runtime: Handle::current(),
         }
     }
@@ -120,11 +118,11 @@
         Answer::NotLeader { leader, machines: self.standing.borrow().machines.clone() }
     }
 
-    /// Who leads, as soon as somebody does.
+    /// Answers with the leader, waiting a short time for one to be elected.
     async fn find_leader(&self) -> Answer {
         let mut standing = self.standing.clone();
-        let known = standing.wait_for(|standing| standing.leader.is_some());
-        let _ = tokio::time::timeout(FIND_HOLD, known).await;
+        let has_leader = standing.wait_for(|standing| standing.leader.is_some());
+        let _ = tokio::time::timeout(FIND_LEADER_TIMEOUT, has_leader).await;
         let standing = self.standing.borrow().clone();
         if standing.is_leader {
             return Answer::Leads { machines: standing.machines };
@@ -133,7 +131,7 @@
     }
 }
 
-/// Takes connections of gateways.
+/// Accepts connections from gateways.
 pub async fn accept(listener: TcpListener, hub: Hub) {
     loop {
         if let Ok((stream, address)) = listener.accept().await
@@ -153,44 +151,45 @@
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
     let version = choose(&mut frames, &mut output, SPOKEN).await?;
-    let older = (version < NEWEST).then(|| Arc::new(hub.clone()));
-    let replies = spawn_writer(output, hub.waiting.clone());
+    let legacy = (version < NEWEST).then(|| Arc::new(hub.clone()));
+    let replies = spawn_writer(output, hub.queued_bytes.clone());
     let mut distance = None;
     loop {
         let Ask { number, question } = Ask::read(&mut frames, version).await?;
-        let question = match &older {
-            Some(hub) => hub.older.read(question, &hub.fleet()),
+        let question = match &legacy {
+            Some(hub) => hub.legacy.translate_question(question, &hub.fleet()),
             None => question,
         };
-        if let Some(placement) = placement_in(&question) {
-            distance = Some(hub.place.topology.distance(&hub.place.zone, &placement.zone));
-            hub.place.loads.lock().note(&placement.zone, Instant::now());
+        if let Some(placement) = placement_request(&question) {
+            distance = Some(hub.location.topology.distance(&hub.location.zone, &placement.zone));
+            hub.location.loads.lock().note(&placement.zone, Instant::now());
         }
-        traffic::note(Peer::Asker, word_of(&question), distance, frames.last_len());
-        let (replies, waiting) = (replies.clone(), hub.waiting.clone());
-        let back = Back { number, replies, waiting, distance, version, older: older.clone() };
+        traffic::record(Peer::Asker, question_kind(&question), distance, frames.last_len());
+        let (replies, queued_bytes) = (replies.clone(), hub.queued_bytes.clone());
+        let responder =
+            Responder { number, replies, queued_bytes, distance, version, legacy: legacy.clone() };
         match question {
             Question::Reserve { reserve, placement, permit } => {
-                hub.reserve(reserve, placement, permit, back);
+                hub.reserve(reserve, placement, permit, responder);
             }
-            Question::Permit(permit) => hub.permit(permit, back),
-            Question::Place { turn, placement } => hub.place(turn, placement, back),
-            Question::Settle(settle) => hub.settle(settle, back),
-            Question::ReportFailure { replica } => hub.note_failure(&replica, back),
+            Question::Permit(permit) => hub.permit(permit, responder),
+            Question::Place { turn, placement } => hub.place(turn, placement, responder),
+            Question::Settle(settle) => hub.settle(settle, responder),
+            Question::ReportFailure { replica } => hub.report_failure(&replica, responder),
             Question::FindLeader => {
                 let hub = hub.clone();
-                tokio::spawn(async move { back.send(hub.find_leader().await) });
+                tokio::spawn(async move { responder.send(hub.find_leader().await) });
             }
             Question::Watch(seen) => {
                 let hub = hub.clone();
-                tokio::spawn(async move { hub.watch(seen, back).await });
+                tokio::spawn(async move { hub.watch(seen, responder).await });
             }
         }
     }
 }
 
-/// The placement that a question asks for, which names the asker's zone.
-fn placement_in(question: &Question) -> Option<&PlacementRequest> {
+/// Returns the placement request of a question, if any.
+fn placement_request(question: &Question) -> Option<&PlacementRequest> {
     match question {
         Question::Reserve { placement, .. } => placement.as_ref(),
         Question::Place { placement, .. } => Some(placement),
@@ -198,7 +197,7 @@
     }
 }
 
-fn word_of(question: &Question) -> &'static str {
+fn question_kind(question: &Question) -> &'static str {
     match question {
         Question::Reserve { .. } => "reserve",
         Question::Permit(_) => "permit",
@@ -210,39 +209,39 @@
     }
 }
 
-/// The way back to the asker.
-pub(super) struct Back {
+/// Sends the answer to a question.
+pub(super) struct Responder {
     number: u64,
     replies: FrameQueue,
-    waiting: WaitingBytes,
-    /// How far the asker is, once that is known.
+    queued_bytes: WaitingBytes,
+    /// Distance to the gateway, once known.
     distance: Option<Distance>,
     version: ProtocolVersion,
-    /// Translates for an asker of an older build.
-    older: Option<Arc<Hub>>,
+    /// Translates answers for a gateway running an older build.
+    legacy: Option<Arc<Hub>>,
 }
 
-impl Back {
-    /// A connection that does not take its answers is closed; its owner asks again.
+impl Responder {
+    /// Queues the answer. A connection whose queue overflows is closed, and the gateway retries.
     pub(super) fn send(self, answer: Answer) {
-        let answer = match &self.older {
-            Some(hub) => hub.older.tell(answer, &hub.fleet()),
+        let answer = match &self.legacy {
+            Some(hub) => hub.legacy.translate_answer(answer, &hub.fleet()),
             None => answer,
         };
-        let bulk = bulk_of(&answer);
+        let kind = answer_kind(&answer);
         let frame = Reply { number: self.number, answer }.encode(self.version);
-        self.send_frame(bulk, frame);
+        self.send_frame(kind, frame);
     }
 
-    /// Whether the asker is of an older build.
-    fn is_older(&self) -> bool {
-        self.older.is_some()
+    /// Returns whether the gateway runs an older build.
+    fn is_legacy(&self) -> bool {
+        self.legacy.is_some()
     }
 
-    /// Sends an answer that other connections send, too, and that is the same in all versions.
+    /// Sends an answer shared with other connections. It must be the same in all versions.
     fn send_shared(self, answer: &SharedAnswer) {
         let frame = Frame::with_shared(&self.number, &answer.encoded);
-        self.send_frame(answer.bulk, frame);
+        self.send_frame(answer.kind, frame);
     }
 
     fn send_if_encoded(self, answer: Result<SharedAnswer, FrameError>) {
@@ -255,25 +254,25 @@
         }
     }
 
-    fn send_frame(self, bulk: &'static str, frame: Result<Frame, FrameError>) {
+    fn send_frame(self, kind: &'static str, frame: Result<Frame, FrameError>) {
         match frame {
             Ok(frame) => {
-                ANSWERED_BYTES.add(bulk, frame.len() as u64);
-                traffic::note(Peer::Gateway, bulk, self.distance, frame.len());
+                ANSWERED_BYTES.add(kind, frame.len() as u64);
+                traffic::record(Peer::Gateway, kind, self.distance, frame.len());
                 let queued = self.replies.send(frame);
-                WAITING.show(self.waiting.get() as u64);
+                QUEUED_BYTES.show(self.queued_bytes.get() as u64);
                 if queued == Queued::Overflowed {
-                    emit!(Event::AnswersNotTaken; answer = bulk, waiting = self.waiting.get());
+                    emit!(Event::AnswersNotTaken; answer = kind, waiting = self.queued_bytes.get());
                 }
             }
-            // The asker gives up at its deadline; other answers go on.
-            Err(error) => emit!(Event::AnswerTooLong; answer = bulk, error = error),
+            // The gateway's request times out. Other answers are not affected.
+            Err(error) => emit!(Event::AnswerTooLong; answer = kind, error = error),
         }
     }
 }
 
-/// What takes most of an answer's bytes.
-fn bulk_of(answer: &Answer) -> &'static str {
+/// Returns the metric label of an answer: the content that makes up most of its size.
+fn answer_kind(answer: &Answer) -> &'static str {
     match answer {
         Answer::Configuration { .. } => "configuration",
         Answer::List { .. } => "list",
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -1,4 +1,4 @@
-//! What gateways watch for, and what they report along with it.
+//! Long polling: gateways wait for updates and report their load.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,24 +6,24 @@
 use calicohoist_routing::DrainedZones;
 use calicohoist_telemetry::{Event, emit};
 
-use super::{Back, Hub};
+use super::{Hub, Responder};
 use crate::protocol::{Answer, News, Seen};
 use crate::server::list::Reading;
 use crate::server::replica::{Request, Response, Standing};
 
-/// Longest time that a watch is held when nothing is newer.
-const WATCH_HOLD: Duration = Duration::from_millis(500);
+/// Maximum time that a watch is held without an update.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Hub {
-    /// Answers once something is newer than what was seen, or after a while.
-    pub(super) async fn watch(&self, seen: Seen, back: Back) {
-        self.note_load(&seen);
+    /// Answers once there is an update that the gateway has not seen, or after [`WATCH_TIMEOUT`].
+    pub(super) async fn watch(&self, seen: Seen, responder: Responder) {
+        self.record_load(&seen);
         let mut standing = self.standing.clone();
         let mut list = self.list.clone();
         let mut failing = self.failures.subscribe();
-        let news = async {
+        let update = async {
             loop {
-                let is_stale = {
+                let has_update = {
                     let standing = standing.borrow_and_update();
                     let list = list.borrow_and_update();
                     let failing = failing.borrow_and_update();
@@ -34,7 +34,7 @@
                         || (list.term == standing.term && list.mark != seen.list)
                         || (list.cold_mark.term == standing.term && list.cold_mark != seen.cold)
                 };
-                if is_stale {
+                if has_update {
                     return;
                 }
                 tokio::select! {
@@ -44,42 +44,42 @@
                 }
             }
         };
-        let _ = tokio::time::timeout(WATCH_HOLD, news).await;
-        self.tell_news(&seen, back).await;
+        let _ = tokio::time::timeout(WATCH_TIMEOUT, update).await;
+        self.send_update(&seen, responder).await;
     }
 
-    /// Tells what is newer, with a quorum behind it, one thing at a time: first the drained zones,
-    /// where nothing may be sent; then the configuration, the list, and all small news together.
-    async fn tell_news(&self, seen: &Seen, back: Back) {
+    /// Sends the first available update after confirming the leadership, in this order: drained
+    /// zones, because no request may be sent there; configuration; list of replicas; all others.
+    async fn send_update(&self, seen: &Seen, responder: Responder) {
         let read = Request::ReadConfiguration { newer_than: seen.configuration };
         let held = match self.replica.call(read).await {
             Response::Configuration(held) => held,
-            Response::NotLeader(leader) => return back.send(self.not_leader(leader)),
-            _ => return back.send(Answer::Unavailable),
+            Response::NotLeader(leader) => return responder.send(self.not_leader(leader)),
+            _ => return responder.send(Answer::Unavailable),
         };
-        // All drains that were applied before the read was answered are published by now.
+        // The replica thread publishes applied drains before it answers a read.
         let drained = Arc::clone(&self.standing.borrow().drained);
         if Some(drained.version) != seen.drained {
-            return back.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
+            return responder.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
         }
         if let Some(held) = held {
             let answer = self.shared.lock().configuration(&held);
-            return back.send_if_encoded(answer);
+            return responder.send_if_encoded(answer);
         }
         let reading = self.reading();
         let standing = self.standing.borrow().clone();
         if reading.tells_list(standing.term, seen) {
-            if back.is_older() {
+            if responder.is_legacy() {
                 let list = reading.list.as_ref().clone();
-                return back.send(Answer::List { mark: reading.mark, list });
+                return responder.send(Answer::List { mark: reading.mark, list });
             }
             let answer = self.shared.lock().list(&reading);
-            return back.send_if_encoded(answer);
+            return responder.send_if_encoded(answer);
         }
-        back.send(Answer::News(self.news(seen, &standing, &reading)));
+        responder.send(Answer::News(self.status_update(seen, &standing, &reading)));
     }
 
-    fn news(&self, seen: &Seen, standing: &Standing, reading: &Reading) -> News {
+    fn status_update(&self, seen: &Seen, standing: &Standing, reading: &Reading) -> News {
         let is_current = reading.term == standing.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
         let failing = self.failures.news(seen.failing);
@@ -94,25 +94,25 @@
         }
     }
 
-    /// Counts a failure; everybody is told when it was one too many.
-    pub(super) fn note_failure(&self, replica: &str, back: Back) {
+    /// Records a failure of a replica. Once the replica is excluded, all gateways are notified.
+    pub(super) fn report_failure(&self, replica: &str, responder: Responder) {
         let standing = self.standing.borrow().clone();
         if !standing.is_leader {
-            return back.send(self.not_leader(standing.leader));
+            return responder.send(self.not_leader(standing.leader));
         }
         let replicas = &self.reading().list.replicas;
-        if let Some(rest) = self.failures.note(standing.term, replica, replicas) {
-            emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = rest.as_millis());
-            self.turns.note_failing(replica, Instant::now() + rest);
+        if let Some(exclusion) = self.failures.note(standing.term, replica, replicas) {
+            emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = exclusion.as_millis());
+            self.turns.mark_failing(replica, Instant::now() + exclusion);
         }
-        back.send(Answer::Noted);
+        responder.send(Answer::Noted);
     }
 
-    fn note_load(&self, seen: &Seen) {
+    fn record_load(&self, seen: &Seen) {
         self.loads.lock().note(&seen.gateway, &seen.loads, Instant::now());
         let standing = self.standing.borrow();
         if standing.is_leader {
-            self.turns.note_report(standing.term, &seen.gateway, &seen.loads);
+            self.turns.record_report(standing.term, &seen.gateway, &seen.loads);
         }
     }
 }
--- a/crates/ledger/src/server/gateways/older.rs
+++ b/crates/ledger/src/server/gateways/older.rs
@@ -1,8 +1,8 @@
-//! Gateways of builds that know neither starts of replicas nor drained zones.
+//! Compatibility with gateways whose builds don't support restarted replicas and drained zones.
 //!
-//! They know a replica by its identity and name it so to its engine, and they take no note of
-//! drained zones. They are told a list of their own, in which replicas have their bare identities and
-//! those of drained zones are leaving; what they say of replicas is read by the present list.
+//! The id of a replica consists of its identity and its start. These gateways know only the
+//! identity. They receive a list with bare identities, in which replicas of drained zones are
+//! marked as draining. Identities in their questions are mapped to the ids of the listed replicas.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 use crate::protocol::{Answer, ListMark, Question};
 use crate::server::list::FleetSnapshot;
 
-/// The list as these gateways are told it, made once for each state of the fleet.
+/// The list as sent to these gateways, cached for one state of the fleet.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OlderList {
-    /// Mark of the list it was made of.
-    of: ListMark,
-    /// Version of the drained zones it was made with.
+pub(super) struct LegacyList {
+    /// Mark of the list it was derived from.
+    source: ListMark,
+    /// Version of the drained zones it was derived from.
     drained: u64,
     mark: ListMark,
     list: Arc<ReplicaList>,
-    /// What is used here for each identity that stands for more.
-    starts: Arc<HashMap<String, String>>,
+    /// Full replica ids by identity, where they differ.
+    ids: Arc<HashMap<String, String>>,
 }
 
-impl OlderList {
-    fn of(fleet: &FleetSnapshot) -> Self {
+impl LegacyList {
+    fn from_fleet(fleet: &FleetSnapshot) -> Self {
         let replicas = &fleet.reading.list.replicas;
-        let told = |replica: &Replica| {
+        let translate = |replica: &Replica| {
             let is_drained = fleet.drained.contains(&replica.zone);
             Replica {
                 id: identity(&replica.id),
@@ -37,62 +37,66 @@
                 ..replica.clone()
             }
         };
-        let names = replicas.iter().map(|replica| (identity(&replica.id), replica.id.clone()));
-        let starts = names.filter(|(identity, id)| identity != id).collect();
-        let replicas: Vec<Replica> = replicas.iter().map(told).collect();
+        let ids = replicas.iter().map(|replica| (identity(&replica.id), replica.id.clone()));
+        let ids = ids.filter(|(identity, id)| identity != id).collect();
+        let replicas: Vec<Replica> = replicas.iter().map(translate).collect();
         Self {
-            of: fleet.reading.mark,
+            source: fleet.reading.mark,
             drained: fleet.drained.version,
             mark: ListMark::of(&replicas),
             list: Arc::new(ReplicaList { version: fleet.reading.list.version, replicas }),
-            starts: Arc::new(starts),
+            ids: Arc::new(ids),
         }
     }
 
-    /// Turns an identity into the listed start of that replica; one that is not listed stays.
-    fn name_start(&self, replica: &mut String) {
-        if let Some(start) = self.starts.get(replica) {
-            replica.clone_from(start);
+    /// Replaces an identity by the id of the listed replica. Unlisted identities are unchanged.
+    fn restore_id(&self, replica: &mut String) {
+        if let Some(id) = self.ids.get(replica) {
+            replica.clone_from(id);
         }
     }
 }
 
-/// Translates for one hub.
+/// Translates questions and answers, with a cached list.
 #[derive(Clone, Default)]
-pub(super) struct OlderGateways(Arc<Mutex<OlderList>>);
+pub(super) struct LegacyGateways(Arc<Mutex<LegacyList>>);
 
-impl OlderGateways {
-    fn list(&self, fleet: &FleetSnapshot) -> OlderList {
-        let mut made = self.0.lock();
-        if made.of != fleet.reading.mark || made.drained != fleet.drained.version {
-            *made = OlderList::of(fleet);
+impl LegacyGateways {
+    fn list(&self, fleet: &FleetSnapshot) -> LegacyList {
+        let mut cached = self.0.lock();
+        if cached.source != fleet.reading.mark || cached.drained != fleet.drained.version {
+            *cached = LegacyList::from_fleet(fleet);
         }
-        made.clone()
+        cached.clone()
     }
 
-    /// A question with the names that are used here.
-    pub(super) fn read(&self, mut question: Question, fleet: &FleetSnapshot) -> Question {
-        let told = self.list(fleet);
+    /// Replaces the identities in a question by replica ids.
+    pub(super) fn translate_question(
+        &self,
+        mut question: Question,
+        fleet: &FleetSnapshot,
+    ) -> Question {
+        let legacy = self.list(fleet);
         match &mut question {
             Question::Reserve { placement: Some(placement), .. }
             | Question::Place { placement, .. } => {
-                placement.connected.iter_mut().for_each(|replica| told.name_start(replica));
+                placement.connected.iter_mut().for_each(|replica| legacy.restore_id(replica));
             }
             Question::Settle(settle) => {
                 if let Some(run) = &mut settle.run {
-                    told.name_start(&mut run.replica);
+                    legacy.restore_id(&mut run.replica);
                 }
             }
-            Question::ReportFailure { replica } => told.name_start(replica),
+            Question::ReportFailure { replica } => legacy.restore_id(replica),
             Question::Watch(seen) => {
-                if seen.list == told.mark {
-                    seen.list = told.of;
+                if seen.list == legacy.mark {
+                    seen.list = legacy.source;
                 }
-                // Cold replicas are not told, and drained zones with the list; what is new of these
-                // while the question is held ends it.
+                // These gateways don't support cold replicas, and learn of drained zones from the
+                // list. Only later changes of either end the watch.
                 seen.cold = fleet.reading.cold_mark;
                 seen.drained = Some(fleet.drained.version);
-                seen.loads.iter_mut().for_each(|(replica, _)| told.name_start(replica));
+                seen.loads.iter_mut().for_each(|(replica, _)| legacy.restore_id(replica));
             }
             Question::Reserve { placement: None, .. }
             | Question::Permit(_)
@@ -101,18 +105,18 @@
         question
     }
 
-    /// An answer with the list that these gateways are told.
-    pub(super) fn tell(&self, mut answer: Answer, fleet: &FleetSnapshot) -> Answer {
+    /// Replaces the list or its mark in an answer.
+    pub(super) fn translate_answer(&self, mut answer: Answer, fleet: &FleetSnapshot) -> Answer {
         match &mut answer {
             Answer::List { mark, list } => {
-                let told = self.list(fleet);
-                *mark = told.mark;
-                *list = told.list.as_ref().clone();
+                let legacy = self.list(fleet);
+                *mark = legacy.mark;
+                *list = legacy.list.as_ref().clone();
             }
             Answer::News(news) => {
-                let told = self.list(fleet);
-                if news.loads_of == told.of {
-                    news.loads_of = told.mark;
+                let legacy = self.list(fleet);
+                if news.loads_of == legacy.source {
+                    news.loads_of = legacy.mark;
                 }
             }
             _ => {}
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -1,29 +1,30 @@
-//! Answers that are the same for all gateways: packed and encoded once, however many ask.
+//! Answers that are the same for all gateways, and therefore compressed and encoded only once.
 
 use calicohoist_transport::{FrameError, SharedField};
 
-use super::bulk_of;
+use super::answer_kind;
 use crate::packed::PackedBytes;
 use crate::protocol::{Answer, ListMark};
 use crate::server::list::Reading;
 use crate::state::HeldConfiguration;
 
-/// An answer, encoded for every connection.
+/// An encoded answer, shared by all connections.
 #[derive(Clone, Debug)]
 pub(super) struct SharedAnswer {
     pub(super) encoded: SharedField,
-    pub(super) bulk: &'static str,
+    pub(super) kind: &'static str,
 }
 
 impl SharedAnswer {
     fn encode(answer: &Answer) -> Result<Self, FrameError> {
-        Ok(Self { encoded: SharedField::encode(answer)?, bulk: bulk_of(answer) })
+        Ok(Self { encoded: SharedField::encode(answer)?, kind: answer_kind(answer) })
     }
 }
 
-/// The newest of each kind that was asked for. While 24 gateways that read nothing fetch a
-/// document of 8 MB, at most 4.0 documents are in memory; with a copy for each gateway 27.1 were
-/// (peak of the allocator in one process).
+/// A cache of the newest configuration and list.
+///
+/// Sharing the encoded answers bounds the memory used when many slow gateways fetch a large
+/// document.
 #[derive(Debug, Default)]
 pub(super) struct SharedAnswers {
     configuration: Option<(u64, SharedAnswer)>,
@@ -31,7 +32,7 @@
 }
 
 impl SharedAnswers {
-    /// The answer that holds this configuration.
+    /// Returns the answer with this configuration.
     pub(super) fn configuration(
         &mut self,
         held: &HeldConfiguration,
@@ -48,7 +49,7 @@
         Ok(answer)
     }
 
-    /// The answer that holds the list of this reading.
+    /// Returns the answer with this list.
     pub(super) fn list(&mut self, reading: &Reading) -> Result<SharedAnswer, FrameError> {
         if let Some((mark, answer)) = &self.list
             && *mark == reading.mark
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -1,4 +1,4 @@
-//! Turns and permits: whether, when and where a request runs.
+//! Reservations, permits and placement of turns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,38 +7,39 @@
 use calicohoist_scheduler::PlacementRequest;
 use tokio::runtime::Handle;
 
-use super::{Back, Hub};
+use super::{Hub, Responder};
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
 use crate::protocol::Answer;
 use crate::server::list::{FleetSnapshot, Reading};
 use crate::server::replica::{Request, Response};
 
-/// Time between two looks at waiting turns.
-const TEND_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which waiting turns are reconsidered.
+const PLACEMENT_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Hub {
-    /// Reserves, and decides whether, when and where the turn runs once that is granted.
+    /// Makes a reservation. Once it is granted, issues the permit and places the turn.
     pub(super) fn reserve(
         &self,
         reserve: ReserveTurn,
         placement: Option<PlacementRequest>,
         permit: Option<PermitRequest>,
-        back: Back,
+        responder: Responder,
     ) {
-        if let Some(refusal) = permit.as_ref().and_then(|permit| self.refuse_early(permit)) {
-            return back.send(refusal);
+        if let Some(refusal) = permit.as_ref().and_then(|permit| self.reject_exhausted(permit)) {
+            return responder.send(refusal);
         }
         let hub = self.clone();
         let turn = reserve.turn.clone();
         let program = reserve.program.clone();
         let respond = Box::new(move |response| {
             let mut answer = hub.answer(response);
-            let Answer::Reserved { reservation, is_under_way, permit: permitted, .. } = &mut answer
+            let Answer::Reserved { reservation, is_under_way, permit: permit_answer, .. } =
+                &mut answer
             else {
-                return back.send(answer);
+                return responder.send(answer);
             };
             if *reservation != Reservation::Granted {
-                return back.send(answer);
+                return responder.send(answer);
             }
             let purpose = match &program {
                 Some(program) if *is_under_way => Purpose::GoOn(program),
@@ -46,29 +47,31 @@
                 None => Purpose::Single,
             };
             let issued = permit.map(|permit| hub.limits.issue(hub.term(), &permit, purpose));
-            let hold = match issued {
+            let delay = match issued {
                 None => Duration::ZERO,
-                Some(Issued::Answer(known)) => {
-                    *permitted = Some(known);
-                    if let PermitAnswer::OverLimit(_) = known {
-                        return back.send(answer);
+                Some(Issued::Answer(decided)) => {
+                    *permit_answer = Some(decided);
+                    if let PermitAnswer::OverLimit(_) = decided {
+                        return responder.send(answer);
                     }
                     Duration::ZERO
                 }
-                Some(Issued::Later(grant, hold)) => {
-                    *permitted = Some(PermitAnswer::Granted(grant));
-                    hold
+                Some(Issued::Later(grant, delay)) => {
+                    *permit_answer = Some(PermitAnswer::Granted(grant));
+                    delay
                 }
-                Some(Issued::NotNow) => return back.send(Answer::Unavailable),
+                Some(Issued::NotNow) => return responder.send(Answer::Unavailable),
             };
             let runtime = hub.runtime.clone();
-            act_after(&runtime, hold, move || back.send(hub.placed(answer, &turn, placement)));
+            run_after(&runtime, delay, move || {
+                responder.send(hub.add_placement(answer, &turn, placement))
+            });
         });
         self.replica.ask(Request::Reserve(reserve), respond);
     }
 
-    /// The answer to a reservation that was granted, with the place of its turn.
-    fn placed(
+    /// Adds the placement decision to the answer to a granted reservation.
+    fn add_placement(
         &self,
         mut answer: Answer,
         turn: &str,
@@ -83,63 +86,63 @@
         answer
     }
 
-    /// The answer to a turn whose tenant has nothing left, without a reservation.
-    fn refuse_early(&self, permit: &PermitRequest) -> Option<Answer> {
+    /// Rejects a turn without a reservation if its tenant has exhausted its limit.
+    fn reject_exhausted(&self, permit: &PermitRequest) -> Option<Answer> {
         let standing = self.standing.borrow();
         let term = standing.is_leader.then_some(standing.term)?;
         self.limits.refuse_early(term, permit).map(Answer::Permit)
     }
 
-    /// Issues a permit once a quorum is known to stand behind this machine: one that was
-    /// deposed must not issue what its successor issues again.
-    pub(super) fn permit(&self, permit: PermitRequest, back: Back) {
+    /// Issues a permit after a quorum has confirmed the leadership. Otherwise a deposed leader and
+    /// its successor might both issue permits for the same limit.
+    pub(super) fn permit(&self, permit: PermitRequest, responder: Responder) {
         let hub = self.clone();
         let respond = Box::new(move |response| {
             let Response::Leads(term) = response else {
-                return back.send(hub.answer(response));
+                return responder.send(hub.answer(response));
             };
-            let (known, hold) = match hub.limits.issue(term, &permit, Purpose::Single) {
-                Issued::Answer(known) => (known, Duration::ZERO),
-                Issued::Later(grant, hold) => (PermitAnswer::Granted(grant), hold),
-                Issued::NotNow => return back.send(Answer::Unavailable),
+            let (answer, delay) = match hub.limits.issue(term, &permit, Purpose::Single) {
+                Issued::Answer(answer) => (answer, Duration::ZERO),
+                Issued::Later(grant, delay) => (PermitAnswer::Granted(grant), delay),
+                Issued::NotNow => return responder.send(Answer::Unavailable),
             };
-            act_after(&hub.runtime, hold, move || back.send(Answer::Permit(known)));
+            run_after(&hub.runtime, delay, move || responder.send(Answer::Permit(answer)));
         });
         self.replica.ask(Request::ConfirmLeadership, respond);
     }
 
-    /// Answers once it is decided where a turn runs.
-    pub(super) fn place(&self, turn: String, placement: PlacementRequest, back: Back) {
+    /// Places a turn whose reservation was granted. Answers once its replica is decided.
+    pub(super) fn place(&self, turn: String, placement: PlacementRequest, responder: Responder) {
         let standing = self.standing.borrow().clone();
         if !standing.is_leader {
-            return back.send(self.not_leader(standing.leader));
+            return responder.send(self.not_leader(standing.leader));
         }
-        self.turns.place(standing.term, turn, placement, &self.fleet(), back);
+        self.turns.place(standing.term, turn, placement, &self.fleet(), responder);
     }
 
     fn term(&self) -> u64 {
         self.standing.borrow().term
     }
 
-    /// The newest reading of the list of replicas.
+    /// Returns the most recently discovered replicas.
     pub(super) fn reading(&self) -> Reading {
         self.list.borrow().clone()
     }
 
-    /// The newest reading with what else decides where requests go.
+    /// Returns the current state of the fleet.
     pub(super) fn fleet(&self) -> FleetSnapshot {
         FleetSnapshot {
             reading: self.reading(),
             drained: Arc::clone(&self.standing.borrow().drained),
-            topology: Arc::clone(&self.place.topology),
+            topology: Arc::clone(&self.location.topology),
         }
     }
 
-    /// Settles. The turn has ended, whether or not that becomes durable here.
-    pub(super) fn settle(&self, settle: SettleTurn, back: Back) {
+    /// Settles a turn. The scheduler is updated at once, whether or not the command is committed.
+    pub(super) fn settle(&self, settle: SettleTurn, responder: Responder) {
         self.turns.end(&settle, &self.fleet());
         let hub = self.clone();
-        let respond = Box::new(move |response| back.send(hub.answer(response)));
+        let respond = Box::new(move |response| responder.send(hub.answer(response)));
         self.replica.ask(Request::Change(Command::Settle(settle)), respond);
     }
 
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Looks after waiting turns for as long as the process runs.
-    pub async fn tend_turns(self) {
+    /// Places waiting turns periodically. Runs until the process ends.
+    pub async fn run_placement(self) {
         loop {
             self.turns.wait_for_work().await;
             let standing = self.standing.borrow().clone();
@@ -165,18 +168,18 @@
             } else {
                 self.turns.dismiss(&self.not_leader(standing.leader));
             }
-            tokio::time::sleep(TEND_INTERVAL).await;
+            tokio::time::sleep(PLACEMENT_INTERVAL).await;
         }
     }
 }
 
-/// Acts now, or once a request has been held for as long as it must.
-fn act_after(runtime: &Handle, hold: Duration, act: impl FnOnce() + Send + 'static) {
-    if hold.is_zero() {
-        return act();
+/// Runs `action` after `delay`, or immediately if the delay is zero.
+fn run_after(runtime: &Handle, delay: Duration, action: impl FnOnce() + Send + 'static) {
+    if delay.is_zero() {
+        return action();
     }
     runtime.spawn(async move {
-        tokio::time::sleep(hold).await;
-        act();
+        tokio::time::sleep(delay).await;
+        action();
     });
 }
--- a/crates/ledger/src/server/limits.rs
+++ b/crates/ledger/src/server/limits.rs
@@ -1,4 +1,4 @@
-//! Permits at the leader, and what every machine knows of those that others have issued.
+//! Rate-limit permits: issued by the leader, and tracked by all machines.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,80 +14,81 @@
 
 use super::replica::{ReplicaHandle, Request, Response};
 use crate::commands::{Command, Output};
-use crate::state::{KEPT_MS, PermitNote, PermitNotes};
+use crate::state::{PERMIT_RETENTION_MS, PermitBatch, RecentPermits};
 
-/// Time between two notes in the log, unless a tenant may get no more before one: short
-/// against a window of seconds, and ten entries a second beside hundreds of turns.
-const NOTE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two batches of permits in the log, unless a tenant cannot get further permits
+/// before the next batch is committed.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two reports on tenants that press on their limits.
+/// Interval between log reports of tenants close to their limits.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Tenants that are named in one report, those with the least left.
-const MOST_REPORTED: usize = 5;
-/// Share of a limit from which on its use is reported.
-const REPORTED_SHARE: f64 = 0.75;
+/// Maximum number of tenants in a report; those closest to their limits are reported.
+const MAX_REPORTED_TENANTS: usize = 5;
+/// Fraction of the limit from which a tenant is reported.
+const REPORT_THRESHOLD: f64 = 0.75;
 
-/// Issues permits in one term after the other.
+/// Issues permits within the limits of tenants.
 pub struct LimitDesk {
     tolerance: LimitTolerance,
-    state: Mutex<DeskState>,
-    /// There is something to note.
-    work: Notify,
-    /// Somebody waits for it.
-    hurry: Notify,
+    state: Mutex<LimiterState>,
+    /// Signals that permits wait to be recorded in the log.
+    unlogged: Notify,
+    /// Signals that a request waits for the next batch.
+    urgent: Notify,
 }
 
-struct DeskState {
-    /// The term in which it issues.
+struct LimiterState {
+    /// Term of the issuer.
     term: u64,
     issuer: PermitIssuer,
-    /// When it noted last in this term.
-    noted: Option<Instant>,
-    /// Notes of all leaders, oldest first.
-    known: VecDeque<PermitNote>,
-    /// The clock of the notes when the newest one was read here, and when that was.
+    /// Time of the last batch in this term.
+    last_batch_at: Option<Instant>,
+    /// Batches of all leaders, oldest first.
+    batches: VecDeque<PermitBatch>,
+    /// The batch clock when the newest batch was applied here, and the local time of that.
     clock: (u64, Instant),
 }
 
-/// What is to be noted.
-struct UnnotedPermits {
+/// Permits that have not been recorded in the log.
+struct UnloggedPermits {
     term: u64,
     issued: Vec<IssuedPermits>,
     elapsed: Duration,
 }
 
 impl LimitDesk {
-    /// Keeps limits as exactly as `tolerance` says.
+    /// Creates a limiter that enforces limits within `tolerance`.
     pub fn new(tolerance: LimitTolerance) -> Self {
-        let state = DeskState {
+        let state = LimiterState {
             term: 0,
             issuer: PermitIssuer::new(tolerance),
-            noted: None,
-            known: VecDeque::new(),
+            last_batch_at: None,
+            batches: VecDeque::new(),
             clock: (0, Instant::now()),
         };
-        Self { tolerance, state: Mutex::new(state), work: Notify::new(), hurry: Notify::new() }
+        Self { tolerance, state: Mutex::new(state), unlogged: Notify::new(), urgent: Notify::new() }
     }
 
-    /// What becomes of a request. `term` is that in which this machine leads now, with a
-    /// quorum behind it.
+    /// Decides a request for a permit. `term` is the current term, in which a quorum has confirmed
+    /// this machine as leader.
     pub fn issue(&self, term: u64, request: &PermitRequest, purpose: Purpose<'_>) -> Issued {
-        let (issued, is_urgent) = self.within(term, |issuer, now| {
+        let (issued, is_urgent) = self.with_issuer(term, |issuer, now| {
             let issued = issuer.issue(request, purpose, now);
             (issued, issuer.wants_note(&request.tenant))
         });
         if !matches!(issued, Issued::Answer(PermitAnswer::OverLimit(_))) {
-            self.work.notify_one();
+            self.unlogged.notify_one();
         }
         if is_urgent {
-            self.hurry.notify_one();
+            self.urgent.notify_one();
         }
         issued
     }
 
-    /// The refusal of a request that no purpose could save; nothing has to be written for it.
+    /// Rejects a request whose tenant has exhausted its limit for all purposes. Returns `None` if
+    /// the request may be granted. Nothing is recorded in the log.
     pub fn refuse_early(&self, term: u64, request: &PermitRequest) -> Option<PermitAnswer> {
-        let issued = self.within(term, |issuer, now| {
+        let issued = self.with_issuer(term, |issuer, now| {
             let is_exhausted = issuer.is_exhausted(request, now);
             is_exhausted.then(|| issuer.issue(request, Purpose::Single, now))
         });
@@ -97,48 +98,48 @@
         }
     }
 
-    /// Learns what the log says of permits.
-    pub fn learn(&self, notes: &PermitNotes) {
+    /// Takes over new batches from the log.
+    pub fn learn(&self, permits: &RecentPermits) {
         let mut state = self.state.lock();
-        state.clock = (notes.clock_ms(), Instant::now());
-        let newest = state.known.back().map_or(0, |note| note.number);
-        state.known.extend(notes.after(newest).cloned());
-        let oldest = notes.clock_ms().saturating_sub(KEPT_MS);
-        while state.known.front().is_some_and(|note| note.at_ms < oldest) {
-            state.known.pop_front();
+        state.clock = (permits.clock_ms(), Instant::now());
+        let newest = state.batches.back().map_or(0, |batch| batch.number);
+        state.batches.extend(permits.after(newest).cloned());
+        let oldest = permits.clock_ms().saturating_sub(PERMIT_RETENTION_MS);
+        while state.batches.front().is_some_and(|batch| batch.at_ms < oldest) {
+            state.batches.pop_front();
         }
     }
 
-    /// What tenants use of their limits.
+    /// Returns the usage of all tenants.
     pub fn uses(&self) -> Vec<TenantUse> {
         self.state.lock().issuer.uses(Instant::now())
     }
 
-    fn within<T>(&self, term: u64, act: impl FnOnce(&mut PermitIssuer, Instant) -> T) -> T {
+    fn with_issuer<T>(&self, term: u64, action: impl FnOnce(&mut PermitIssuer, Instant) -> T) -> T {
         let now = Instant::now();
         let mut state = self.state.lock();
         if state.term != term {
             state.term = term;
-            state.noted = None;
+            state.last_batch_at = None;
             state.issuer = PermitIssuer::new(self.tolerance);
-            state.inherit();
+            state.restore_issued();
         }
-        act(&mut state.issuer, now)
+        action(&mut state.issuer, now)
     }
 
-    fn take_unnoted(&self) -> UnnotedPermits {
+    fn take_batch(&self) -> UnloggedPermits {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let elapsed = state.noted.map_or(Duration::ZERO, |noted| now - noted);
-        state.noted = Some(now);
-        UnnotedPermits { term: state.term, issued: state.issuer.take_unnoted(), elapsed }
+        let elapsed = state.last_batch_at.map_or(Duration::ZERO, |at| now - at);
+        state.last_batch_at = Some(now);
+        UnloggedPermits { term: state.term, issued: state.issuer.take_unnoted(), elapsed }
     }
 
-    /// Logs which tenants press on their limits.
-    fn tell_pressed(&self) {
-        for used in self.uses().into_iter().take(MOST_REPORTED) {
+    /// Logs the tenants close to their limits.
+    fn log_tenants_near_limit(&self) {
+        for used in self.uses().into_iter().take(MAX_REPORTED_TENANTS) {
             let issuable = self.tolerance.issuable(used.limit);
-            if used.issued as f64 >= issuable * REPORTED_SHARE {
+            if used.issued as f64 >= issuable * REPORT_THRESHOLD {
                 emit!(
                     Event::LimitPressed;
                     tenant = used.tenant,
@@ -151,64 +152,63 @@
         }
     }
 
-    /// Counts what was taken as noted, or as still to be noted.
-    fn end_note(&self, term: u64, issued: &[IssuedPermits], is_noted: bool) {
+    /// Marks a batch as recorded in the log, or returns its permits to be recorded again.
+    fn finish_batch(&self, term: u64, issued: &[IssuedPermits], is_logged: bool) {
         let mut state = self.state.lock();
         if state.term != term {
             return;
         }
-        if is_noted {
+        if is_logged {
             state.issuer.confirm_noted(issued);
         } else {
             state.issuer.return_unnoted(issued);
         }
     }
 
-    /// Notes in the log what is issued, for as long as the process runs.
-    pub async fn keep_notes(self: Arc<Self>, replica: ReplicaHandle) {
-        let mut told = Instant::now();
+    /// Records issued permits in the log. Runs until the process ends.
+    pub async fn persist_permits(self: Arc<Self>, replica: ReplicaHandle) {
+        let mut reported_at = Instant::now();
         loop {
-            self.work.notified().await;
-            if told.elapsed() >= REPORT_INTERVAL {
-                told = Instant::now();
-                self.tell_pressed();
+            self.unlogged.notified().await;
+            if reported_at.elapsed() >= REPORT_INTERVAL {
+                reported_at = Instant::now();
+                self.log_tenants_near_limit();
             }
-            let UnnotedPermits { term, issued, elapsed } = self.take_unnoted();
+            let UnloggedPermits { term, issued, elapsed } = self.take_batch();
             if issued.is_empty() {
                 continue;
             }
             let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or_default();
-            let note = Command::NotePermits { issued: issued.clone(), elapsed_ms };
-            let response = replica.call(Request::Change(note)).await;
-            let is_noted = matches!(response, Response::Changed(Output::Done));
-            self.end_note(term, &issued, is_noted);
-            if !is_noted {
-                self.work.notify_one();
+            let command = Command::NotePermits { issued: issued.clone(), elapsed_ms };
+            let response = replica.call(Request::Change(command)).await;
+            let is_logged = matches!(response, Response::Changed(Output::Done));
+            self.finish_batch(term, &issued, is_logged);
+            if !is_logged {
+                self.unlogged.notify_one();
             }
-            let _ = tokio::time::timeout(NOTE_INTERVAL, self.hurry.notified()).await;
+            let _ = tokio::time::timeout(BATCH_INTERVAL, self.urgent.notified()).await;
         }
     }
 }
 
-impl DeskState {
-    /// Takes over what earlier leaders have noted. The time since the newest note was read
-    /// here is counted, that between two leaders is not, so that permits seem younger than
-    /// they are.
-    fn inherit(&mut self) {
-        let (clock_ms, read) = self.clock;
-        let issued = self.known.iter().flat_map(|note| &note.issued);
+impl LimiterState {
+    /// Restores the permits issued by earlier leaders from their batches. The batch clock does not
+    /// include the time between two leaders, so the age of permits is underestimated.
+    fn restore_issued(&mut self) {
+        let (clock_ms, applied_at) = self.clock;
+        let issued = self.batches.iter().flat_map(|batch| &batch.issued);
         emit!(
             Event::PermitsInherited;
             term = self.term,
-            newest_note = self.known.back().map_or(0, |note| note.number),
+            newest_note = self.batches.back().map_or(0, |batch| batch.number),
             permits = issued.map(|issued| u64::from(issued.count)).sum::<u64>(),
         );
-        for note in &self.known {
-            let age = Duration::from_millis(clock_ms.saturating_sub(note.at_ms));
-            let Some(at) = read.checked_sub(age) else {
+        for batch in &self.batches {
+            let age = Duration::from_millis(clock_ms.saturating_sub(batch.at_ms));
+            let Some(at) = applied_at.checked_sub(age) else {
                 continue;
             };
-            for issued in &note.issued {
+            for issued in &batch.issued {
                 self.issuer.inherit(issued, at);
             }
         }
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -1,4 +1,4 @@
-//! The leader reads the list of replicas for all gateways.
+//! Reads the list of replicas from discovery on the leader, on behalf of all gateways.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -28,38 +28,38 @@
     "outcome",
 );
 
-/// Replicas that one log line names: a whole region may start at once.
-const MOST_NAMED: usize = 8;
+/// Maximum number of replica names in a log line.
+const MAX_LOGGED_NAMES: usize = 8;
 
-/// The newest reading of this machine.
+/// The replicas found by the most recent read of this machine.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// Tells it from others.
+    /// Digest of the list.
     pub mark: ListMark,
-    /// Term in which this machine led when it read it.
+    /// Term in which this machine led when it read the list.
     pub term: u64,
-    /// What was read.
+    /// The list of replicas.
     pub list: Arc<ReplicaList>,
-    /// When it was read last, changed or not.
+    /// Time of the last successful read, whether or not the list changed.
     pub read_at: Option<Instant>,
-    /// The replicas that have just started. They do not change `mark`: a list in which only a
-    /// time left differs is the same list.
+    /// Recently started replicas that are still warming up. They are not part of `mark`.
     pub cold: Arc<ColdReplicas>,
-    /// Changes when a replica becomes cold. It does not when one becomes warm: gateways are told
-    /// how long each stays cold.
+    /// Changes when a replica becomes cold. It does not change when one becomes warm, because
+    /// gateways know how long each replica stays cold.
     pub cold_mark: ChangeMark,
 }
 
 impl Reading {
-    /// Whether the leader of `term` tells a gateway the list itself. The gateway hears first which
-    /// replicas are cold: with the list alone it would send to all of them alike.
+    /// Returns whether to send the list to a gateway in `term`. The cold replicas are sent first;
+    /// without them the gateway would treat all listed replicas as warm.
     pub fn tells_list(&self, term: u64, seen: &Seen) -> bool {
         let is_new = self.mark != seen.list && self.mark != ListMark::default();
         let knows_cold = self.cold_mark.term != term || self.cold_mark == seen.cold;
         self.term == term && is_new && knows_cold
     }
 
-    /// The cold replicas, each with the ms left, unless a gateway has `seen` them.
+    /// Returns the cold replicas with the remaining time in ms, unless the gateway has `seen`
+    /// them.
     pub fn cold_news(
         &self,
         seen: ChangeMark,
@@ -72,19 +72,19 @@
     }
 }
 
-/// The newest reading with what else decides where requests go.
+/// The state of the fleet that placement decisions are based on.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSnapshot {
-    /// The replicas.
+    /// Replicas found by discovery.
     pub reading: Reading,
-    /// Zones whose replicas get nothing.
+    /// Drained zones.
     pub drained: Arc<DrainedZones>,
-    /// Where zones lie.
+    /// Regions of the zones.
     pub topology: Arc<Topology>,
 }
 
 impl FleetSnapshot {
-    /// The same as the scheduler takes it.
+    /// Returns a view for the scheduler.
     pub fn view(&self) -> FleetView<'_> {
         FleetView {
             replicas: &self.reading.list.replicas,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads the list while this machine leads.
+/// Starts a task that reads the list while this machine leads.
 pub fn spawn(
     settings: &LedgerSettings,
     standing: watch::Receiver<Standing>,
@@ -122,22 +122,24 @@
         }
         let term = standing.borrow().term;
         if watched_term != term {
-            // What was listed when this machine led before does not show what is new now.
+            // A list read in an earlier term does not show which replicas are new now.
             (watched_term, watch) = (term, ColdWatch::default());
         }
-        let began = Instant::now();
+        let read_started = Instant::now();
         match reader.read().await {
             Ok(listed) => {
                 let listed = newest_starts(&mut starts, listed);
-                publish(&out, &mut watch, term, listed, began);
+                publish(&out, &mut watch, term, listed, read_started);
+            }
+            Err(error) => {
+                emit!(Event::PlatformUnreachable, "cannot read the list of replicas: {error}")
             }
-            Err(error) => emit!(Event::PlatformUnreachable, "list of replicas: {error}"),
         }
-        tokio::time::sleep(settings.list_interval.saturating_sub(began.elapsed())).await;
+        tokio::time::sleep(settings.list_interval.saturating_sub(read_started.elapsed())).await;
     }
 }
 
-/// The entries that count: the newest start of each replica.
+/// Keeps the entry for the newest start of each replica.
 fn newest_starts(starts: &mut NewestStarts, listed: Vec<ListedReplica>) -> Vec<ListedReplica> {
     let review = starts.take(listed.iter().map(|listed| &listed.replica));
     let left_out = review.left_out();
@@ -146,8 +148,12 @@
     if review.restarted > 0 {
         emit!(Event::ReplicasRestarted; replicas = review.restarted, left_out = left_out);
     }
-    let counts = review.entries.iter().map(|entry| *entry == ListedStart::Newest);
-    listed.into_iter().zip(counts).filter_map(|(listed, counts)| counts.then_some(listed)).collect()
+    let is_newest = review.entries.iter().map(|entry| *entry == ListedStart::Newest);
+    listed
+        .into_iter()
+        .zip(is_newest)
+        .filter_map(|(listed, is_newest)| is_newest.then_some(listed))
+        .collect()
 }
 
 fn publish(
@@ -159,21 +165,21 @@
 ) {
     let times = listed.iter().map(|listed| (listed.replica.id.as_str(), listed.cold_left));
     let change = watch.take(times, read_at);
-    log_cold(&change, watch.cold().left(read_at).count());
+    log_cold_change(&change, watch.cold().left(read_at).count());
     let replicas: Vec<_> = listed.into_iter().map(|listed| listed.replica).collect();
     let mark = ListMark::of(&replicas);
     out.send_if_modified(|reading| {
         reading.read_at = Some(read_at);
         reading.cold = Arc::new(watch.cold().clone());
         let is_same = reading.term == term && reading.mark == mark;
-        // A new leader tells everything anew: a gateway knows only one leader's marks.
-        let is_cold_news = !change.became_cold.is_empty()
+        // Marks are only comparable within a term, so a new leader sends everything again.
+        let has_new_cold = !change.became_cold.is_empty()
             || (reading.term != term && reading.cold.left(read_at).next().is_some());
-        if is_cold_news {
+        if has_new_cold {
             reading.cold_mark = reading.cold_mark.next(term);
         }
         if is_same {
-            return is_cold_news;
+            return has_new_cold;
         }
         reading.term = term;
         if reading.mark != mark {
@@ -185,8 +191,8 @@
     });
 }
 
-/// Logs one line for each reading that shows a change, whatever the size of the fleet.
-fn log_cold(change: &ColdChange, cold: usize) {
+/// Logs a change of the cold replicas.
+fn log_cold_change(change: &ColdChange, cold: usize) {
     COLD_REPLICAS.show(cold as u64);
     if *change == ColdChange::default() {
         return;
@@ -196,15 +202,15 @@
         cold = cold,
         became_cold = change.became_cold.len(),
         became_warm = change.became_warm.len(),
-        named_cold = named(&change.became_cold),
-        named_warm = named(&change.became_warm),
+        named_cold = join_names(&change.became_cold),
+        named_warm = join_names(&change.became_warm),
     );
 }
 
-/// The first [`MOST_NAMED`] replicas, or a dash for none.
-fn named(replicas: &[String]) -> String {
+/// Joins the first [`MAX_LOGGED_NAMES`] names, or returns a dash for none.
+fn join_names(replicas: &[String]) -> String {
     match replicas {
         [] => "-".to_owned(),
-        some => some[..some.len().min(MOST_NAMED)].join(","),
+        names => names[..names.len().min(MAX_LOGGED_NAMES)].join(","),
     }
 }
--- a/crates/ledger/src/server/loads.rs
+++ b/crates/ledger/src/server/loads.rs
@@ -1,7 +1,7 @@
-//! What gateways have under way at each replica, as they report it.
+//! Aggregation of the load that gateways report for each replica.
 //!
-//! Hundreds of gateways ask several times a second; the sum over all reports is therefore
-//! made once in a while, and each asker's own share is taken off it.
+//! The sum of all reports is cached for a short time. The load from all other gateways is computed
+//! by subtracting a gateway's own report from it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use super::list::Reading;
 use crate::protocol::ListMark;
 
-/// Reports older than this are dropped: three watches have passed without one.
-const LOAD_AGE: Duration = Duration::from_millis(2_000);
-/// Time between two sums. A gateway reports about twice a second.
+/// Reports expire after this time, several times the interval at which gateways send them.
+const REPORT_TTL: Duration = Duration::from_millis(2_000);
+/// Minimum time between two computations of the sum.
 const SUM_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reports of load by gateway, and their sum.
+/// Load reports by gateway, and their sum.
 #[derive(Debug, Default)]
 pub struct LoadBoard {
     reports: HashMap<String, LoadReport>,
@@ -24,34 +24,34 @@
 #[derive(Debug)]
 struct LoadReport {
     at: Instant,
-    /// Requests under way, by replica; idle replicas are left out.
+    /// Requests in progress by replica; idle replicas are omitted.
     loads: Vec<(String, u32)>,
 }
 
-/// The loads of all gateways, in the order of one list of replicas.
+/// The sum of all reports, in the order of a list of replicas.
 #[derive(Debug, Default)]
 struct LoadSum {
     list: ListMark,
-    made: Option<Instant>,
+    computed_at: Option<Instant>,
     loads: Vec<u32>,
-    /// Where each replica stands in the list.
-    places: HashMap<String, usize>,
+    /// Index of each replica in the list.
+    indices: HashMap<String, usize>,
 }
 
 impl LoadBoard {
-    /// Takes a gateway's report in place of its last one.
+    /// Replaces the report of a gateway.
     pub fn note(&mut self, gateway: &str, loads: &[(String, u32)], now: Instant) {
         let report = LoadReport { at: now, loads: loads.to_vec() };
         self.reports.insert(gateway.to_owned(), report);
     }
 
-    /// Requests that all gateways but one have under way, for each replica of the list.
+    /// Returns the requests in progress from all other gateways, for each replica of the list.
     pub fn of_others(&mut self, gateway: &str, reading: &Reading, now: Instant) -> Vec<u32> {
         self.refresh(reading, now);
         let mut others = self.sum.loads.clone();
         if let Some(own) = self.reports.get(gateway) {
-            for (place, load) in self.sum.placed(&own.loads) {
-                others[place] = others[place].saturating_sub(load);
+            for (index, load) in self.sum.indexed(&own.loads) {
+                others[index] = others[index].saturating_sub(load);
             }
         }
         others
@@ -61,30 +61,33 @@
         if self.sum.list != reading.mark {
             self.sum = LoadSum::for_list(reading);
         }
-        if self.sum.made.is_some_and(|made| now < made + SUM_INTERVAL) {
+        if self.sum.computed_at.is_some_and(|at| now < at + SUM_INTERVAL) {
             return;
         }
-        self.reports.retain(|_, report| now < report.at + LOAD_AGE);
+        self.reports.retain(|_, report| now < report.at + REPORT_TTL);
         let mut loads = vec![0; reading.list.replicas.len()];
         for report in self.reports.values() {
-            for (place, load) in self.sum.placed(&report.loads) {
-                loads[place] += load;
+            for (index, load) in self.sum.indexed(&report.loads) {
+                loads[index] += load;
             }
         }
         self.sum.loads = loads;
-        self.sum.made = Some(now);
+        self.sum.computed_at = Some(now);
     }
 }
 
 impl LoadSum {
     fn for_list(reading: &Reading) -> Self {
         let replicas = reading.list.replicas.iter().enumerate();
-        let places = replicas.map(|(place, replica)| (replica.id.clone(), place)).collect();
-        Self { list: reading.mark, places, ..Self::default() }
+        let indices = replicas.map(|(index, replica)| (replica.id.clone(), index)).collect();
+        Self { list: reading.mark, indices, ..Self::default() }
     }
 
-    /// The loads of replicas that are listed, with their places.
-    fn placed<'a>(&'a self, loads: &'a [(String, u32)]) -> impl Iterator<Item = (usize, u32)> + 'a {
-        loads.iter().filter_map(|(replica, load)| Some((*self.places.get(replica)?, *load)))
+    /// Returns the loads of listed replicas with their index in the list.
+    fn indexed<'a>(
+        &'a self,
+        loads: &'a [(String, u32)],
+    ) -> impl Iterator<Item = (usize, u32)> + 'a {
+        loads.iter().filter_map(|(replica, load)| Some((*self.indices.get(replica)?, *load)))
     }
 }
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! The process of a ledger machine.
+//! The server process of a ledger machine.
 //!
-//! A thread for each duty: [`replica`] takes part in the replicated log and waits on
-//! the disk; the network thread runs the tasks of [`peers`], [`gateways`],
-//! [`control`] and [`list`]. Bounded rings join them.
+//! The thread of [`replica`] participates in the replicated log and performs all disk I/O. The
+//! network thread runs the tasks of [`peers`], [`gateways`], [`control`] and [`list`]. Bounded
+//! queues connect the threads.
 
 pub mod control;
 pub mod failures;
@@ -35,57 +35,57 @@
 use gateways::HubPlace;
 use replica::{Desks, ReplicaHandle, ReplicaThread};
 
-/// Where ledger machines listen; the ports are the same on all of them.
+/// Listening ports, the same on all ledger machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
-    /// For each other.
+    /// Port for other ledger machines.
     pub peers: u16,
-    /// For gateways.
+    /// Port for gateways.
     pub gateways: u16,
-    /// For operators.
+    /// Port for operators.
     pub control: u16,
 }
 
 /// Settings of a ledger machine.
 #[derive(Clone)]
 pub struct LedgerSettings {
-    /// Name for operators.
+    /// Name shown to operators.
     pub name: String,
-    /// Its address; the number of a machine is its IPv4 address.
+    /// IPv4 address, which is also the machine number.
     pub ip: Ipv4Addr,
-    /// Machines to ask first, and the founders at the very first start.
+    /// Machines to contact first, and the founding members when bootstrapping.
     pub seeds: Vec<Ipv4Addr>,
-    /// Whether this is the very first start of the whole system.
+    /// Whether to bootstrap a new cluster.
     pub bootstrap: bool,
-    /// Where the log is kept.
+    /// Directory of the log.
     pub data_folder: PathBuf,
-    /// Where it listens.
+    /// Listening ports.
     pub ports: Ports,
-    /// Timing and size of the group.
+    /// Timing and size of the Raft group.
     pub raft: RaftSettings,
-    /// Machines whose loss must be borne.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: usize,
-    /// Reads the list of replicas while this machine leads.
+    /// Reads the list of replicas from discovery while this machine leads.
     pub list: Option<ListReader>,
-    /// Time between two readings of the list.
+    /// Interval between reads of the list.
     pub list_interval: Duration,
-    /// How operators speak.
+    /// Codec for operator requests.
     pub control: Arc<dyn ControlCodec>,
-    /// How exactly limits of tenants are kept.
+    /// Tolerance when enforcing tenant limits.
     pub limit_tolerance: LimitTolerance,
-    /// Where it runs.
+    /// Zone of this machine.
     pub zone: String,
-    /// Where zones lie.
+    /// Regions of the zones.
     pub topology: Arc<Topology>,
-    /// How exactly limits of cold replicas are kept.
+    /// Tolerance when enforcing the limits of cold replicas.
     pub cold_tolerance: ColdTolerance,
 }
 
 impl LedgerSettings {
-    /// Time between two readings of the list of replicas.
+    /// Default interval between reads of the list of replicas.
     pub const LIST_INTERVAL: Duration = Duration::from_millis(700);
 
-    /// Timing of a group whose failover is felt by every turn.
+    /// Default Raft timing, tuned for fast failover because every turn waits for the leader.
     pub fn raft() -> RaftSettings {
         RaftSettings {
             heartbeat: Duration::from_millis(45),
@@ -99,8 +99,8 @@
         }
     }
 
-    /// The same for a group that is to bear so many losses at a time: as many voters as
-    /// that takes, and a spare for each loss. Every further machine stands by.
+    /// Raft settings for a group that tolerates this many simultaneous failures, with a spare
+    /// replica for each. Further machines are standbys.
     pub fn raft_for(tolerated_losses: usize) -> RaftSettings {
         RaftSettings {
             voters: 2 * tolerated_losses + 1,
@@ -110,32 +110,32 @@
     }
 }
 
-/// Number of the machine at `ip`.
+/// Returns the number of the machine at `ip`.
 pub fn machine_number(ip: Ipv4Addr) -> u32 {
     ip.to_bits()
 }
 
-/// Address of a machine's `port`.
+/// Returns the socket address of a machine's `port`.
 pub fn machine_address(machine: u32, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from_bits(machine)), port)
 }
 
-/// The sockets of a ledger machine, already listening.
+/// The listening sockets of a ledger machine.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For other ledger machines.
+    /// Listener for other ledger machines.
     pub peers: TcpListener,
-    /// For gateways.
+    /// Listener for gateways.
     pub gateways: TcpListener,
-    /// For operators.
+    /// Listener for operators.
     pub control: TcpListener,
 }
 
 impl Listeners {
-    /// Listens on `ip`: that of the machine, or another one behind a forwarder.
+    /// Listens on `ip`, which differs from the machine's address behind a forwarder.
     ///
     /// # Errors
-    /// When an address is taken.
+    /// Fails if an address is in use.
     pub fn bind(ip: Ipv4Addr, ports: Ports) -> eyre::Result<Self> {
         Ok(Self {
             peers: listen(ip, ports.peers)?,
@@ -145,31 +145,31 @@
     }
 }
 
-/// Runs a ledger machine until `stop` turns true.
+/// Runs a ledger machine until `stop` becomes true.
 ///
 /// # Errors
-/// When the log cannot be opened, or the disk fails.
+/// Fails if the log cannot be opened or the disk fails.
 pub async fn run(
     settings: LedgerSettings,
     listeners: Listeners,
     mut stop: watch::Receiver<bool>,
 ) -> eyre::Result<()> {
-    let (frames_out, frames) = tokio::sync::mpsc::channel(peers::RING);
+    let (outgoing_sender, outgoing) = tokio::sync::mpsc::channel(peers::OUTGOING_QUEUE_CAPACITY);
     let turns = Arc::new(turns::TurnDesk::new(settings.cold_tolerance));
     let limits = Arc::new(limits::LimitDesk::new(settings.limit_tolerance));
     let loads = Arc::default();
     let desks =
         Desks { turns: Arc::clone(&turns), limits: Arc::clone(&limits), loads: Arc::clone(&loads) };
-    let thread = ReplicaThread::open(&settings, frames_out, desks)?;
+    let thread = ReplicaThread::open(&settings, outgoing_sender, desks)?;
     let identity = thread.id();
     let (handle, standing, failure) = thread.start()?;
     let known_peers = peers::KnownPeers::default();
-    tokio::spawn(peers::send(settings.clone(), identity, frames, known_peers.clone()));
+    tokio::spawn(peers::send(settings.clone(), identity, outgoing, known_peers.clone()));
     let accepting = peers::accept(listeners.peers, identity, handle.clone(), known_peers.clone());
     tokio::spawn(accepting);
-    tokio::spawn(traffic::tell(settings.name.clone()));
+    tokio::spawn(traffic::log_totals(settings.name.clone()));
     let list = list::spawn(&settings, standing.clone());
-    tokio::spawn(Arc::clone(&limits).keep_notes(handle.clone()));
+    tokio::spawn(Arc::clone(&limits).persist_permits(handle.clone()));
     let hub = gateways::Hub::new(
         handle.clone(),
         standing.clone(),
@@ -178,7 +178,7 @@
         limits,
         HubPlace { zone: settings.zone.clone(), topology: Arc::clone(&settings.topology), loads },
     );
-    tokio::spawn(hub.clone().tend_turns());
+    tokio::spawn(hub.clone().run_placement());
     tokio::spawn(gateways::accept(listeners.gateways, hub));
     let control = Control {
         settings: Arc::new(settings.clone()),
@@ -196,11 +196,11 @@
         protocol = SPOKEN,
     );
     tokio::select! {
-        failed = failure => eyre::bail!("the replica stopped: {}", failed.unwrap_or_default()),
+        failed = failure => eyre::bail!("the replica thread stopped: {}", failed.unwrap_or_default()),
         _ = stop.wait_for(|stop| *stop) => {}
     }
     emit!(Event::StopRequested; role = "ledger");
-    hand_over(&handle).await;
+    transfer_leadership(&handle).await;
     emit!(Event::StopFinished; role = "ledger");
     Ok(())
 }
@@ -211,9 +211,9 @@
     listener.map_err(|error| eyre::eyre!("cannot listen on {address}: {error}"))
 }
 
-/// Gives the leadership away and lets what is under way end.
-async fn hand_over(handle: &ReplicaHandle) {
-    const HAND_OVER: Duration = Duration::from_millis(400);
-    handle.hand_over();
-    tokio::time::sleep(HAND_OVER).await;
+/// Transfers the leadership and waits for requests in progress.
+async fn transfer_leadership(handle: &ReplicaHandle) {
+    const GRACE_PERIOD: Duration = Duration::from_millis(400);
+    handle.transfer_leadership();
+    tokio::time::sleep(GRACE_PERIOD).await;
 }
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -1,4 +1,4 @@
-//! What goes over a connection between ledger machines, in each version of the protocol.
+//! Frames between ledger machines, in each version of the protocol.
 
 use calicohoist_replication::{GroupMessage, ReplicaId};
 use calicohoist_routing::Distance;
@@ -11,7 +11,7 @@
 
 use crate::packed::PackedBytes;
 
-/// First frame of a connection, after the version was agreed on.
+/// The first frame of a connection after version negotiation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Greeting {
     pub(super) from: ReplicaId,
@@ -19,7 +19,7 @@
     pub(super) zone: String,
 }
 
-/// The same in version 1, which names no zone.
+/// The greeting in protocol version 1, without a zone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct GreetingV1 {
     from: ReplicaId,
@@ -35,19 +35,19 @@
             }
             _ => encode_frame(self),
         };
-        // An identity and two names always fit.
+        // Encoding fails only for frames that are too long, which a greeting never is.
         frame.unwrap_or_default()
     }
 }
 
-/// How another machine presents itself.
+/// Information that a machine provides about itself when it connects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerCard {
-    /// Its replica.
+    /// Identity of its replica.
     pub replica: ReplicaId,
-    /// Its name for operators.
+    /// Name shown to operators.
     pub name: String,
-    /// Where it runs; `None` from a build that does not say so.
+    /// Zone of the machine; `None` for older builds, which don't send it.
     pub zone: Option<String>,
 }
 
@@ -65,8 +65,10 @@
     }
 }
 
-/// Messages with their receiver. A machine that lost its disk is another replica at the same
-/// address, and drops what is meant for the one before.
+/// Messages with their receiver.
+///
+/// A machine that has lost its disk comes back as a different replica at the same address, and
+/// drops messages for the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parcel {
     /// The receiver.
@@ -75,21 +77,20 @@
     pub messages: Vec<GroupMessage>,
 }
 
-/// Every frame after the greeting. In version 1 it is a bare [`Parcel`].
+/// A frame after the greeting. In protocol version 1, frames contain a bare [`Parcel`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// A parcel as it is.
+    /// Uncompressed messages.
     Plain(Parcel),
-    /// An encoded parcel, packed.
+    /// Messages, encoded and compressed.
     Packed(PackedBytes),
 }
 
-/// Size of a parcel, in bytes, from which packing is worth its time: below, there is little that
-/// repeats.
+/// Minimum size of encoded messages, in bytes, for compression.
 pub const PACKED_FROM: usize = 256;
 
 impl PeerFrame {
-    /// Packs what goes to another region, where bytes are paid for.
+    /// Creates a frame. Messages to other regions are compressed, because that traffic is billed.
     pub fn wrap(parcel: Parcel, distance: Option<Distance>) -> Self {
         if distance != Some(Distance::OtherRegion) {
             return Self::Plain(parcel);
@@ -98,12 +99,12 @@
             Ok(encoded) if encoded.len() >= PACKED_FROM => {
                 Self::Packed(PackedBytes::pack(&encoded))
             }
-            // What cannot be encoded is refused as a frame, too.
+            // If encoding fails here, encoding the frame fails as well.
             _ => Self::Plain(parcel),
         }
     }
 
-    /// What was wrapped; `None` when it is damaged.
+    /// Returns the messages, or `None` if the frame is corrupt.
     pub fn open(self) -> Option<Parcel> {
         match self {
             Self::Plain(parcel) => Some(parcel),
@@ -113,7 +114,7 @@
 }
 
 impl Parcel {
-    /// The next one that comes in this version.
+    /// Reads the next frame in the given version.
     pub(super) async fn read(
         frames: &mut FrameReader<OwnedReadHalf>,
         version: ProtocolVersion,
@@ -125,7 +126,7 @@
     }
 }
 
-/// An encoded frame in a link's queue.
+/// An encoded frame in the queue of a link.
 pub(super) struct QueuedFrame {
     pub(super) payload: Vec<u8>,
 }
@@ -140,7 +141,8 @@
             return frame_of(&self.payload);
         }
         let parcel = decode(&self.payload).ok().and_then(PeerFrame::open);
-        // It was encoded here, so it can be read. Without a frame it is as if it were lost.
+        // The payload was encoded by this process, so decoding succeeds. Otherwise the frame is
+        // dropped.
         parcel.and_then(|parcel| encode_frame(&parcel).ok()).unwrap_or_default()
     }
 }
--- a/crates/ledger/src/server/peers/known.rs
+++ b/crates/ledger/src/server/peers/known.rs
@@ -1,4 +1,4 @@
-//! What the other ledger machines say of themselves when they connect.
+//! Zones and protocol versions of the ledger machines that have connected.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,12 +18,12 @@
     "Ledger machines that speak an older version of the protocol, as heard here",
 );
 
-/// Why the ledger cannot use what only the newest version has.
+/// A ledger machine that prevents the use of features of the newest protocol version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetLag {
-    /// This ledger machine speaks an older version.
+    /// The machine uses an older version.
     Machine(Ipv4Addr),
-    /// This ledger machine has not said which version it speaks.
+    /// The version of the machine is unknown, because it has not connected yet.
     UnheardMachine(Ipv4Addr),
 }
 
@@ -32,36 +32,36 @@
         match self {
             Self::Machine(ip) => write!(formatter, "ledger machine {ip} runs an older build"),
             Self::UnheardMachine(ip) => {
-                write!(formatter, "ledger machine {ip} has not said which build it runs")
+                write!(formatter, "ledger machine {ip} runs an unknown build")
             }
         }
     }
 }
 
-/// The machines that have connected here. All clones are one.
+/// The machines that have connected to this one. Clones share the same data.
 #[derive(Clone, Debug, Default)]
 pub struct KnownPeers(Arc<Mutex<HashMap<u32, KnownPeer>>>);
 
 #[derive(Debug)]
 struct KnownPeer {
-    /// Where it is; `None` while it has not said so.
+    /// Zone of the machine; `None` if unknown.
     zone: Option<String>,
-    /// Version of the protocol that it speaks.
+    /// Negotiated protocol version.
     version: ProtocolVersion,
 }
 
 impl KnownPeers {
-    /// A machine has opened a connection in this version.
+    /// Records a machine that has connected with the given protocol version.
     pub fn note(&self, card: &PeerCard, version: ProtocolVersion) {
         let mut peers = self.0.lock();
-        let before = peers.remove(&card.replica.machine).and_then(|known| known.zone);
-        let zone = card.zone.clone().or(before);
+        let previous_zone = peers.remove(&card.replica.machine).and_then(|known| known.zone);
+        let zone = card.zone.clone().or(previous_zone);
         peers.insert(card.replica.machine, KnownPeer { zone, version });
         let older = peers.values().filter(|known| known.version < NEWEST).count();
         OLDER_MACHINES.show(older as u64);
     }
 
-    /// How far a machine is from `zone`; `None` until it has said where it is.
+    /// Returns the distance of a machine from `zone`, or `None` if the machine's zone is unknown.
     pub(super) fn distance(
         &self,
         topology: &Topology,
@@ -73,8 +73,8 @@
         Some(topology.distance(zone, known))
     }
 
-    /// What keeps a leader with these other `members` from putting orders into the log that only the
-    /// newest version knows; `None` when all know them.
+    /// Returns the first of `members` that may not support commands of the newest version, or
+    /// `None` if all of them do.
     pub fn lag(&self, members: impl IntoIterator<Item = u32>) -> Option<FleetLag> {
         let peers = self.0.lock();
         members.into_iter().find_map(|machine| {
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between ledger machines.
+//! Communication between ledger machines.
 //!
-//! - [`frame`]: what goes over a connection, in each version of the protocol;
-//! - [`known`]: what the others say of themselves.
+//! - [`frame`]: frames in each version of the protocol;
+//! - [`known`]: zones and protocol versions of the other machines.
 
 mod frame;
 mod known;
@@ -25,12 +25,12 @@
 pub use frame::{PACKED_FROM, Parcel, PeerCard, PeerFrame};
 pub use known::{FleetLag, KnownPeers};
 
-/// Messages that may wait between the replica's thread and the network's.
-pub const RING: usize = 4_096;
+/// Capacity of the queue from the replica thread to the network thread.
+pub const OUTGOING_QUEUE_CAPACITY: usize = 4_096;
 
 static REFUSALS: RefusalLog = RefusalLog::new("ledger machine");
 
-/// Messages for one replica.
+/// Messages to be sent to a replica.
 #[derive(Debug)]
 pub struct Outgoing {
     /// The receiver.
@@ -39,17 +39,17 @@
     pub messages: Vec<GroupMessage>,
 }
 
-/// Sends what the replica's thread hands out.
+/// Sends the messages queued by the replica thread.
 pub async fn send(
     settings: LedgerSettings,
     identity: ReplicaId,
-    mut frames: mpsc::Receiver<Outgoing>,
+    mut outgoing: mpsc::Receiver<Outgoing>,
     peers: KnownPeers,
 ) {
     let LedgerSettings { name, zone, .. } = settings.clone();
     let greeting = Greeting { from: identity, name, zone };
     let mut links: HashMap<u32, Link<QueuedFrame>> = HashMap::new();
-    while let Some(Outgoing { to, messages }) = frames.recv().await {
+    while let Some(Outgoing { to, messages }) = outgoing.recv().await {
         if to.machine == identity.machine {
             continue;
         }
@@ -59,18 +59,19 @@
             Link::open(address, LinkOpening::offer(SPOKEN, move |version| greeting.frame(version)))
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
-        let kind = kind_of(&messages);
+        let kind = frame_kind(&messages);
         let frame = PeerFrame::wrap(Parcel { to, messages }, distance);
         if let Ok(payload) = encode(&frame) {
-            traffic::note(Peer::Ledger, kind, distance, HEADER_BYTES + payload.len());
+            traffic::record(Peer::Ledger, kind, distance, HEADER_BYTES + payload.len());
             link.queue(QueuedFrame { payload });
         }
     }
 }
 
-/// What takes most of a frame's bytes.
-fn kind_of(messages: &[GroupMessage]) -> &'static str {
-    let has = |is: fn(&Message) -> bool| messages.iter().any(|one| is(&one.message));
+/// Returns the metric label of a frame: the content that makes up most of its size.
+fn frame_kind(messages: &[GroupMessage]) -> &'static str {
+    let has =
+        |is_match: fn(&Message) -> bool| messages.iter().any(|grouped| is_match(&grouped.message));
     if has(|message| matches!(message, Message::Install { .. } | Message::SegmentChunk { .. })) {
         "snapshot"
     } else if has(
@@ -82,7 +83,7 @@
     }
 }
 
-/// Takes connections of other machines.
+/// Accepts connections from other machines.
 pub async fn accept(
     listener: TcpListener,
     identity: ReplicaId,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Takes what comes on one connection.
+/// Receives the messages of one connection.
 struct PeerReceiver {
     identity: ReplicaId,
     replica: ReplicaHandle,
@@ -120,8 +121,8 @@
         self.replica.greeting(card);
         loop {
             let Parcel { to, messages } = Parcel::read(&mut frames, version).await?;
-            let is_for_us = to == self.identity;
-            let messages: Vec<GroupMessage> = if is_for_us {
+            let is_for_this_replica = to == self.identity;
+            let messages: Vec<GroupMessage> = if is_for_this_replica {
                 messages
             } else {
                 messages.into_iter().filter(calicohoist_replication::node::is_for_machine).collect()
--- a/crates/ledger/src/server/preference.rs
+++ b/crates/ledger/src/server/preference.rs
@@ -1,43 +1,42 @@
-//! Which voter had best lead: where the way of a turn is shortest.
+//! Choice of the voter with the lowest expected network delay as leader.
 //!
-//! A turn costs its gateway a way to the leader and back, and the leader a way to the nearest
-//! voters that make a quorum with it. Both are weighed by where turns come from. Distances are
-//! not measured: a link in trouble would look far, and the leadership must not follow trouble.
+//! The delay of a turn consists of the delay between gateway and leader, weighted by the zones
+//! that turns come from, and the delay between the leader and the nearest voters that form a
+//! quorum with it. Delays are derived from the topology, not measured, so that a transient network
+//! problem does not move the leadership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use calicohoist_routing::{Distance, Topology};
 
-/// Typical one-way delay between zones of a region; within a zone it counts as zero.
-const REGION_WAY: Duration = Duration::from_millis(1);
-/// Typical one-way delay between regions of one continent. What matters is that it is long beside
-/// [`REGION_WAY`].
-const FAR_WAY: Duration = Duration::from_millis(10);
-/// Least gain for each turn that is worth a hand-over, which stops turns for a moment. It is more
-/// than [`REGION_WAY`], so that the leadership never moves within a region.
-const LEAST_GAIN: Duration = Duration::from_millis(3);
-/// How long the same machine must have been the better one, with all voters caught up: short
-/// bursts of load and restarts of machines are over by then.
-const STABLE_FOR: Duration = Duration::from_secs(5);
-/// Least time between two hand-overs, so that load that moves does not drag the leadership along.
-/// A machine that takes the leadership over from another one rests as long, whatever the reason:
-/// handing it straight back would undo what a leader with a slow disk has just done.
-const REST: Duration = Duration::from_secs(30);
-/// Half-life of the counts of turns by zone.
+/// Assumed one-way delay between zones of a region. Within a zone, the delay is zero.
+const INTRA_REGION_DELAY: Duration = Duration::from_millis(1);
+/// Assumed one-way delay between regions.
+const INTER_REGION_DELAY: Duration = Duration::from_millis(10);
+/// Minimum gain per turn that justifies a transfer, which interrupts turns briefly. It exceeds
+/// [`INTRA_REGION_DELAY`], so that the leadership never moves within a region.
+const MIN_GAIN: Duration = Duration::from_millis(3);
+/// How long a machine must be the best candidate, with all voters caught up, before the leadership
+/// is transferred. This filters out short load bursts and restarts.
+const MIN_CANDIDATE_TIME: Duration = Duration::from_secs(5);
+/// Minimum time between two transfers. It also applies after this machine has taken over the
+/// leadership for any reason, so that it is not returned at once to a leader with a slow disk.
+const TRANSFER_COOLDOWN: Duration = Duration::from_secs(30);
+/// Half-life of the turn counts.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Turns by the zone that they came from; older ones count less.
+/// Exponentially decaying turn counts by the zone of the gateway.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneLoads {
     turns: BTreeMap<String, f64>,
-    halved: Option<Instant>,
+    decayed_at: Option<Instant>,
 }
 
 impl ZoneLoads {
-    /// Counts a turn from a gateway in this zone.
+    /// Counts a turn from a gateway in `zone`.
     pub fn note(&mut self, zone: &str, now: Instant) {
-        self.fade(now);
+        self.decay(now);
         match self.turns.get_mut(zone) {
             Some(turns) => *turns += 1.0,
             None => {
@@ -46,133 +45,133 @@
         }
     }
 
-    /// Halves the counts for each half-life that has passed; more than one has where this machine
-    /// did not lead for a while, and so counted none.
-    pub fn fade(&mut self, now: Instant) {
-        let since = *self.halved.get_or_insert(now);
-        let passed = now.saturating_duration_since(since);
-        if passed >= HALF_LIFE {
-            self.halved = Some(now);
-            let share = 0.5_f64.powf((passed.as_secs_f64() / HALF_LIFE.as_secs_f64()).floor());
-            self.turns.values_mut().for_each(|turns| *turns *= share);
+    /// Halves the counts for each half-life that has passed since they were last halved.
+    pub fn decay(&mut self, now: Instant) {
+        let since = *self.decayed_at.get_or_insert(now);
+        let elapsed = now.saturating_duration_since(since);
+        if elapsed >= HALF_LIFE {
+            self.decayed_at = Some(now);
+            let factor = 0.5_f64.powf((elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64()).floor());
+            self.turns.values_mut().for_each(|turns| *turns *= factor);
             self.turns.retain(|_, turns| *turns >= 1.0);
         }
     }
 
-    /// Mean of a duration over the zones that turns come from; zero without any turn.
-    fn mean(&self, of_zone: impl Fn(&str) -> Duration) -> Duration {
-        let all: f64 = self.turns.values().sum();
-        if all <= 0.0 {
+    /// Returns the mean of a per-zone duration weighted by turns, or zero without turns.
+    fn weighted_mean(&self, of_zone: impl Fn(&str) -> Duration) -> Duration {
+        let total: f64 = self.turns.values().sum();
+        if total <= 0.0 {
             return Duration::ZERO;
         }
-        self.turns.iter().map(|(zone, turns)| of_zone(zone).mul_f64(turns / all)).sum()
+        self.turns.iter().map(|(zone, turns)| of_zone(zone).mul_f64(turns / total)).sum()
     }
 }
 
-/// A voter and where it is.
+/// A voter and its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedVoter {
-    /// Its machine.
+    /// Number of the machine.
     pub machine: u32,
     /// Zone of the machine.
     pub zone: String,
 }
 
-/// What a leader sees of its group.
+/// The leader's view of its Raft group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupView<'a> {
-    /// Where zones lie.
+    /// Regions of the zones.
     pub topology: &'a Topology,
-    /// The machine that leads.
+    /// The current leader.
     pub leader: u32,
     /// All voters.
     pub voters: &'a [PlacedVoter],
-    /// Where turns come from.
+    /// Turns by zone of origin.
     pub loads: &'a ZoneLoads,
-    /// Whether all voters are there and caught up, and no change is under way.
+    /// Whether all voters are reachable and caught up, and no membership change is in progress.
     pub is_calm: bool,
-    /// Machines that are being emptied, or were once: they stay in this set when they are gone.
+    /// Machines that are being retired or have been retired.
     pub retiring: &'a BTreeSet<u32>,
 }
 
 impl GroupView<'_> {
-    /// Whether a hand-over would disturb nothing: the group is calm, and no voter is retiring.
-    fn may_move(&self) -> bool {
+    /// Returns whether a transfer is safe: the group is stable and no voter is retiring.
+    fn allows_transfer(&self) -> bool {
         let is_retiring = |voter: &PlacedVoter| self.retiring.contains(&voter.machine);
         self.is_calm && !self.voters.iter().any(is_retiring)
     }
 }
 
-/// Remembers for how long another machine has been the better leader.
+/// Decides when to transfer the leadership to a better candidate.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderPreference {
-    better: Option<(u32, Instant)>,
-    /// When this machine last handed the leadership over, or took it over from another one.
-    moved: Option<Instant>,
+    /// The best candidate, and since when it has been.
+    candidate: Option<(u32, Instant)>,
+    /// When this machine last transferred the leadership or took it over.
+    last_transfer: Option<Instant>,
     /// Whether another machine has led since this one last did.
     has_followed: bool,
 }
 
-/// A hand-over that is worth it.
+/// A transfer of the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderMove {
-    /// The machine that had better lead.
+    /// The new leader.
     pub to: u32,
-    /// What each turn gains on its way.
+    /// Expected reduction of the delay per turn.
     pub gain: Duration,
 }
 
 impl LeaderPreference {
-    /// This machine does not lead; another one does, as far as it knows.
+    /// Records that this machine is not the leader, and whether another leader is known.
     pub fn follow(&mut self, knows_leader: bool) {
-        self.better = None;
+        self.candidate = None;
         self.has_followed |= knows_leader;
     }
 
-    /// The machine to hand over to now, if any.
+    /// Returns the transfer to perform now, if any.
     pub fn decide(&mut self, view: &GroupView<'_>, now: Instant) -> Option<LeaderMove> {
         if std::mem::take(&mut self.has_followed) {
-            self.moved = Some(now);
+            self.last_transfer = Some(now);
         }
-        let Some(better) = better_leader(view).filter(|_| view.may_move()) else {
-            self.better = None;
+        let Some(transfer) = best_transfer(view).filter(|_| view.allows_transfer()) else {
+            self.candidate = None;
             return None;
         };
-        let since = match self.better {
-            Some((machine, since)) if machine == better.to => since,
+        let since = match self.candidate {
+            Some((machine, since)) if machine == transfer.to => since,
             _ => now,
         };
-        self.better = Some((better.to, since));
-        let is_rested = self.moved.is_none_or(|moved| now >= moved + REST);
-        if now < since + STABLE_FOR || !is_rested {
+        self.candidate = Some((transfer.to, since));
+        let has_cooled_down = self.last_transfer.is_none_or(|at| now >= at + TRANSFER_COOLDOWN);
+        if now < since + MIN_CANDIDATE_TIME || !has_cooled_down {
             return None;
         }
-        self.moved = Some(now);
-        self.better = None;
-        Some(better)
+        self.last_transfer = Some(now);
+        self.candidate = None;
+        Some(transfer)
     }
 }
 
-/// The best voter, if the gain over the present leader is clear.
-fn better_leader(view: &GroupView<'_>) -> Option<LeaderMove> {
-    let present = view.voters.iter().find(|voter| voter.machine == view.leader)?;
-    let best = view.voters.iter().min_by_key(|voter| (turn_way(view, voter), voter.machine))?;
-    let gain = turn_way(view, present).saturating_sub(turn_way(view, best));
-    (gain >= LEAST_GAIN).then_some(LeaderMove { to: best.machine, gain })
+/// Returns the transfer to the best voter if the gain is at least [`MIN_GAIN`].
+fn best_transfer(view: &GroupView<'_>) -> Option<LeaderMove> {
+    let current = view.voters.iter().find(|voter| voter.machine == view.leader)?;
+    let best = view.voters.iter().min_by_key(|voter| (turn_delay(view, voter), voter.machine))?;
+    let gain = turn_delay(view, current).saturating_sub(turn_delay(view, best));
+    (gain >= MIN_GAIN).then_some(LeaderMove { to: best.machine, gain })
 }
 
-/// One way from gateways to this voter, and one from it to its nearest quorum.
-fn turn_way(view: &GroupView<'_>, leader: &PlacedVoter) -> Duration {
-    let way = |zone: &str| way_of(view.topology.distance(zone, &leader.zone));
+/// Returns the one-way delay from gateways to this voter plus that to its nearest quorum.
+fn turn_delay(view: &GroupView<'_>, leader: &PlacedVoter) -> Duration {
+    let delay = |zone: &str| one_way_delay(view.topology.distance(zone, &leader.zone));
     let others = view.voters.iter().filter(|voter| voter.machine != leader.machine);
-    let mut ways: Vec<Duration> = others.map(|voter| way(&voter.zone)).collect();
-    ways.sort_unstable();
-    // With the leader's own vote, so many others make a majority.
+    let mut delays: Vec<Duration> = others.map(|voter| delay(&voter.zone)).collect();
+    delays.sort_unstable();
+    // Number of other voters that form a majority together with the leader.
     let needed = view.voters.len() / 2;
-    let to_quorum = needed.checked_sub(1).and_then(|last| ways.get(last));
-    view.loads.mean(way) + to_quorum.copied().unwrap_or_default()
+    let to_quorum = needed.checked_sub(1).and_then(|last| delays.get(last));
+    view.loads.weighted_mean(delay) + to_quorum.copied().unwrap_or_default()
 }
 
-fn way_of(distance: Distance) -> Duration {
-    distance.cost(REGION_WAY, FAR_WAY)
+fn one_way_delay(distance: Distance) -> Duration {
+    distance.cost(INTRA_REGION_DELAY, INTER_REGION_DELAY)
 }
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -1,7 +1,7 @@
-//! The thread that takes part in the replicated log.
+//! The thread that participates in the replicated log.
 //!
-//! It is the only one that waits on the disk. A leader whose disk hangs therefore
-//! sends no heartbeats either, and loses the leadership.
+//! It performs all disk I/O. A leader whose disk hangs therefore stops sending heartbeats and
+//! loses the leadership.
 
 pub mod pending;
 mod request;
@@ -26,9 +26,9 @@
 use rand::RngExt;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use pending::{Answered, CommandDigest, Pending, PendingTable};
+use pending::{CommandDigest, Outcome, Pending, PendingTable};
 use request::Input;
-pub use request::{ReplicaHandle, Request, Respond, Response, Standing};
+pub use request::{ReplicaHandle, Request, Response, ResponseCallback, Standing};
 
 use super::limits::LimitDesk;
 use super::peers::{Outgoing, PeerCard};
@@ -40,93 +40,90 @@
 use crate::queries;
 use crate::state::{HistoryPiece, LedgerState, StoredBytes};
 
-/// The only group: whoever reads a configuration and whoever reserves ask the same leader.
+/// The only Raft group.
 const GROUP: GroupId = GroupId(0);
-const RING: usize = 8_192;
-/// Inputs taken before one flush.
-const BATCH: usize = 512;
-const TICK: Duration = Duration::from_millis(20);
-/// How often a leader lets the state's clock run on.
-const ADVANCE_EVERY: Duration = Duration::from_secs(5);
-/// How often a leader looks up which machines there are; those outside the group are called once
-/// a second.
-const NAME_EVERY: Duration = Duration::from_millis(500);
-/// How often a leader looks whether another voter had better lead: often beside the 5 s for which
-/// one must be better, and little work.
-const WEIGH_EVERY: Duration = Duration::from_millis(500);
+const INPUT_QUEUE_CAPACITY: usize = 8_192;
+/// Maximum number of inputs handled before a flush.
+const MAX_BATCH: usize = 512;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a leader advances the clock of the state.
+const CLOCK_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which a leader passes the known machines to the replication layer.
+const KNOWN_MACHINES_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a leader checks whether another voter would be a better leader.
+const PREFERENCE_INTERVAL: Duration = Duration::from_millis(500);
 const ENTRIES_PER_SNAPSHOT: u64 = 8_000;
-/// Size of the log file, in bytes, from which it is rewritten.
+/// Size of the log file, in bytes, above which it is rewritten.
 const LOG_REWRITE_BYTES: usize = 6 << 20;
-/// Bytes of retained turns in memory from which they are moved to disk. The entries that
-/// brought them are in memory, too, until the snapshot that comes with it.
-const SEAL_BYTES: u64 = 2 << 20;
-/// Age from which a reservation or a read is not begun any more: gateways wait for 1 s.
-const REQUEST_PATIENCE: Duration = Duration::from_millis(900);
-/// Age from which a drain or its withdrawal is not begun any more: an operator has turned to
-/// another machine after 1 s, and may have had the opposite acknowledged since.
-const OPERATOR_PATIENCE: Duration = Duration::from_millis(900);
-/// How long the leader waits for a sealing that it has proposed.
-const SEAL_PATIENCE: Duration = Duration::from_secs(1);
+/// Bytes of retained turns in memory above which they are sealed into a segment.
+const SEAL_THRESHOLD_BYTES: u64 = 2 << 20;
+/// Age above which a reservation or read is rejected; less than the timeout of gateways.
+const MAX_REQUEST_AGE: Duration = Duration::from_millis(900);
+/// Age above which draining or restoring a zone is rejected. After its timeout an operator may
+/// have made the opposite change on another machine, which this request would undo.
+const MAX_ZONE_CHANGE_AGE: Duration = Duration::from_millis(900);
+/// Time after which a proposed seal command is proposed again.
+const SEAL_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 static DRAINED_ZONES: Gauge =
     Gauge::new("calicohoist_ledger_drained_zones", "Zones that are drained, as applied here");
-static LEADS: Gauge = Gauge::new("calicohoist_ledger_leads", "1 while this machine leads");
+static IS_LEADER: Gauge = Gauge::new("calicohoist_ledger_leads", "1 while this machine leads");
 
-/// The replica with its disk, before its thread runs.
+/// The replica and its log, run by a dedicated thread.
 pub struct ReplicaThread {
     node: Node<LedgerState>,
     log: DiskLog<DirectoryDisk>,
-    origin: Instant,
+    started_at: Instant,
     name: String,
     tolerated_losses: usize,
-    frames: mpsc::Sender<Outgoing>,
+    outgoing: mpsc::Sender<Outgoing>,
     pending: PendingTable,
+    /// Names of machines to register.
     names: BTreeMap<u32, String>,
-    /// Zones of machines by number, as they named them; this one's too.
+    /// Zones of all known machines, including this one.
     zones: BTreeMap<u32, String>,
     topology: Arc<Topology>,
     preference: LeaderPreference,
-    /// When a better leader was last sought.
-    weighed: Instant,
-    advanced: Instant,
-    /// When the known machines were named last.
-    named: Instant,
-    seal_proposed: Option<Instant>,
+    preference_checked_at: Instant,
+    clock_advanced_at: Instant,
+    known_machines_updated_at: Instant,
+    seal_proposed_at: Option<Instant>,
     slowness: Slowness,
     standing: Standing,
-    /// Take what the log tells.
+    /// Receive updates from the log.
     desks: Desks,
-    /// Number of the next run to tell.
+    /// Number of the next run to forward.
     next_run: u64,
-    /// Number of the newest note of permits that was told.
-    told_permits: u64,
-    /// Since when this machine leads without knowing all that earlier leaders have committed.
-    catches_up_since: Option<Instant>,
+    /// Number of the last forwarded permit batch.
+    last_permit_batch: u64,
+    /// Since when this machine has been leader without having applied all entries committed by
+    /// earlier leaders.
+    catching_up_since: Option<Instant>,
 }
 
-/// Who at this machine wants to know what the log tells of runs and permits.
+/// Leader services that the replica thread updates from the log.
 pub struct Desks {
-    /// Runs.
+    /// Receives finished runs.
     pub turns: Arc<TurnDesk>,
-    /// Permits.
+    /// Receives issued permits.
     pub limits: Arc<LimitDesk>,
-    /// Where turns come from; read only, to choose the leader.
+    /// Turns by zone of origin, which the choice of the leader is based on.
     pub loads: Arc<Mutex<ZoneLoads>>,
 }
 
 impl ReplicaThread {
-    /// Opens the log.
+    /// Opens the log and recovers the replica from it.
     ///
     /// # Errors
-    /// When the disk fails or its content is damaged.
+    /// Fails if the disk fails or its content is corrupt.
     pub fn open(
         settings: &LedgerSettings,
-        frames: mpsc::Sender<Outgoing>,
+        outgoing: mpsc::Sender<Outgoing>,
         desks: Desks,
     ) -> eyre::Result<Self> {
-        // A replica that reads its log acknowledges no leader: that time counts towards the
-        // one for which it must not vote after a restart.
-        let origin = Instant::now();
+        // The clock starts before recovery: a replica acknowledges no leader while it reads its
+        // log, so this time counts towards the period after a restart in which it must not vote.
+        let started_at = Instant::now();
         let disk = DirectoryDisk::open(&settings.data_folder)?;
         let (mut log, recovered) = DiskLog::open(disk)?;
         let machine = machine_number(settings.ip);
@@ -155,53 +152,53 @@
             machine = settings.name,
             entries = entries,
             bytes = log.bytes(),
-            after_ms = origin.elapsed().as_millis(),
+            after_ms = started_at.elapsed().as_millis(),
         );
         Ok(Self {
             node,
             log,
-            origin,
+            started_at,
             name: settings.name.clone(),
             tolerated_losses: settings.tolerated_losses,
-            frames,
+            outgoing,
             pending: PendingTable::default(),
             names: BTreeMap::from([(machine, settings.name.clone())]),
             zones: BTreeMap::from([(machine, settings.zone.clone())]),
             topology: Arc::clone(&settings.topology),
             preference: LeaderPreference::default(),
-            weighed: origin,
-            advanced: origin,
-            named: origin,
-            seal_proposed: None,
+            preference_checked_at: started_at,
+            clock_advanced_at: started_at,
+            known_machines_updated_at: started_at,
+            seal_proposed_at: None,
             slowness: Slowness::default(),
             standing: Standing::default(),
             desks,
             next_run: 0,
-            told_permits: 0,
-            catches_up_since: None,
+            last_permit_batch: 0,
+            catching_up_since: None,
         })
     }
 
-    /// Identity of this replica.
+    /// Returns the identity of this replica.
     pub fn id(&self) -> ReplicaId {
         self.node.id()
     }
 
-    /// Starts the thread. The last value tells why it ended, should it end.
+    /// Starts the thread. The last value receives the error if the thread fails.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// Fails if the thread cannot be started.
     pub fn start(
         self,
     ) -> std::io::Result<(ReplicaHandle, watch::Receiver<Standing>, oneshot::Receiver<String>)>
     {
-        let (inputs, receiver) = bounded(RING);
+        let (inputs, receiver) = bounded(INPUT_QUEUE_CAPACITY);
         let (standing_out, standing) = watch::channel(Standing::default());
-        let (failure_out, failure) = oneshot::channel();
+        let (failure_sender, failure) = oneshot::channel();
         thread::Builder::new().name("replica".to_owned()).spawn(move || {
             if let Err(error) = self.run(&receiver, &standing_out) {
                 emit!(Event::DiskFailed, "{error}");
-                let _ = failure_out.send(error.to_string());
+                let _ = failure_sender.send(error.to_string());
             }
         })?;
         Ok((ReplicaHandle { inputs }, standing, failure))
@@ -213,72 +210,72 @@
         standing: &watch::Sender<Standing>,
     ) -> Result<(), DiskError> {
         loop {
-            match inputs.recv_timeout(TICK) {
-                Ok(input) => self.take(input),
+            match inputs.recv_timeout(TICK_INTERVAL) {
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            for input in inputs.try_iter().take(BATCH) {
-                self.take(input);
+            for input in inputs.try_iter().take(MAX_BATCH) {
+                self.handle_input(input);
             }
             let now = self.now();
             self.node.tick(now);
-            self.keep_house();
-            let frames = self.frames.clone();
-            let send_early = |to, messages| send(&frames, to, messages);
-            let began = Instant::now();
+            self.run_periodic_tasks();
+            let outgoing = self.outgoing.clone();
+            let send_early = |to, messages| send(&outgoing, to, messages);
+            let flush_started = Instant::now();
             let events = self.node.flush_with(now, &mut self.log, send_early)?;
-            if self.slowness.note(began.elapsed()) && self.node.leads_any() {
-                emit!(Event::SlowLeader; machine = self.name, flush_ms = began.elapsed().as_millis());
+            if self.slowness.note(flush_started.elapsed()) && self.node.leads_any() {
+                emit!(Event::SlowLeader; machine = self.name, flush_ms = flush_started.elapsed().as_millis());
                 self.node.transfer_leadership(now);
             }
-            // What the log says is passed on before anybody is answered: once an operator hears
-            // that a zone is drained, no placement may use an older state.
-            self.tell_runs();
-            self.tell_permits();
+            // Applied entries are forwarded before requests are answered: once a zone drain is
+            // acknowledged to the operator, placements must not use an older state.
+            self.forward_runs();
+            self.forward_permits();
             self.publish_drained(standing);
             for event in events {
                 self.on_event(event);
             }
-            self.tell_caught_up();
-            // Term and leadership follow after the answers. A reservation that was committed along
-            // with the loss of leadership is so placed in the term that granted it: in the next
-            // one, which another machine leads, the desk would drop the turns that wait.
+            self.log_caught_up();
+            // Term and leadership are published after the answers, so that a reservation committed
+            // just before the leadership was lost is placed in the term that granted it. In a new
+            // term, the waiting turns would be dropped.
             self.publish(standing);
         }
     }
 
     fn now(&self) -> Moment {
-        let micros = u64::try_from(self.origin.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let micros = u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         Moment::from_micros(micros)
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Frame { from, messages } => {
+            Input::Messages { from, messages } => {
                 let now = self.now();
                 self.node.receive(now, from, messages);
             }
-            Input::Greeting(PeerCard { replica, name, zone }) => {
+            Input::PeerConnected(PeerCard { replica, name, zone }) => {
                 if let Some(zone) = zone {
                     self.zones.insert(replica.machine, zone);
                 }
                 self.names.insert(replica.machine, name);
             }
-            Input::Request { request, respond, asked } => {
-                if is_overdue(&request, asked.elapsed()) {
+            Input::Request { request, respond, enqueued_at } => {
+                if is_overdue(&request, enqueued_at.elapsed()) {
                     return respond(Response::Overdue);
                 }
                 self.on_request(request, respond);
             }
-            Input::HandOver => {
+            Input::TransferLeadership => {
                 let now = self.now();
                 self.node.transfer_leadership(now);
             }
         }
     }
 
-    fn on_request(&mut self, request: Request, respond: Respond) {
+    fn on_request(&mut self, request: Request, respond: ResponseCallback) {
         match request {
             Request::Change(command) => self.propose(&command, Pending::Change(respond)),
             Request::Reserve(reserve) => {
@@ -287,7 +284,7 @@
             }
             Request::Retire(name) => match self.retire_command(name) {
                 Some(command) => self.propose(&command, Pending::Retire(respond)),
-                None => self.refuse(Pending::Retire(respond)),
+                None => self.reject(Pending::Retire(respond)),
             },
             Request::ReadConfiguration { newer_than } => {
                 self.read(Pending::ReadConfiguration { newer_than, respond });
@@ -297,10 +294,11 @@
         }
     }
 
-    /// The command that empties a machine; `None` while it is not known here which are emptied
-    /// already.
+    /// Returns the command to retire a machine, or `None` unless this machine is the leader and
+    /// has applied all earlier retirements.
     fn retire_command(&self, name: String) -> Option<Command> {
-        // What was published holds what is applied; a commit may be known before that.
+        // The published status reflects applied entries, whereas Raft may already know of later
+        // commits.
         if !self.standing.is_leader {
             return None;
         }
@@ -316,59 +314,59 @@
         Some(Command::Retire { name, remaining, must_remain })
     }
 
-    fn propose(&mut self, command: &Command, asker: Pending) {
+    fn propose(&mut self, command: &Command, request: Pending) {
         let Ok(encoded) = encode(command) else {
-            return self.answer(asker, Answered::Lost);
+            return self.answer(request, Outcome::Lost);
         };
-        let digest = may_join(command).then(|| CommandDigest::of(&encoded));
-        let asker = match digest {
-            Some(digest) => self.pending.join(digest, asker),
-            None => Some(asker),
+        let digest = can_share_outcome(command).then(|| CommandDigest::of(&encoded));
+        let request = match digest {
+            Some(digest) => self.pending.join(digest, request),
+            None => Some(request),
         };
-        let Some(asker) = asker else {
+        let Some(request) = request else {
             return;
         };
         let ticket = self.pending.ticket();
         match (self.node.propose(GROUP, encoded, ticket), digest) {
-            (Ok(()), Some(digest)) => self.pending.add_command(ticket, digest, asker),
-            (Ok(()), None) => self.pending.add_single(ticket, asker),
-            (Err(_), _) => self.refuse(asker),
+            (Ok(()), Some(digest)) => self.pending.add_command(ticket, digest, request),
+            (Ok(()), None) => self.pending.add_unshared(ticket, request),
+            (Err(_), _) => self.reject(request),
         }
     }
 
-    fn read(&mut self, asker: Pending) {
+    fn read(&mut self, request: Pending) {
         let ticket = self.pending.ticket();
         match self.node.read(GROUP, ticket) {
-            Ok(()) => self.pending.add_single(ticket, asker),
-            Err(_) => self.refuse(asker),
+            Ok(()) => self.pending.add_unshared(ticket, request),
+            Err(_) => self.reject(request),
         }
     }
 
-    fn refuse(&mut self, pending: Pending) {
+    fn reject(&mut self, pending: Pending) {
         let leader = self.node.leader_machine(GROUP);
         let leader = leader.filter(|leader| *leader != self.node.id().machine);
-        self.answer(pending, Answered::NotLeader(leader));
+        self.answer(pending, Outcome::NotLeader(leader));
     }
 
-    /// What a leader does by itself: the state's clock, and the names of machines.
-    fn keep_house(&mut self) {
+    /// Runs periodic tasks, most of them on the leader only.
+    fn run_periodic_tasks(&mut self) {
         let is_leader = self.node.raft(GROUP).is_some_and(|raft| raft.is_leader());
         let Some(state) = self.node.machine(GROUP) else {
             return;
         };
         let retiring = state.machines().retiring_numbers();
         if !is_leader {
-            self.advanced = Instant::now();
+            self.clock_advanced_at = Instant::now();
             let knows_leader = self.node.leader_machine(GROUP).is_some();
             self.preference.follow(knows_leader);
             return self.node.set_evicted(&retiring);
         }
-        let is_new =
+        let is_unregistered =
             |(machine, name): &(&u32, &String)| state.machines().number(name) != Some(**machine);
-        let unknown: Vec<(u32, String)> = self
+        let unregistered: Vec<(u32, String)> = self
             .names
             .iter()
-            .filter(is_new)
+            .filter(is_unregistered)
             .map(|(machine, name)| (*machine, name.clone()))
             .collect();
         if retiring.contains(&self.node.id().machine) {
@@ -376,38 +374,38 @@
             self.node.transfer_leadership(now);
         }
         self.node.set_evicted(&retiring);
-        for (machine, name) in unknown {
-            self.propose_silently(&Command::Enroll { name, machine });
+        for (machine, name) in unregistered {
+            self.propose_without_reply(&Command::Enroll { name, machine });
         }
         self.names.clear();
         self.names.insert(self.node.id().machine, self.name.clone());
-        self.name_known_machines(&retiring);
-        self.seal_when_due();
-        self.prefer_leader(&retiring);
-        let elapsed = self.advanced.elapsed();
-        if elapsed >= ADVANCE_EVERY {
-            self.advanced = Instant::now();
+        self.update_known_machines(&retiring);
+        self.seal_if_due();
+        self.move_leadership_if_better(&retiring);
+        let elapsed = self.clock_advanced_at.elapsed();
+        if elapsed >= CLOCK_INTERVAL {
+            self.clock_advanced_at = Instant::now();
             let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or_default();
-            self.propose_silently(&Command::Advance { elapsed_ms });
+            self.propose_without_reply(&Command::Advance { elapsed_ms });
         }
     }
 
-    /// Hands the leadership to a voter with a clearly shorter way, while the group is calm.
-    fn prefer_leader(&mut self, retiring: &BTreeSet<u32>) {
-        if self.weighed.elapsed() < WEIGH_EVERY {
+    /// Transfers the leadership to a voter with a clearly lower expected delay, if there is one.
+    fn move_leadership_if_better(&mut self, retiring: &BTreeSet<u32>) {
+        if self.preference_checked_at.elapsed() < PREFERENCE_INTERVAL {
             return;
         }
-        self.weighed = Instant::now();
+        self.preference_checked_at = Instant::now();
         let now = self.now();
         let Some(raft) = self.node.raft(GROUP) else {
             return;
         };
-        let Some(voters) = self.placed_voters(&raft.membership().voters) else {
+        let Some(voters) = self.locate_voters(&raft.membership().voters) else {
             return;
         };
         let loads = {
             let mut loads = self.desks.loads.lock();
-            loads.fade(self.weighed);
+            loads.decay(self.preference_checked_at);
             loads.clone()
         };
         let view = GroupView {
@@ -418,21 +416,21 @@
             is_calm: raft.is_fully_replicated(now),
             retiring,
         };
-        if let Some(better) = self.preference.decide(&view, self.weighed) {
-            self.hand_over(better);
+        if let Some(transfer) = self.preference.decide(&view, self.preference_checked_at) {
+            self.transfer_leadership(transfer);
         }
     }
 
-    /// The voters with their zones; `None` until all of them have named theirs.
-    fn placed_voters(&self, voters: &BTreeSet<ReplicaId>) -> Option<Vec<PlacedVoter>> {
-        let placed = |voter: &ReplicaId| {
+    /// Returns the voters with their zones, or `None` until the zones of all voters are known.
+    fn locate_voters(&self, voters: &BTreeSet<ReplicaId>) -> Option<Vec<PlacedVoter>> {
+        let located = |voter: &ReplicaId| {
             let zone = self.zones.get(&voter.machine)?.clone();
             Some(PlacedVoter { machine: voter.machine, zone })
         };
-        voters.iter().map(placed).collect()
+        voters.iter().map(located).collect()
     }
 
-    fn hand_over(&mut self, LeaderMove { to, gain }: LeaderMove) {
+    fn transfer_leadership(&mut self, LeaderMove { to, gain }: LeaderMove) {
         let zone = self.zones.get(&to).cloned().unwrap_or_default();
         emit!(
             Event::LeaderMoved;
@@ -445,12 +443,12 @@
         self.node.transfer_leadership_to(now, GROUP, to);
     }
 
-    /// Names the machines that may have to be told who leads.
-    fn name_known_machines(&mut self, retiring: &BTreeSet<u32>) {
-        if self.named.elapsed() < NAME_EVERY {
+    /// Passes the known machines to the replication layer, which informs them of the leader.
+    fn update_known_machines(&mut self, retiring: &BTreeSet<u32>) {
+        if self.known_machines_updated_at.elapsed() < KNOWN_MACHINES_INTERVAL {
             return;
         }
-        self.named = Instant::now();
+        self.known_machines_updated_at = Instant::now();
         let Some(state) = self.node.machine(GROUP) else {
             return;
         };
@@ -459,36 +457,37 @@
         self.node.set_known_machines(known);
     }
 
-    /// Moves retained turns out of memory once they have become many.
-    fn seal_when_due(&mut self) {
+    /// Seals retained turns once they exceed [`SEAL_THRESHOLD_BYTES`] in memory.
+    fn seal_if_due(&mut self) {
         let unsealed = self.node.machine(GROUP).map(|state| state.turns().unsealed_bytes());
-        if unsealed.unwrap_or_default() < SEAL_BYTES {
-            self.seal_proposed = None;
+        if unsealed.unwrap_or_default() < SEAL_THRESHOLD_BYTES {
+            self.seal_proposed_at = None;
             return;
         }
-        let is_proposed = self.seal_proposed.is_some_and(|at| at.elapsed() < SEAL_PATIENCE);
+        let is_proposed =
+            self.seal_proposed_at.is_some_and(|at| at.elapsed() < SEAL_RETRY_INTERVAL);
         if !is_proposed {
-            self.seal_proposed = Some(Instant::now());
-            self.propose_silently(&Command::Seal);
+            self.seal_proposed_at = Some(Instant::now());
+            self.propose_without_reply(&Command::Seal);
         }
     }
 
-    fn propose_silently(&mut self, command: &Command) {
+    fn propose_without_reply(&mut self, command: &Command) {
         self.propose(command, Pending::Change(Box::new(|_| {})));
     }
 
     fn on_event(&mut self, event: NodeEvent<Output>) {
         match event {
-            NodeEvent::Send { to, messages } => send(&self.frames, to, messages),
+            NodeEvent::Send { to, messages } => send(&self.outgoing, to, messages),
             NodeEvent::Applied { ticket, output } => {
-                self.answer_all(ticket, &Answered::Output(output));
+                self.answer_all(ticket, &Outcome::Output(output));
             }
-            NodeEvent::ReadReady { ticket, .. } => self.answer_all(ticket, &Answered::MayRead),
-            NodeEvent::Lost { ticket } => self.answer_all(ticket, &Answered::Lost),
+            NodeEvent::ReadReady { ticket, .. } => self.answer_all(ticket, &Outcome::ReadReady),
+            NodeEvent::Lost { ticket } => self.answer_all(ticket, &Outcome::Lost),
             NodeEvent::Leadership { is_leader, .. } => {
                 let event = if is_leader { Event::BecameLeader } else { Event::LostLeadership };
-                LEADS.show(u64::from(is_leader));
-                self.catches_up_since = is_leader.then(Instant::now);
+                IS_LEADER.show(u64::from(is_leader));
+                self.catching_up_since = is_leader.then(Instant::now);
                 emit!(event; machine = self.name, term = self.term());
             }
         }
@@ -498,26 +497,26 @@
         self.node.raft(GROUP).map_or(0, |raft| raft.term())
     }
 
-    fn answer_all(&mut self, ticket: Ticket, answered: &Answered) {
-        for asker in self.pending.take(ticket) {
-            self.answer(asker, answered.clone());
+    fn answer_all(&mut self, ticket: Ticket, outcome: &Outcome) {
+        for request in self.pending.take(ticket) {
+            self.answer(request, outcome.clone());
         }
     }
 
-    fn answer(&self, pending: Pending, answered: Answered) {
-        let leads = match answered {
-            Answered::NotLeader(leader) => return pending.respond()(Response::NotLeader(leader)),
-            Answered::Lost => return pending.respond()(Response::Lost),
-            Answered::Output(output) => Some(output),
-            Answered::MayRead => None,
+    fn answer(&self, pending: Pending, outcome: Outcome) {
+        let output = match outcome {
+            Outcome::NotLeader(leader) => return pending.respond()(Response::NotLeader(leader)),
+            Outcome::Lost => return pending.respond()(Response::Lost),
+            Outcome::Output(output) => Some(output),
+            Outcome::ReadReady => None,
         };
         let Some(state) = self.node.machine(GROUP) else {
             return pending.respond()(Response::Lost);
         };
-        match (pending, leads) {
+        match (pending, output) {
             (Pending::Change(respond), Some(output)) => respond(Response::Changed(output)),
             (Pending::Reserve(reserve, respond), Some(Output::Reservation(reservation))) => {
-                respond(self.reserved(state, &reserve, reservation));
+                respond(self.reservation_response(state, &reserve, reservation));
             }
             (Pending::Retire(respond), Some(Output::Retiring(outcome))) => {
                 respond(Response::Retiring(outcome));
@@ -534,23 +533,23 @@
         }
     }
 
-    fn reserved(
+    fn reservation_response(
         &self,
         state: &LedgerState,
         reserve: &ReserveTurn,
         reservation: Reservation,
     ) -> Response {
-        let ended = |reservation| Response::Reserved {
+        let without_history = |reservation| Response::Reserved {
             reservation,
             history: Vec::new(),
             is_under_way: false,
         };
         if reservation != Reservation::Granted {
-            return ended(reservation);
+            return without_history(reservation);
         }
         let Some(pieces) = queries::history(state, reserve.previous.as_ref()) else {
-            // Expired between two entries of the log.
-            return ended(Reservation::NoSuchTurn);
+            // The previous turn expired after the reservation was applied.
+            return without_history(Reservation::NoSuchTurn);
         };
         match self.read_history(&pieces) {
             Ok(history) => {
@@ -558,7 +557,11 @@
                 Response::Reserved { reservation, history, is_under_way }
             }
             Err(error) => {
-                emit!(Event::DiskFailed, "history of {}: {error}", reserve.turn);
+                emit!(
+                    Event::DiskFailed,
+                    "cannot read the history of turn {}: {error}",
+                    reserve.turn
+                );
                 Response::Lost
             }
         }
@@ -574,7 +577,7 @@
                     let bytes =
                         self.log.read_segment(GROUP, stored.segment, stored.offset, length)?;
                     if !stored.matches(&bytes) {
-                        return Err(damaged(stored));
+                        return Err(corrupt_segment(stored));
                     }
                     history.extend(bytes);
                 }
@@ -583,7 +586,8 @@
         Ok(history)
     }
 
-    /// Whether a retiring machine holds no replica, with as many voters as wanted without it.
+    /// Returns whether a retiring machine is no longer a member and the group has enough voters
+    /// without it. Returns `None` if the machine is not being retired.
     fn is_retired(&self, state: &LedgerState, name: &str) -> Option<bool> {
         if !state.machines().is_retiring(name) {
             return None;
@@ -592,35 +596,35 @@
         let raft = self.node.raft(GROUP)?;
         let membership = raft.membership();
         let is_member = membership.all().any(|replica| Some(replica.machine) == number);
-        let has_votes = membership.voters.len() > 2 * self.tolerated_losses;
+        let has_enough_voters = membership.voters.len() > 2 * self.tolerated_losses;
         let is_settled = raft.has_settled_membership();
-        Some(!is_member && has_votes && is_settled)
+        Some(!is_member && has_enough_voters && is_settled)
     }
 
-    /// Tells where turns ran, as the log says.
-    fn tell_runs(&mut self) {
+    /// Forwards newly applied runs to the scheduler.
+    fn forward_runs(&mut self) {
         let Some(runs) = self.node.machine(GROUP).map(LedgerState::runs) else {
             return;
         };
         if runs.next() != self.next_run {
-            self.desks.turns.learn(runs.since(self.next_run));
+            self.desks.turns.record_runs(runs.since(self.next_run));
             self.next_run = runs.next();
         }
     }
 
-    /// Tells which permits were issued, as the log says.
-    fn tell_permits(&mut self) {
-        let Some(notes) = self.node.machine(GROUP).map(LedgerState::permits) else {
+    /// Forwards newly applied permit batches to the limiter.
+    fn forward_permits(&mut self) {
+        let Some(permits) = self.node.machine(GROUP).map(LedgerState::permits) else {
             return;
         };
-        if notes.newest() != self.told_permits {
-            self.told_permits = notes.newest();
-            self.desks.limits.learn(notes);
+        if permits.newest() != self.last_permit_batch {
+            self.last_permit_batch = permits.newest();
+            self.desks.limits.learn(permits);
         }
     }
 
-    /// Publishes the drained zones if they have changed; all else that is published stays as it
-    /// is until [`Self::publish`].
+    /// Publishes the drained zones if they have changed. The rest of the status is published by
+    /// [`Self::publish`].
     fn publish_drained(&mut self, out: &watch::Sender<Standing>) {
         let drained = self.node.machine(GROUP).map(LedgerState::drained);
         let Some(drained) = drained.filter(|drained| **drained != *self.standing.drained) else {
@@ -632,21 +636,21 @@
         out.send_replace(self.standing.clone());
     }
 
-    /// Logs how long this machine has led without knowing all that earlier leaders have committed.
-    fn tell_caught_up(&mut self) {
-        let Some(since) = self.catches_up_since else {
+    /// Logs how long it took a new leader to apply all entries committed by earlier leaders.
+    fn log_caught_up(&mut self) {
+        let Some(since) = self.catching_up_since else {
             return;
         };
         let Some(raft) = self.node.raft(GROUP).filter(|raft| raft.has_committed_in_term()) else {
             return;
         };
-        self.catches_up_since = None;
+        self.catching_up_since = None;
         emit!(
             Event::LeaderCaughtUp;
             machine = self.name,
             term = raft.term(),
             after_us = since.elapsed().as_micros(),
-            newest_permit_note = self.told_permits,
+            newest_permit_note = self.last_permit_batch,
         );
     }
 
@@ -672,28 +676,29 @@
     }
 }
 
-/// Whether whoever asked has given up by now. Ends of turns are never given up.
+/// Returns whether the requester has timed out. Gateways do not give up on settling turns.
 fn is_overdue(request: &Request, age: Duration) -> bool {
     match request {
         Request::Reserve(_) | Request::ReadConfiguration { .. } | Request::ConfirmLeadership => {
-            age > REQUEST_PATIENCE
+            age > MAX_REQUEST_AGE
         }
         Request::Change(Command::DrainZone { .. } | Command::RestoreZone { .. }) => {
-            age > OPERATOR_PATIENCE
+            age > MAX_ZONE_CHANGE_AGE
         }
         Request::Change(_) | Request::Retire(_) | Request::ReadRetiring(_) => false,
     }
 }
 
-/// Whether a command may share the outcome of an equal one that is under way. A drain or a restore
-/// of a zone may not: the opposite order may stand between the two in the log, and would undo what
-/// the later one was told is done.
-fn may_join(command: &Command) -> bool {
+/// Returns whether a command may share the outcome of an identical pending one.
+///
+/// Draining or restoring a zone may not: the opposite command may be in the log between the two,
+/// and the later request would be acknowledged although its effect was undone.
+fn can_share_outcome(command: &Command) -> bool {
     !matches!(command, Command::DrainZone { .. } | Command::RestoreZone { .. })
 }
 
-/// Whether a turn's program has begun with another one: its account tells, or without an
-/// account the turn that it continues from.
+/// Returns whether the program of a turn has already started with another turn. Without a program
+/// account, this is the case if the turn continues from another one.
 fn is_under_way(state: &LedgerState, reserve: &ReserveTurn) -> bool {
     match &reserve.program {
         Some(program) => state.accounts().has_begun_before(program, &reserve.turn),
@@ -701,21 +706,22 @@
     }
 }
 
-fn damaged(stored: &StoredBytes) -> DiskError {
+fn corrupt_segment(stored: &StoredBytes) -> DiskError {
     DiskError::Corrupt {
         file: format!("segment {}", stored.segment),
         offset: usize::try_from(stored.offset).unwrap_or(usize::MAX),
-        problem: "not what was stored".to_owned(),
+        problem: "length or checksum mismatch".to_owned(),
     }
 }
 
-/// A new data folder belongs to a founder only at the very first start.
+/// Returns the disk identity for a new data directory: 0 for a founding member when bootstrapping,
+/// else a random number.
 fn new_identity(settings: &LedgerSettings) -> u32 {
     let is_founder = settings.bootstrap && settings.seeds.contains(&settings.ip);
     if is_founder { 0 } else { rand::rng().random_range(1..=u32::MAX) }
 }
 
-fn send(frames: &mpsc::Sender<Outgoing>, to: ReplicaId, messages: Vec<GroupMessage>) {
-    // A full ring drops them, as a network would.
-    let _ = frames.try_send(Outgoing { to, messages });
+fn send(outgoing: &mpsc::Sender<Outgoing>, to: ReplicaId, messages: Vec<GroupMessage>) {
+    // Messages are dropped if the queue is full; Raft tolerates lost messages.
+    let _ = outgoing.try_send(Outgoing { to, messages });
 }
--- a/crates/ledger/src/server/replica/pending.rs
+++ b/crates/ledger/src/server/replica/pending.rs
@@ -1,39 +1,39 @@
-//! Who waits for what became of a proposal or a read.
+//! Requests that wait for the outcome of a proposal or a read.
 //!
-//! A command that is asked for again while it is under way is the same command: it is
-//! not proposed a second time, and all of its askers get the one outcome.
+//! A command that is requested again while it is pending is not proposed a second time. All its
+//! requesters receive the same outcome.
 
 use std::collections::{BTreeMap, HashMap};
 
 use calicohoist_replication::Ticket;
 
-use super::request::Respond;
+use super::request::ResponseCallback;
 use crate::commands::{Output, ReserveTurn};
 
-/// An asker, with what is needed to answer it.
+/// A pending request with the data needed to answer it.
 pub enum Pending {
-    /// Wants what came of a change.
-    Change(Respond),
-    /// Wants what came of a reservation, with the history.
-    Reserve(ReserveTurn, Respond),
-    /// Wants what came of emptying a machine.
-    Retire(Respond),
-    /// Wants the configuration, if it is newer than the one it holds.
+    /// Waits for a change.
+    Change(ResponseCallback),
+    /// Waits for a reservation and the history.
+    Reserve(ReserveTurn, ResponseCallback),
+    /// Waits for the retirement of a machine to be accepted.
+    Retire(ResponseCallback),
+    /// Reads the configuration if it is newer than a given version.
     ReadConfiguration {
-        /// Version that it holds.
+        /// Version known to the requester.
         newer_than: u64,
-        /// Takes the response.
-        respond: Respond,
+        /// Callback for the response.
+        respond: ResponseCallback,
     },
-    /// Wants to know that this machine leads.
-    Confirm(Respond),
-    /// Wants to know whether a machine is empty.
-    ReadRetiring(String, Respond),
+    /// Waits for confirmation of the leadership.
+    Confirm(ResponseCallback),
+    /// Reads whether a retiring machine is empty.
+    ReadRetiring(String, ResponseCallback),
 }
 
 impl Pending {
-    /// What takes the response.
-    pub fn respond(self) -> Respond {
+    /// Returns the callback for the response.
+    pub fn respond(self) -> ResponseCallback {
         match self {
             Self::Change(respond)
             | Self::Reserve(_, respond)
@@ -45,16 +45,16 @@
     }
 }
 
-/// How a pending request ended.
+/// The outcome of a pending request.
 #[derive(Clone, Debug)]
-pub enum Answered {
+pub enum Outcome {
     /// The command was applied.
     Output(Output),
     /// The state may be read.
-    MayRead,
-    /// Another machine leads.
+    ReadReady,
+    /// This machine is not the leader.
     NotLeader(Option<u32>),
-    /// It may or may not be applied in the end.
+    /// The outcome is unknown: the command may or may not be applied.
     Lost,
 }
 
@@ -63,7 +63,7 @@
 pub struct CommandDigest([u8; 32]);
 
 impl CommandDigest {
-    /// Of these bytes.
+    /// Computes the digest of an encoded command.
     pub fn of(encoded: &[u8]) -> Self {
         Self(*blake3::hash(encoded).as_bytes())
     }
@@ -72,10 +72,10 @@
 #[derive(Default)]
 struct PendingEntry {
     command: Option<CommandDigest>,
-    askers: Vec<Pending>,
+    requests: Vec<Pending>,
 }
 
-/// All that is under way, by ticket.
+/// All pending requests by ticket.
 #[derive(Default)]
 pub struct PendingTable {
     entries: BTreeMap<Ticket, PendingEntry>,
@@ -84,37 +84,37 @@
 }
 
 impl PendingTable {
-    /// A ticket that was not used before.
+    /// Returns a new ticket.
     pub fn ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         self.next_ticket
     }
 
-    /// Adds an asker to the same command, if it is under way; else gives it back.
-    pub fn join(&mut self, command: CommandDigest, asker: Pending) -> Option<Pending> {
+    /// Attaches a request to the same command if that is pending; returns the request otherwise.
+    pub fn join(&mut self, command: CommandDigest, request: Pending) -> Option<Pending> {
         let ticket = self.tickets.get(&command);
         match ticket.and_then(|ticket| self.entries.get_mut(ticket)) {
             Some(entry) => {
-                entry.askers.push(asker);
+                entry.requests.push(request);
                 None
             }
-            None => Some(asker),
+            None => Some(request),
         }
     }
 
-    /// Adds a command that was proposed.
-    pub fn add_command(&mut self, ticket: Ticket, command: CommandDigest, asker: Pending) {
+    /// Adds a proposed command.
+    pub fn add_command(&mut self, ticket: Ticket, command: CommandDigest, request: Pending) {
         self.tickets.insert(command, ticket);
-        let entry = PendingEntry { command: Some(command), askers: vec![asker] };
+        let entry = PendingEntry { command: Some(command), requests: vec![request] };
         self.entries.insert(ticket, entry);
     }
 
-    /// Adds what nobody joins: a read, or a command that counts each time.
-    pub fn add_single(&mut self, ticket: Ticket, asker: Pending) {
-        self.entries.insert(ticket, PendingEntry { command: None, askers: vec![asker] });
+    /// Adds a request that cannot be joined: a read, or a command that must be proposed each time.
+    pub fn add_unshared(&mut self, ticket: Ticket, request: Pending) {
+        self.entries.insert(ticket, PendingEntry { command: None, requests: vec![request] });
     }
 
-    /// Removes what has ended; returns its askers.
+    /// Removes and returns the requests of a finished ticket.
     pub fn take(&mut self, ticket: Ticket) -> Vec<Pending> {
         let Some(entry) = self.entries.remove(&ticket) else {
             return Vec::new();
@@ -122,6 +122,6 @@
         if let Some(command) = entry.command {
             self.tickets.remove(&command);
         }
-        entry.askers
+        entry.requests
     }
 }
--- a/crates/ledger/src/server/replica/request.rs
+++ b/crates/ledger/src/server/replica/request.rs
@@ -1,4 +1,4 @@
-//! The way into the replica's thread: what is asked, and what it answers.
+//! Requests to the replica thread and its responses.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,116 +12,118 @@
 use crate::server::peers::{FleetLag, PeerCard};
 use crate::state::HeldConfiguration;
 
-/// What is asked of the replica.
+/// A request to the replica thread.
 #[derive(Debug)]
 pub enum Request {
-    /// Change the state.
+    /// Apply a command to the state.
     Change(Command),
-    /// Reserve, and read the history with it.
+    /// Make a reservation and read the history of the turn.
     Reserve(ReserveTurn),
-    /// Read the configuration, with a quorum behind it, if its version is higher than this.
+    /// Read the configuration, after a quorum has confirmed the leadership, if it is newer than a
+    /// given version.
     ReadConfiguration {
-        /// The version that the asker holds; 0 for none.
+        /// Version known to the requester; 0 for none.
         newer_than: u64,
     },
-    /// Make sure that this machine leads, with a quorum behind it.
+    /// Confirm with a quorum that this machine is the leader.
     ConfirmLeadership,
-    /// Empty a machine.
+    /// Retire a machine.
     Retire(String),
-    /// Whether a machine is empty.
+    /// Read whether a retiring machine is empty.
     ReadRetiring(String),
 }
 
-/// What the replica answers.
+/// A response of the replica thread.
 #[derive(Clone, Debug)]
 pub enum Response {
-    /// The change was made.
+    /// The command was applied.
     Changed(Output),
-    /// What came of a reservation.
+    /// Outcome of a reservation.
     Reserved {
         /// Whether the turn may run.
         reservation: Reservation,
-        /// What was said before, when granted.
+        /// Content of the preceding turns, if granted.
         history: Vec<u8>,
-        /// Whether its program has begun with an earlier turn.
+        /// Whether the program has already started with another turn.
         is_under_way: bool,
     },
     /// The configuration; `None` when there is no newer one.
     Configuration(Option<HeldConfiguration>),
-    /// What came of retiring.
+    /// Outcome of retiring a machine.
     Retiring(RetiringOutcome),
-    /// Whether a machine that is being emptied is empty; `None` when it is not being emptied.
+    /// Whether a retiring machine is empty; `None` if it is not being retired.
     Retired(Option<bool>),
-    /// No zone of that name exists.
+    /// The zone does not exist.
     UnknownZone,
-    /// Some machine of the ledger may not know this kind of change; it was not begun.
+    /// A ledger machine may not support the command, which was not proposed.
     FleetLags(FleetLag),
-    /// This machine leads in this term.
+    /// This machine is the leader in this term.
     Leads(u64),
-    /// Another machine leads.
+    /// This machine is not the leader; names the leader if it is known.
     NotLeader(Option<u32>),
-    /// It waited for longer than its asker does, and was not begun.
+    /// The request was not started, because it waited too long or the queue was full.
     Overdue,
-    /// It may or may not be done in the end.
+    /// The outcome is unknown: the change may or may not be applied.
     Lost,
 }
 
-/// Takes the response on the replica's thread; must not wait.
-pub type Respond = Box<dyn FnOnce(Response) + Send>;
+/// Callback for a response. It runs on the replica thread and must not block.
+pub type ResponseCallback = Box<dyn FnOnce(Response) + Send>;
 
 pub(super) enum Input {
-    Frame { from: ReplicaId, messages: Vec<GroupMessage> },
-    Greeting(PeerCard),
-    Request { request: Request, respond: Respond, asked: Instant },
-    HandOver,
+    Messages { from: ReplicaId, messages: Vec<GroupMessage> },
+    PeerConnected(PeerCard),
+    Request { request: Request, respond: ResponseCallback, enqueued_at: Instant },
+    TransferLeadership,
 }
 
-/// What other tasks may know of the group at any time.
+/// Status of the Raft group, published to other tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Standing {
     /// Current term.
     pub term: u64,
-    /// Machine believed to lead; `None` while this one is about to, see `is_leader`.
+    /// The presumed leader. `None` if unknown, or if it is this machine and `is_leader` is not set
+    /// yet.
     pub leader: Option<u32>,
-    /// Whether it is this one, with all applied that earlier leaders committed: a machine that has
-    /// just won an election may know nothing of it since its last snapshot.
+    /// Whether this machine is the leader and has applied all entries committed by earlier
+    /// leaders. A machine that has just won an election may not have applied them yet.
     pub is_leader: bool,
-    /// Version of the configuration applied here.
+    /// Version of the applied configuration.
     pub configuration: u64,
-    /// Machines of the group.
+    /// Member machines of the group.
     pub machines: Vec<u32>,
-    /// Zones whose replicas get nothing, as applied here.
+    /// Drained zones, as applied here.
     pub drained: Arc<DrainedZones>,
 }
 
-/// The way into the thread.
+/// Handle for sending input to the replica thread.
 #[derive(Clone)]
 pub struct ReplicaHandle {
     pub(super) inputs: Sender<Input>,
 }
 
 impl ReplicaHandle {
-    /// Hands in messages of another replica; dropped when the ring is full.
+    /// Delivers messages of another replica. They are dropped if the queue is full.
     pub fn frame(&self, from: ReplicaId, messages: Vec<GroupMessage>) {
-        let _ = self.inputs.try_send(Input::Frame { from, messages });
+        let _ = self.inputs.try_send(Input::Messages { from, messages });
     }
 
-    /// Hands in the name and the zone of another machine.
+    /// Delivers the name and zone of another machine.
     pub fn greeting(&self, card: PeerCard) {
-        let _ = self.inputs.try_send(Input::Greeting(card));
+        let _ = self.inputs.try_send(Input::PeerConnected(card));
     }
 
-    /// Asks something; a full ring answers at once that it is not begun.
-    pub fn ask(&self, request: Request, respond: Respond) {
-        let input = Input::Request { request, respond, asked: Instant::now() };
-        if let Err(refused) = self.inputs.try_send(input)
-            && let Input::Request { respond, .. } = refused.into_inner()
+    /// Submits a request. If the queue is full, responds with [`Response::Overdue`] immediately.
+    pub fn ask(&self, request: Request, respond: ResponseCallback) {
+        let input = Input::Request { request, respond, enqueued_at: Instant::now() };
+        if let Err(rejected) = self.inputs.try_send(input)
+            && let Input::Request { respond, .. } = rejected.into_inner()
         {
             respond(Response::Overdue);
         }
     }
 
-    /// Asks something and waits for the response.
+    /// Submits a request and waits for the response.
     pub async fn call(&self, request: Request) -> Response {
         let (sender, receiver) = oneshot::channel();
         self.ask(
@@ -133,8 +135,8 @@
         receiver.await.unwrap_or(Response::Lost)
     }
 
-    /// Gives the leadership to another replica.
-    pub fn hand_over(&self) {
-        let _ = self.inputs.try_send(Input::HandOver);
+    /// Transfers the leadership to another replica.
+    pub fn transfer_leadership(&self) {
+        let _ = self.inputs.try_send(Input::TransferLeadership);
     }
 }
--- a/crates/ledger/src/server/slowness.rs
+++ b/crates/ledger/src/server/slowness.rs
@@ -1,34 +1,34 @@
-//! Whether this machine is too slow to lead.
+//! Detection of a leader with a slow disk.
 //!
-//! A leader whose disk takes long to sync still sends heartbeats, so nobody replaces it,
-//! while every turn waits for it. It gives the leadership away by itself.
+//! A leader whose disk syncs slowly still sends heartbeats and is not replaced by an election,
+//! while every turn waits for its disk. It therefore transfers the leadership itself.
 
 use std::time::Duration;
 
-/// A flush that takes this long is slow; a healthy one takes a sync, some milliseconds.
-const SLOW_FLUSH: Duration = Duration::from_millis(50);
-/// Slow flushes in a row after which the leadership is given away: one alone may be a
+/// Duration from which a flush counts as slow.
+const SLOW_FLUSH_THRESHOLD: Duration = Duration::from_millis(50);
+/// Consecutive slow flushes before the leadership is transferred. A single one may be caused by a
 /// snapshot.
-const IN_A_ROW: u32 = 3;
+const MAX_SLOW_FLUSHES: u32 = 3;
 
-/// Counts slow flushes.
+/// Counts consecutive slow flushes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Slowness {
-    in_a_row: u32,
+    consecutive: u32,
 }
 
 impl Slowness {
-    /// Notes how long a flush took; returns whether a leader should hand over now.
+    /// Records the duration of a flush; returns whether a leader should transfer the leadership.
     pub fn note(&mut self, flush: Duration) -> bool {
-        if flush < SLOW_FLUSH {
-            self.in_a_row = 0;
+        if flush < SLOW_FLUSH_THRESHOLD {
+            self.consecutive = 0;
             return false;
         }
-        self.in_a_row += 1;
-        let is_too_slow = self.in_a_row >= IN_A_ROW;
+        self.consecutive += 1;
+        let is_too_slow = self.consecutive >= MAX_SLOW_FLUSHES;
         if is_too_slow {
-            // The next leader gets some time, should it be as slow.
-            self.in_a_row = 0;
+            // The next transfer takes as many slow flushes again.
+            self.consecutive = 0;
         }
         is_too_slow
     }
--- a/crates/ledger/src/server/traffic.rs
+++ b/crates/ledger/src/server/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts of the bytes that a ledger machine sends and takes, by kind and by distance.
+//! Counters of the bytes that a ledger machine sends and receives, by kind and distance.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,8 +9,8 @@
 use calicohoist_telemetry::{Event, emit};
 use parking_lot::Mutex;
 
-/// Time between two log lines: a few bytes a second, and a crash loses little of the count.
-const TELL_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which the totals are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 static PEER_BYTES: TrafficCounter = TrafficCounter::new(
     "calicohoist_ledger_peer_bytes_total",
@@ -23,14 +23,14 @@
     "Bytes of questions of gateways",
 );
 
-/// At which other end bytes are sent or taken. The names of the variants appear in the log.
+/// Kind of peer and direction. The variant names appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
-    /// Frames to another ledger machine.
+    /// Frames sent to another ledger machine.
     Ledger,
-    /// Answers to a gateway.
+    /// Answers sent to a gateway.
     Gateway,
-    /// Questions of a gateway.
+    /// Questions received from a gateway.
     Asker,
 }
 
@@ -38,8 +38,8 @@
 
 static TOTALS: Mutex<Totals> = Mutex::new(Totals::new());
 
-/// Counts bytes of this kind; a `distance` of `None` is not known yet.
-pub fn note(peer: Peer, kind: &'static str, distance: Option<Distance>, bytes: usize) {
+/// Adds to the counters. `distance` is `None` if it is not known yet.
+pub fn record(peer: Peer, kind: &'static str, distance: Option<Distance>, bytes: usize) {
     let distance = distance.map_or("unknown", Distance::word);
     let counter = match peer {
         Peer::Ledger => &PEER_BYTES,
@@ -50,14 +50,14 @@
     *TOTALS.lock().entry((peer, kind, distance)).or_default() += bytes;
 }
 
-/// Logs the totals now and then, for as long as the process runs.
-pub async fn tell(machine: String) {
+/// Logs the totals periodically. Runs until the process ends.
+pub async fn log_totals(machine: String) {
     loop {
-        tokio::time::sleep(TELL_INTERVAL).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         let totals = TOTALS.lock().clone();
         let mut text = String::new();
         for ((peer, kind, distance), bytes) in totals {
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(text, " {peer:?}/{kind}/{distance}={bytes}");
         }
         emit!(Event::TrafficCounted; machine = machine, bytes = text.trim_start());
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of programs at the leader: who waits, and who is told what.
+//! Placement of turns on the leader: runs the scheduler and answers waiting requests.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -9,50 +9,51 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-use super::gateways::Back;
+use super::gateways::Responder;
 use super::list::{FleetSnapshot, Reading};
 use crate::commands::SettleTurn;
 use crate::protocol::{Answer, ListMark};
 
-/// Time between two log lines on the learned rates.
-const SPEEDS_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between log reports of the estimated engine speeds.
+const SPEED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The scheduler with those who wait for its decisions.
+/// The scheduler and the requests that wait for its decisions.
 #[derive(Default)]
 pub struct TurnDesk {
-    state: Mutex<DeskState>,
-    work: Notify,
+    state: Mutex<DispatcherState>,
+    /// Signals that a turn waits.
+    waiting: Notify,
 }
 
 #[derive(Default)]
-struct DeskState {
+struct DispatcherState {
     scheduler: TurnScheduler,
-    /// Who is to be told of a waiting turn.
-    backs: HashMap<String, Back>,
-    /// The list whose replicas the scheduler was told last.
+    /// Responders of waiting turns.
+    responders: HashMap<String, Responder>,
+    /// Mark of the list last passed to the scheduler.
     list: ListMark,
-    /// The term in which it decides.
+    /// Term of the scheduler state.
     term: u64,
-    /// Gateways that have told of their load in this term.
+    /// Gateways whose load has been reported in this term.
     reported: HashSet<String>,
-    /// When the learned rates were logged last.
-    told_speeds: Option<Instant>,
+    /// When the estimated engine speeds were last logged.
+    speeds_logged_at: Option<Instant>,
 }
 
-impl DeskState {
-    fn note_list(&mut self, reading: &Reading) {
+impl DispatcherState {
+    fn update_list(&mut self, reading: &Reading) {
         if self.list != reading.mark {
             self.list = reading.mark;
             self.scheduler.retain(&reading.list.replicas);
         }
     }
 
-    /// Begins anew when this machine leads in another term than the last time.
-    fn note_term(&mut self, term: u64) {
+    /// Resets the per-term state when the term has changed.
+    fn update_term(&mut self, term: u64) {
         if self.term != term {
             self.term = term;
             self.reported.clear();
-            self.backs.clear();
+            self.responders.clear();
             self.scheduler.begin_term(Instant::now());
         }
     }
@@ -64,25 +65,25 @@
         request: PlacementRequest,
         fleet: &FleetSnapshot,
     ) -> Decision {
-        self.note_term(term);
-        self.note_list(&fleet.reading);
+        self.update_term(term);
+        self.update_list(&fleet.reading);
         self.scheduler.arrive(turn, request, &fleet.view(), Instant::now())
     }
 
-    /// Logs the learned rates now and then.
-    fn tell_speeds(&mut self) {
+    /// Logs the estimated engine speeds, at most once per [`SPEED_LOG_INTERVAL`].
+    fn log_speeds(&mut self) {
         let now = Instant::now();
-        if self.told_speeds.is_some_and(|at| now < at + SPEEDS_INTERVAL) {
+        if self.speeds_logged_at.is_some_and(|at| now < at + SPEED_LOG_INTERVAL) {
             return;
         }
-        self.told_speeds = Some(now);
+        self.speeds_logged_at = Some(now);
         for (service, speed) in self.scheduler.speeds() {
             emit!(
                 Event::EngineSpeed;
                 service = service,
-                turn_ms = shown(speed.turn_ms()),
-                slowdown = shown(speed.slowdown()),
-                alone_ms = shown(speed.alone_ms()),
+                turn_ms = format_estimate(speed.turn_ms()),
+                slowdown = format_estimate(speed.slowdown()),
+                alone_ms = format_estimate(speed.alone_ms()),
                 waiting = self.scheduler.waiting(),
                 spread = format!("{:.2}", self.scheduler.spread(service)),
             );
@@ -94,24 +95,25 @@
             return;
         }
         for (turn, decision) in self.scheduler.decide(&fleet.view(), Instant::now()) {
-            if let Some(back) = self.backs.remove(&turn) {
-                back.send(Answer::Placed(decision));
+            if let Some(responder) = self.responders.remove(&turn) {
+                responder.send(Answer::Placed(decision));
             }
         }
     }
 }
 
 impl TurnDesk {
-    /// A desk with no turn; `tolerance` may come on top of the limits of cold replicas.
+    /// Creates a dispatcher without turns. The limits of cold replicas may be exceeded by
+    /// `tolerance`.
     pub fn new(tolerance: ColdTolerance) -> Self {
         let scheduler = TurnScheduler::new(tolerance);
         Self {
-            state: Mutex::new(DeskState { scheduler, ..DeskState::default() }),
+            state: Mutex::new(DispatcherState { scheduler, ..DispatcherState::default() }),
             ..Self::default()
         }
     }
 
-    /// What becomes of a turn that arrives, or is asked for again.
+    /// Decides where a turn runs. The request may be a retry.
     pub fn arrive(
         &self,
         term: u64,
@@ -121,80 +123,80 @@
     ) -> Decision {
         let decision = self.state.lock().arrive(term, turn, request, fleet);
         if decision == Decision::Wait {
-            self.work.notify_one();
+            self.waiting.notify_one();
         }
         decision
     }
 
-    /// Counts what a gateway has under way, once in each term.
-    pub fn note_report(&self, term: u64, gateway: &str, loads: &[(String, u32)]) {
+    /// Passes the load reported by a gateway to the scheduler, once per term.
+    pub fn record_report(&self, term: u64, gateway: &str, loads: &[(String, u32)]) {
         let mut state = self.state.lock();
-        state.note_term(term);
+        state.update_term(term);
         if state.reported.insert(gateway.to_owned()) {
             state.scheduler.inherit(loads, Instant::now());
         }
     }
 
-    /// A replica is known to fail until then.
-    pub fn note_failing(&self, replica: &str, until: Instant) {
+    /// Marks a replica as failing until `until`.
+    pub fn mark_failing(&self, replica: &str, until: Instant) {
         self.state.lock().scheduler.note_failing(replica, until);
     }
 
-    /// Learns where turns ran.
-    pub fn learn<'a>(&self, runs: impl Iterator<Item = &'a TurnRun>) {
+    /// Passes finished runs to the scheduler.
+    pub fn record_runs<'a>(&self, runs: impl Iterator<Item = &'a TurnRun>) {
         let mut state = self.state.lock();
         runs.for_each(|run| state.scheduler.learn(run));
     }
 
-    /// Answers now or once it is decided where the turn runs.
+    /// Places a turn, and answers once its replica is decided.
     pub(super) fn place(
         &self,
         term: u64,
         turn: String,
         request: PlacementRequest,
         fleet: &FleetSnapshot,
-        back: Back,
+        responder: Responder,
     ) {
         let mut state = self.state.lock();
         match state.arrive(term, &turn, request, fleet) {
             Decision::Wait => {
-                state.backs.insert(turn, back);
-                self.work.notify_one();
+                state.responders.insert(turn, responder);
+                self.waiting.notify_one();
             }
-            decision => back.send(Answer::Placed(decision)),
+            decision => responder.send(Answer::Placed(decision)),
         }
     }
 
-    /// A turn has ended; others may run now.
+    /// Removes an ended turn, and places waiting turns that may run now.
     pub fn end(&self, settle: &SettleTurn, fleet: &FleetSnapshot) {
         let ran_at = settle.run.as_ref().map(|run| run.replica.as_str());
         let mut state = self.state.lock();
         state.scheduler.end(&settle.turn, ran_at, Instant::now());
-        state.backs.remove(&settle.turn);
-        state.tell_speeds();
+        state.responders.remove(&settle.turn);
+        state.log_speeds();
         state.decide(fleet);
     }
 
-    /// Decides what can be decided now.
+    /// Places the waiting turns that can run now.
     pub fn decide(&self, fleet: &FleetSnapshot) {
         let mut state = self.state.lock();
-        state.note_list(&fleet.reading);
+        state.update_list(&fleet.reading);
         state.decide(fleet);
     }
 
-    /// Tells everybody who waits that another machine decides.
+    /// Removes all waiting turns and sends `answer` to each, because this machine no longer leads.
     pub fn dismiss(&self, answer: &Answer) {
         let mut state = self.state.lock();
         state.scheduler.dismiss();
-        for (_, back) in state.backs.drain() {
-            back.send(answer.clone());
+        for (_, responder) in state.responders.drain() {
+            responder.send(answer.clone());
         }
     }
 
-    /// Waits until some turn waits.
+    /// Returns once at least one turn is waiting.
     pub async fn wait_for_work(&self) {
         loop {
-            let notified = self.work.notified();
+            let notified = self.waiting.notified();
             if self.state.lock().scheduler.waiting() > 0 {
                 return;
             }
@@ -203,7 +205,7 @@
     }
 }
 
-/// A learned figure, with a dash while it is unknown.
-fn shown(figure: Option<f64>) -> String {
-    figure.map_or_else(|| "-".to_owned(), |figure| format!("{figure:.2}"))
+/// Formats an estimate, or a dash if it is unknown.
+fn format_estimate(estimate: Option<f64>) -> String {
+    estimate.map_or_else(|| "-".to_owned(), |estimate| format!("{estimate:.2}"))
 }
--- a/crates/ledger/src/state/accounts.rs
+++ b/crates/ledger/src/state/accounts.rs
@@ -1,7 +1,7 @@
-//! What programs have spent of their budgets.
+//! Token accounting for program budgets.
 //!
-//! A turn's most is charged before it runs and replaced by what was used when it
-//! ends. A turn whose end nobody reports stays charged with its most.
+//! The maximum number of tokens of a turn is charged before it runs and replaced by the number
+//! used when it ends. A turn whose end is never reported stays charged with its maximum.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 
 use crate::commands::{ProgramId, Reservation, ReserveTurn, SettleTurn, TurnId};
 
-/// One program's account.
+/// The account of one program.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Account {
-    /// Sum of all charges, in tokens.
+    /// The sum of all charges, in tokens.
     charged: u64,
     charges: BTreeMap<TurnId, Charge>,
     keep_until_ms: u64,
 }
 
-/// What one turn costs.
+/// The tokens charged for one turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Charge {
-    /// It may still run; this is its most.
+    /// The turn has not ended; its maximum is charged.
     Reserved(u64),
-    /// It has ended with this.
+    /// The turn has ended and used this many tokens.
     Settled(u64),
 }
 
@@ -42,13 +42,13 @@
 }
 
 impl Accounts {
-    /// Charges a turn with its most, if that fits.
+    /// Charges the maximum of a turn if it fits into the program's budget.
     pub fn reserve(&mut self, reserve: &ReserveTurn, now_ms: u64) -> Reservation {
         let Some(program) = &reserve.program else {
             return Reservation::Granted;
         };
         let account = self.programs.entry(program.clone()).or_default();
-        account.touch(now_ms + reserve.retention_ms);
+        account.extend_retention(now_ms + reserve.retention_ms);
         match account.charges.get(&reserve.turn) {
             Some(Charge::Reserved(_)) => return Reservation::Granted,
             Some(Charge::Settled(_)) => return Reservation::Ended,
@@ -57,62 +57,63 @@
         if account.charged.saturating_add(reserve.most_tokens) > reserve.budget {
             return Reservation::BudgetSpent;
         }
-        account.set(reserve.turn.clone(), Charge::Reserved(reserve.most_tokens));
+        account.set_charge(reserve.turn.clone(), Charge::Reserved(reserve.most_tokens));
         Reservation::Granted
     }
 
-    /// Replaces a turn's charge by what it used. The first end counts.
+    /// Replaces the charge of a turn by the tokens it used. Repeated reports are ignored.
     pub fn settle(&mut self, settle: &SettleTurn, now_ms: u64) {
         let Some(program) = &settle.program else {
             return;
         };
         let account = self.programs.entry(program.clone()).or_default();
-        account.touch(now_ms + settle.retention_ms);
+        account.extend_retention(now_ms + settle.retention_ms);
         let has_ended = matches!(account.charges.get(&settle.turn), Some(Charge::Settled(_)));
         if !has_ended {
-            account.set(settle.turn.clone(), Charge::Settled(settle.used_tokens));
+            account.set_charge(settle.turn.clone(), Charge::Settled(settle.used_tokens));
         }
     }
 
-    /// Drops the accounts that nobody used for as long as they are kept.
+    /// Removes the accounts whose retention period has passed.
     pub fn expire(&mut self, now_ms: u64) {
         self.programs.retain(|_, account| account.keep_until_ms > now_ms);
     }
 
-    /// Tokens that a program's turns are charged with.
+    /// Returns the tokens charged to a program.
     pub fn charged(&self, program: &str) -> u64 {
         self.programs.get(program).map_or(0, |account| account.charged)
     }
 
-    /// Whether a program has begun with another turn than this one, which runs or has generated
-    /// something. A first turn that was turned away is none: else its caller, who comes back with
-    /// the same program, would pass for one whose program must not be held up.
+    /// Returns whether a program has another turn that is running or has generated output.
+    ///
+    /// Rejected turns do not count: a program whose first turn is retried after a rejection must
+    /// not get the priority of a program that is already under way.
     pub fn has_begun_before(&self, program: &str, turn: &str) -> bool {
         let Some(account) = self.programs.get(program) else {
             return false;
         };
-        let has_begun = |charge: &Charge| !matches!(charge, Charge::Settled(0));
-        account.charges.iter().any(|(known, charge)| known != turn && has_begun(charge))
+        let has_started = |charge: &Charge| !matches!(charge, Charge::Settled(0));
+        account.charges.iter().any(|(known, charge)| known != turn && has_started(charge))
     }
 
-    /// Accounts held.
+    /// Returns the number of accounts.
     pub fn len(&self) -> usize {
         self.programs.len()
     }
 
-    /// Whether no account is held.
+    /// Returns whether there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty()
     }
 }
 
 impl Account {
-    fn touch(&mut self, until_ms: u64) {
+    fn extend_retention(&mut self, until_ms: u64) {
         self.keep_until_ms = self.keep_until_ms.max(until_ms);
     }
 
-    fn set(&mut self, turn: TurnId, charge: Charge) {
-        let before = self.charges.insert(turn, charge).map_or(0, Charge::tokens);
-        self.charged = self.charged - before + charge.tokens();
+    fn set_charge(&mut self, turn: TurnId, charge: Charge) {
+        let previous = self.charges.insert(turn, charge).map_or(0, Charge::tokens);
+        self.charged = self.charged - previous + charge.tokens();
     }
 }
--- a/crates/ledger/src/state/mod.rs
+++ b/crates/ledger/src/state/mod.rs
@@ -9,7 +9,7 @@
 
 pub use accounts::Accounts;
 pub use machines::Machines;
-pub use permits::{KEPT_MS, PermitNote, PermitNotes};
+pub use permits::{PERMIT_RETENTION_MS, PermitBatch, RecentPermits};
 pub use runs::RecentRuns;
 pub use turns::{HistoryPiece, StoredBytes, Turns};
 
@@ -24,36 +24,38 @@
 
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
 
-/// The configuration with the highest version.
+/// The configuration with the highest version, as applied here.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldConfiguration {
-    /// Its version; 0 before the first.
+    /// Version of the document; 0 before the first configuration.
     pub version: u64,
-    /// The document, as the operator sent it. All who read it share one copy.
+    /// The document as sent by the operator. Clones share the same buffer.
     pub document: Bytes,
 }
 
-/// The whole state of a ledger.
+/// The replicated state of the ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerState {
-    /// Time that leaders have counted, in ms. It never runs ahead of true time.
+    /// Logical clock advanced by leaders, in ms. It never runs ahead of real time.
     clock_ms: u64,
     configuration: HeldConfiguration,
     accounts: Accounts,
     turns: Turns,
     machines: Machines,
-    permits: PermitNotes,
+    permits: RecentPermits,
     drained: DrainedZones,
-    /// Where turns ran lately.
+    /// Recently finished runs.
     #[serde(skip)]
     runs: RecentRuns,
-    /// Segments that are to be stored.
+    /// Sealed segments that have not been written to disk yet.
     #[serde(skip)]
     sealed: Vec<SealedSegment>,
 }
 
-/// A snapshot of a build that drained no zones. It is still written while there is nothing to say
-/// of zones, so that machines of that build can take it: one that cannot goes on with no state.
+/// The snapshot format used before drained zones were added.
+///
+/// It is still written while no zone has been drained, so that machines running an older build can
+/// restore it: an older build that cannot decode a snapshot continues with an empty state.
 #[derive(Serialize, Deserialize)]
 struct SnapshotBeforeDrains<'a> {
     clock_ms: u64,
@@ -61,12 +63,12 @@
     accounts: Cow<'a, Accounts>,
     turns: Cow<'a, Turns>,
     machines: Cow<'a, Machines>,
-    permits: Cow<'a, PermitNotes>,
+    permits: Cow<'a, RecentPermits>,
 }
 
 impl<'a> SnapshotBeforeDrains<'a> {
-    /// Of a state that has drained no zone so far; `None` of any other.
-    fn of(state: &'a LedgerState) -> Option<Self> {
+    /// Creates a snapshot, or returns `None` if a zone has ever been drained.
+    fn from_state(state: &'a LedgerState) -> Option<Self> {
         let LedgerState { configuration, accounts, turns, machines, permits, .. } = state;
         (state.drained == DrainedZones::none()).then(|| Self {
             clock_ms: state.clock_ms,
@@ -93,7 +95,7 @@
     }
 }
 
-/// A snapshot of a version that noted no permits.
+/// The snapshot format used before issued permits were recorded.
 #[derive(Deserialize)]
 struct SnapshotBeforePermits {
     clock_ms: u64,
@@ -111,42 +113,42 @@
 }
 
 impl LedgerState {
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn configuration(&self) -> &HeldConfiguration {
         &self.configuration
     }
 
-    /// The retained turns.
+    /// Returns the retained turns.
     pub fn turns(&self) -> &Turns {
         &self.turns
     }
 
-    /// The accounts of programs.
+    /// Returns the accounts of all programs.
     pub fn accounts(&self) -> &Accounts {
         &self.accounts
     }
 
-    /// The machines of the ledger.
+    /// Returns the ledger machines.
     pub fn machines(&self) -> &Machines {
         &self.machines
     }
 
-    /// Permits that were issued lately.
-    pub fn permits(&self) -> &PermitNotes {
+    /// Returns the recently issued permits.
+    pub fn permits(&self) -> &RecentPermits {
         &self.permits
     }
 
-    /// Zones whose replicas get nothing new.
+    /// Returns the drained zones, whose replicas receive no new requests.
     pub fn drained(&self) -> &DrainedZones {
         &self.drained
     }
 
-    /// Where turns ran lately.
+    /// Returns the recently finished runs.
     pub fn runs(&self) -> &RecentRuns {
         &self.runs
     }
 
-    fn perform(&mut self, command: Command) -> Output {
+    fn execute(&mut self, command: Command) -> Output {
         match command {
             Command::PutConfiguration { version, document } => {
                 if version > self.configuration.version {
@@ -167,7 +169,7 @@
                 Output::Done
             }
             Command::Enroll { name, machine } => {
-                self.machines.enroll(name, machine);
+                self.machines.register(name, machine);
                 Output::Done
             }
             Command::Retire { name, remaining, must_remain } => {
@@ -223,7 +225,7 @@
     }
 
     fn apply(&mut self, command: &[u8]) -> Output {
-        decode(command).map_or(Output::Unreadable, |command| self.perform(command))
+        decode(command).map_or(Output::Unreadable, |command| self.execute(command))
     }
 
     fn is_unreadable(output: &Output) -> bool {
@@ -231,7 +233,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let encoded = match SnapshotBeforeDrains::of(self) {
+        let encoded = match SnapshotBeforeDrains::from_state(self) {
             Some(snapshot) => encode(&snapshot),
             None => encode(self),
         };
--- a/crates/ledger/src/state/runs.rs
+++ b/crates/ledger/src/state/runs.rs
@@ -1,25 +1,25 @@
-//! Where turns ran lately.
+//! Recently finished runs.
 //!
-//! Soft state: every machine sees it in the log, so that whoever leads next knows what
-//! replicas hold of prompts. It is in no snapshot.
+//! Every machine collects them from the log, so that the next leader knows which prompts the
+//! replicas have cached. They are soft state and not part of snapshots.
 
 use std::collections::VecDeque;
 
 use calicohoist_scheduler::TurnRun;
 
-/// Runs that are kept until somebody reads them.
+/// Maximum number of runs buffered for the reader.
 const MAX_RUNS: usize = 1_024;
 
-/// The newest runs, numbered from the start of this process on.
+/// A bounded buffer of the newest runs, numbered from the start of this process.
 #[derive(Clone, Debug, Default)]
 pub struct RecentRuns {
     runs: VecDeque<TurnRun>,
-    /// Number of the next run.
+    /// Number assigned to the next run.
     next: u64,
 }
 
 impl RecentRuns {
-    /// Notes a run.
+    /// Appends a run, evicting the oldest one when the buffer is full.
     pub fn push(&mut self, run: TurnRun) {
         if self.runs.len() >= MAX_RUNS {
             self.runs.pop_front();
@@ -28,12 +28,12 @@
         self.next += 1;
     }
 
-    /// Number of the next run.
+    /// Returns the number assigned to the next run.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The runs from a number on, as far as they are kept.
+    /// Returns the buffered runs from `number` on.
     pub fn since(&self, number: u64) -> impl Iterator<Item = &TurnRun> {
         let wanted = usize::try_from(self.next.saturating_sub(number)).unwrap_or(usize::MAX);
         let kept = self.runs.len();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Ledgers are equal whatever they remember of runs.
+/// Always equal: runs are soft state and don't count when ledger states are compared.
 impl PartialEq for RecentRuns {
     fn eq(&self, _other: &Self) -> bool {
         true
