--- a/crates/ledger/src/state/turns.rs
+++ b/crates/ledger/src/state/turns.rs
@@ -1,8 +1,8 @@
-//! Retained turns: a forest in which each turn names the one it continued from.
+//! Retained turns: a forest in which each turn refers to the turn it continues from.
 //!
-//! What was said in a turn is held in memory until it is sealed into a segment; from
-//! then on only its place is. The place of everything follows from the commands alone,
-//! so that all replicas have the same segments.
+//! The content of a turn is held in memory until it is sealed into a segment on disk; from then
+//! on only its location is. Locations depend on the commands alone, so that the segments of all
+//! replicas are identical.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,24 +11,24 @@
 
 use crate::commands::{RetainedTurn, TurnId};
 
-/// A segment is emptied into the next one when less than one part in this many is alive.
-const WORTH_KEEPING: u64 = 4;
+/// A segment is compacted when less than `1 / COMPACTION_DIVISOR` of its bytes are live.
+const COMPACTION_DIVISOR: u64 = 4;
 
-/// Where the bytes of a sealed turn are.
+/// Location of the content of a sealed turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredBytes {
-    /// The segment.
+    /// Segment that contains the bytes.
     pub segment: SegmentId,
-    /// Where they begin, in bytes.
+    /// Offset within the segment, in bytes.
     pub offset: u64,
-    /// How many they are.
+    /// Length in bytes.
     pub length: u32,
-    /// CRC32C of them.
+    /// CRC32C of the bytes.
     pub checksum: u32,
 }
 
 impl StoredBytes {
-    /// Whether `bytes` are what was stored.
+    /// Returns whether `bytes` have the stored length and checksum.
     pub fn matches(&self, bytes: &[u8]) -> bool {
         bytes.len() == self.length as usize && crc32c::crc32c(bytes) == self.checksum
     }
@@ -39,19 +39,19 @@
     }
 }
 
-/// Input and output of a turn.
+/// Input and output of a turn, or their location on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Content {
     Held(#[serde(with = "serde_bytes")] Vec<u8>),
     Stored(StoredBytes),
 }
 
-/// Part of a history.
+/// One turn's part of a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HistoryPiece<'a> {
-    /// It is here.
+    /// The bytes in memory.
     Held(&'a [u8]),
-    /// It has to be read.
+    /// The location of the bytes on disk.
     Stored(StoredBytes),
 }
 
@@ -62,7 +62,7 @@
     keep_until_ms: u64,
 }
 
-/// How much of a segment is in use, in bytes.
+/// Total and live bytes of a segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct SegmentUse {
     total: u64,
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turns {
     turns: BTreeMap<TurnId, Turn>,
-    /// Turns whose content is in memory.
+    /// Turns whose content is still in memory.
     unsealed: BTreeSet<TurnId>,
     unsealed_bytes: u64,
     segments: BTreeMap<SegmentId, SegmentUse>,
@@ -81,31 +81,30 @@
 }
 
 impl Turns {
-    /// Keeps a turn and all it continued from until `until_ms`. A turn that is there
-    /// already stays as it is.
-    pub fn insert(&mut self, id: TurnId, kept: RetainedTurn, until_ms: u64) {
+    /// Adds a turn and retains it and its ancestors until `until_ms`. The content of an existing
+    /// turn is not replaced.
+    pub fn insert(&mut self, id: TurnId, retained: RetainedTurn, until_ms: u64) {
         if !self.turns.contains_key(&id) {
-            let mut bytes = kept.input;
-            bytes.extend_from_slice(&kept.output);
+            let mut bytes = retained.input;
+            bytes.extend_from_slice(&retained.output);
             self.unsealed.insert(id.clone());
             self.unsealed_bytes += bytes.len() as u64;
             let content = Content::Held(bytes);
-            let turn = Turn { previous: kept.previous, content, keep_until_ms: 0 };
+            let turn = Turn { previous: retained.previous, content, keep_until_ms: 0 };
             self.turns.insert(id.clone(), turn);
         }
         self.keep_until(&id, until_ms);
     }
 
-    /// Whether the turn is held.
+    /// Returns whether the turn is retained.
     pub fn contains(&self, id: &str) -> bool {
         self.turns.contains_key(id)
     }
 
-    /// Keeps a turn and all it continued from until `until_ms` at least.
+    /// Retains a turn and its ancestors at least until `until_ms`.
     ///
-    /// A turn is kept at least as long as any that continues from it, so the walk ends at the
-    /// first that is kept for so long already. Without that, each further turn of a long line would
-    /// walk the whole line.
+    /// A turn is retained at least as long as its descendants, so the walk stops at the first
+    /// ancestor whose retention need not be extended.
     pub fn keep_until(&mut self, id: &str, until_ms: u64) {
         let mut next = Some(id.to_owned());
         while let Some(id) = next {
@@ -120,8 +119,8 @@
         }
     }
 
-    /// Inputs and outputs from the first turn of the line up to `id`, oldest first;
-    /// `None` when a turn of the line is not held.
+    /// Returns the content of `id` and its ancestors, oldest first, or `None` if any of them is
+    /// not retained.
     pub fn history(&self, id: &str) -> Option<Vec<HistoryPiece<'_>>> {
         let mut pieces = Vec::new();
         let mut next = Some(id);
@@ -137,7 +136,7 @@
         Some(pieces)
     }
 
-    /// Drops the turns that nobody continued for as long as they are kept.
+    /// Removes the turns whose retention period has passed.
     pub fn expire(&mut self, now_ms: u64) {
         let Self { turns, unsealed, unsealed_bytes, segments, .. } = self;
         turns.retain(|id, turn| {
@@ -148,7 +147,7 @@
                         unsealed.remove(id);
                         *unsealed_bytes -= bytes.len() as u64;
                     }
-                    Content::Stored(stored) => release(segments, stored),
+                    Content::Stored(stored) => subtract_live_bytes(segments, stored),
                 }
             }
             is_kept
@@ -156,21 +155,21 @@
         segments.retain(|_, usage| usage.alive > 0);
     }
 
-    /// Moves what is in memory into a new segment, and what is left of segments that are
-    /// nearly unused. `None` when there is nothing in memory.
+    /// Seals the turns in memory, and the live turns of mostly dead segments, into a new segment.
+    /// Returns `None` if no turn is in memory.
     pub fn seal(&mut self) -> Option<SealedSegment> {
         if self.unsealed.is_empty() {
             return None;
         }
         let id = self.last_segment.next();
-        let mut segment = OpenSegment { id, pieces: Vec::new(), bytes: 0 };
-        let moved = self.turns_of_unused_segments();
+        let mut segment = SegmentBuilder { id, pieces: Vec::new(), bytes: 0 };
+        let moved = self.turns_to_compact();
         for turn in moved.iter().chain(&self.unsealed) {
             if let Some(turn) = self.turns.get_mut(turn) {
-                segment.take(&mut turn.content);
+                segment.append(&mut turn.content);
             }
         }
-        self.segments.retain(|_, usage| usage.alive * WORTH_KEEPING >= usage.total);
+        self.segments.retain(|_, usage| usage.alive * COMPACTION_DIVISOR >= usage.total);
         self.segments.insert(id, SegmentUse { total: segment.bytes, alive: segment.bytes });
         self.last_segment = id;
         self.unsealed.clear();
@@ -178,64 +177,66 @@
         Some(SealedSegment { id, pieces: segment.pieces })
     }
 
-    fn turns_of_unused_segments(&self) -> Vec<TurnId> {
-        let is_unused = |usage: &SegmentUse| usage.alive * WORTH_KEEPING < usage.total;
-        if !self.segments.values().any(is_unused) {
+    fn turns_to_compact(&self) -> Vec<TurnId> {
+        let is_mostly_dead = |usage: &SegmentUse| usage.alive * COMPACTION_DIVISOR < usage.total;
+        if !self.segments.values().any(is_mostly_dead) {
             return Vec::new();
         }
         let is_moved = |turn: &Turn| match &turn.content {
             Content::Held(_) => false,
-            Content::Stored(stored) => self.segments.get(&stored.segment).is_some_and(is_unused),
+            Content::Stored(stored) => {
+                self.segments.get(&stored.segment).is_some_and(is_mostly_dead)
+            }
         };
         let moved = self.turns.iter().filter(|(_, turn)| is_moved(turn));
         moved.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Bytes that the next segment would take from memory.
+    /// Returns the number of content bytes held in memory.
     pub fn unsealed_bytes(&self) -> u64 {
         self.unsealed_bytes
     }
 
-    /// The segment that was sealed last.
+    /// Returns the segment sealed last.
     pub fn last_segment(&self) -> SegmentId {
         self.last_segment
     }
 
-    /// The segments that hold something.
+    /// Returns the segments with live content.
     pub fn segments(&self) -> BTreeSet<SegmentId> {
         self.segments.keys().copied().collect()
     }
 
-    /// Turns held.
+    /// Returns the number of retained turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether no turn is held.
+    /// Returns whether no turns are retained.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 }
 
-fn release(segments: &mut BTreeMap<SegmentId, SegmentUse>, stored: &StoredBytes) {
+fn subtract_live_bytes(segments: &mut BTreeMap<SegmentId, SegmentUse>, stored: &StoredBytes) {
     if let Some(usage) = segments.get_mut(&stored.segment) {
         usage.alive -= u64::from(stored.length);
     }
 }
 
-/// A segment that is being filled.
-struct OpenSegment {
+/// Builds a new segment.
+struct SegmentBuilder {
     id: SegmentId,
     pieces: Vec<SegmentPiece>,
     bytes: u64,
 }
 
-impl OpenSegment {
-    /// Moves a turn's content into the segment.
-    fn take(&mut self, content: &mut Content) {
+impl SegmentBuilder {
+    /// Moves the content of a turn into the segment.
+    fn append(&mut self, content: &mut Content) {
         let (length, checksum) = match content {
             Content::Held(bytes) => {
-                // A request's body is bounded far below this.
+                // The size limit of request bodies is far below `u32::MAX`.
                 (u32::try_from(bytes.len()).unwrap_or(u32::MAX), crc32c::crc32c(bytes))
             }
             Content::Stored(stored) => (stored.length, stored.checksum),
--- a/crates/ledger/src/state/zones.rs
+++ b/crates/ledger/src/state/zones.rs
@@ -1,16 +1,16 @@
-//! The zones whose replicas get nothing new.
+//! Changes to the set of drained zones, whose replicas receive no new requests.
 
 use calicohoist_routing::DrainedZones;
 use calicohoist_types::Zone;
 
-/// Drains a zone. One that is drained stays so, and keeps its version.
+/// Drains a zone. The version is unchanged if the zone is already drained.
 pub fn drain(drained: &mut DrainedZones, zone: Zone) {
     if drained.zones.insert(zone) {
         drained.version += 1;
     }
 }
 
-/// Gives a zone back. One that is not drained changes nothing.
+/// Ends the draining of a zone. The version is unchanged if the zone is not drained.
 pub fn restore(drained: &mut DrainedZones, zone: &Zone) {
     if drained.zones.remove(zone) {
         drained.version += 1;
