--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -21,7 +21,7 @@
 
 use super::list::Reading;
 use super::peers::{FleetLag, KnownPeers};
-use super::replica::{ReplicaHandle, Request, Response, Standing};
+use super::replica::{GroupStatus, ReplicaHandle, Request, Response};
 use super::{LedgerSettings, machine_address};
 use crate::commands::{Command, Output, RetiringOutcome};
 
@@ -162,7 +162,7 @@
     /// Handle of the replica thread.
     pub replica: ReplicaHandle,
     /// Status of the Raft group.
-    pub standing: watch::Receiver<Standing>,
+    pub group_status: watch::Receiver<GroupStatus>,
     /// Replicas found by discovery.
     pub list: watch::Receiver<Reading>,
     /// The other ledger machines.
@@ -256,10 +256,10 @@
     /// On the leader, returns a member that may not support zone drains. A machine running an
     /// older build would not apply the command to its state.
     fn fleet_lag(&self) -> Option<FleetLag> {
-        let standing = self.standing.borrow();
+        let group_status = self.group_status.borrow();
         let own = super::machine_number(self.settings.ip);
-        let others = standing.machines.iter().copied().filter(|machine| *machine != own);
-        standing.is_leader.then(|| self.peers.lag(others)).flatten()
+        let others = group_status.machines.iter().copied().filter(|machine| *machine != own);
+        group_status.is_leader.then(|| self.peers.lag(others)).flatten()
     }
 
     /// Rejects a change of a zone that is not known to exist, after confirming the leadership.
@@ -276,16 +276,16 @@
 
     /// Looks a zone up in the topology, the drained zones and the list of replicas.
     fn zone_existence(&self, zone: &Zone) -> ZoneExistence {
-        let standing = self.standing.borrow();
+        let group_status = self.group_status.borrow();
         let reading = self.list.borrow();
         let mut replicas = reading.list.replicas.iter();
         if self.settings.topology.contains(zone)
-            || standing.drained.contains(zone.as_str())
+            || group_status.drained.contains(zone.as_str())
             || replicas.any(|replica| replica.zone == zone.as_str())
         {
             return ZoneExistence::Known;
         }
-        let is_current = standing.is_leader && reading.term == standing.term;
+        let is_current = group_status.is_leader && reading.term == group_status.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed());
         match age {
             Some(age) if age <= MAX_LIST_AGE => ZoneExistence::Unknown,
@@ -294,7 +294,7 @@
     }
 
     fn redirect(&self, leader: Option<u32>, path: &str) -> HttpResponse<Full<Bytes>> {
-        let known = leader.or_else(|| self.standing.borrow().leader);
+        let known = leader.or_else(|| self.group_status.borrow().leader);
         let own = super::machine_number(self.settings.ip);
         let Some(leader) = known.filter(|leader| *leader != own) else {
             return self.render(&ControlOutcome::Unavailable);
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -32,7 +32,7 @@
 use super::list::Reading;
 use super::loads::LoadBoard;
 use super::preference::ZoneLoads;
-use super::replica::{ReplicaHandle, Standing};
+use super::replica::{GroupStatus, ReplicaHandle};
 use super::traffic::{self, Peer};
 use super::turns::TurnDesk;
 use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
@@ -70,7 +70,7 @@
 #[derive(Clone)]
 pub struct Hub {
     replica: ReplicaHandle,
-    standing: watch::Receiver<Standing>,
+    status: watch::Receiver<GroupStatus>,
     list: watch::Receiver<Reading>,
     loads: Arc<Mutex<LoadBoard>>,
     /// Placement of turns; used on the leader only.
@@ -92,7 +92,7 @@
     /// Creates the service. Must be called within a Tokio runtime.
     pub fn new(
         replica: ReplicaHandle,
-        standing: watch::Receiver<Standing>,
+        status: watch::Receiver<GroupStatus>,
         list: watch::Receiver<Reading>,
         turns: Arc<TurnDesk>,
         limits: Arc<LimitDesk>,
@@ -100,7 +100,7 @@
     ) -> Self {
         Self {
             replica,
-            standing,
+            status,
             list,
             loads: Arc::default(),
             turns,
@@ -115,19 +115,19 @@
     }
 
     fn not_leader(&self, leader: Option<u32>) -> Answer {
-        Answer::NotLeader { leader, machines: self.standing.borrow().machines.clone() }
+        Answer::NotLeader { leader, machines: self.status.borrow().machines.clone() }
     }
 
     /// Answers with the leader, waiting a short time for one to be elected.
     async fn find_leader(&self) -> Answer {
-        let mut standing = self.standing.clone();
-        let has_leader = standing.wait_for(|standing| standing.leader.is_some());
+        let mut status = self.status.clone();
+        let has_leader = status.wait_for(|status| status.leader.is_some());
         let _ = tokio::time::timeout(FIND_LEADER_TIMEOUT, has_leader).await;
-        let standing = self.standing.borrow().clone();
-        if standing.is_leader {
-            return Answer::Leads { machines: standing.machines };
+        let status = self.status.borrow().clone();
+        if status.is_leader {
+            return Answer::Leads { machines: status.machines };
         }
-        Answer::NotLeader { leader: standing.leader, machines: standing.machines }
+        Answer::NotLeader { leader: status.leader, machines: status.machines }
     }
 }
 
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -9,7 +9,7 @@
 use super::{Hub, Responder};
 use crate::protocol::{Answer, News, Seen};
 use crate::server::list::Reading;
-use crate::server::replica::{Request, Response, Standing};
+use crate::server::replica::{GroupStatus, Request, Response};
 
 /// Maximum time that a watch is held without an update.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
@@ -18,27 +18,27 @@
     /// Answers once there is an update that the gateway has not seen, or after [`WATCH_TIMEOUT`].
     pub(super) async fn watch(&self, seen: Seen, responder: Responder) {
         self.record_load(&seen);
-        let mut standing = self.standing.clone();
+        let mut status = self.status.clone();
         let mut list = self.list.clone();
         let mut failing = self.failures.subscribe();
         let update = async {
             loop {
                 let has_update = {
-                    let standing = standing.borrow_and_update();
+                    let status = status.borrow_and_update();
                     let list = list.borrow_and_update();
                     let failing = failing.borrow_and_update();
-                    !standing.is_leader
-                        || (failing.term == standing.term && *failing != seen.failing)
-                        || standing.configuration > seen.configuration
-                        || Some(standing.drained.version) != seen.drained
-                        || (list.term == standing.term && list.mark != seen.list)
-                        || (list.cold_mark.term == standing.term && list.cold_mark != seen.cold)
+                    !status.is_leader
+                        || (failing.term == status.term && *failing != seen.failing)
+                        || status.configuration > seen.configuration
+                        || Some(status.drained.version) != seen.drained
+                        || (list.term == status.term && list.mark != seen.list)
+                        || (list.cold_mark.term == status.term && list.cold_mark != seen.cold)
                 };
                 if has_update {
                     return;
                 }
                 tokio::select! {
-                    changed = standing.changed() => if changed.is_err() { return },
+                    changed = status.changed() => if changed.is_err() { return },
                     changed = list.changed() => if changed.is_err() { return },
                     changed = failing.changed() => if changed.is_err() { return },
                 }
@@ -58,7 +58,7 @@
             _ => return responder.send(Answer::Unavailable),
         };
         // The replica thread publishes applied drains before it answers a read.
-        let drained = Arc::clone(&self.standing.borrow().drained);
+        let drained = Arc::clone(&self.status.borrow().drained);
         if Some(drained.version) != seen.drained {
             return responder.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
         }
@@ -67,8 +67,8 @@
             return responder.send_if_encoded(answer);
         }
         let reading = self.reading();
-        let standing = self.standing.borrow().clone();
-        if reading.tells_list(standing.term, seen) {
+        let status = self.status.borrow().clone();
+        if reading.tells_list(status.term, seen) {
             if responder.is_legacy() {
                 let list = reading.list.as_ref().clone();
                 return responder.send(Answer::List { mark: reading.mark, list });
@@ -76,11 +76,11 @@
             let answer = self.shared.lock().list(&reading);
             return responder.send_if_encoded(answer);
         }
-        responder.send(Answer::News(self.status_update(seen, &standing, &reading)));
+        responder.send(Answer::News(self.status_update(seen, &status, &reading)));
     }
 
-    fn status_update(&self, seen: &Seen, standing: &Standing, reading: &Reading) -> News {
-        let is_current = reading.term == standing.term;
+    fn status_update(&self, seen: &Seen, status: &GroupStatus, reading: &Reading) -> News {
+        let is_current = reading.term == status.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
         let failing = self.failures.news(seen.failing);
         let cold = reading.cold_news(seen.cold, Instant::now());
@@ -88,20 +88,20 @@
             list_age_ms: age.and_then(|age| u64::try_from(age).ok()),
             loads: self.loads.lock().of_others(&seen.gateway, reading, Instant::now()),
             loads_of: reading.mark,
-            machines: standing.machines.clone(),
-            failing: failing.filter(|(mark, _)| mark.term == standing.term),
-            cold: cold.filter(|(mark, _)| mark.term == standing.term),
+            machines: status.machines.clone(),
+            failing: failing.filter(|(mark, _)| mark.term == status.term),
+            cold: cold.filter(|(mark, _)| mark.term == status.term),
         }
     }
 
     /// Records a failure of a replica. Once the replica is excluded, all gateways are notified.
     pub(super) fn report_failure(&self, replica: &str, responder: Responder) {
-        let standing = self.standing.borrow().clone();
-        if !standing.is_leader {
-            return responder.send(self.not_leader(standing.leader));
+        let status = self.status.borrow().clone();
+        if !status.is_leader {
+            return responder.send(self.not_leader(status.leader));
         }
         let replicas = &self.reading().list.replicas;
-        if let Some(exclusion) = self.failures.note(standing.term, replica, replicas) {
+        if let Some(exclusion) = self.failures.note(status.term, replica, replicas) {
             emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = exclusion.as_millis());
             self.turns.mark_failing(replica, Instant::now() + exclusion);
         }
@@ -110,9 +110,9 @@
 
     fn record_load(&self, seen: &Seen) {
         self.loads.lock().note(&seen.gateway, &seen.loads, Instant::now());
-        let standing = self.standing.borrow();
-        if standing.is_leader {
-            self.turns.record_report(standing.term, &seen.gateway, &seen.loads);
+        let status = self.status.borrow();
+        if status.is_leader {
+            self.turns.record_report(status.term, &seen.gateway, &seen.loads);
         }
     }
 }
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -67,7 +67,7 @@
                 responder.send(hub.add_placement(answer, &turn, placement))
             });
         });
-        self.replica.ask(Request::Reserve(reserve), respond);
+        self.replica.submit(Request::Reserve(reserve), respond);
     }
 
     /// Adds the placement decision to the answer to a granted reservation.
@@ -88,8 +88,8 @@
 
     /// Rejects a turn without a reservation if its tenant has exhausted its limit.
     fn reject_exhausted(&self, permit: &PermitRequest) -> Option<Answer> {
-        let standing = self.standing.borrow();
-        let term = standing.is_leader.then_some(standing.term)?;
+        let status = self.status.borrow();
+        let term = status.is_leader.then_some(status.term)?;
         self.limits.refuse_early(term, permit).map(Answer::Permit)
     }
 
@@ -108,20 +108,20 @@
             };
             run_after(&hub.runtime, delay, move || responder.send(Answer::Permit(answer)));
         });
-        self.replica.ask(Request::ConfirmLeadership, respond);
+        self.replica.submit(Request::ConfirmLeadership, respond);
     }
 
     /// Places a turn whose reservation was granted. Answers once its replica is decided.
     pub(super) fn place(&self, turn: String, placement: PlacementRequest, responder: Responder) {
-        let standing = self.standing.borrow().clone();
-        if !standing.is_leader {
-            return responder.send(self.not_leader(standing.leader));
+        let status = self.status.borrow().clone();
+        if !status.is_leader {
+            return responder.send(self.not_leader(status.leader));
         }
-        self.turns.place(standing.term, turn, placement, &self.fleet(), responder);
+        self.turns.place(status.term, turn, placement, &self.fleet(), responder);
     }
 
     fn term(&self) -> u64 {
-        self.standing.borrow().term
+        self.status.borrow().term
     }
 
     /// Returns the most recently discovered replicas.
@@ -133,7 +133,7 @@
     pub(super) fn fleet(&self) -> FleetSnapshot {
         FleetSnapshot {
             reading: self.reading(),
-            drained: Arc::clone(&self.standing.borrow().drained),
+            drained: Arc::clone(&self.status.borrow().drained),
             topology: Arc::clone(&self.location.topology),
         }
     }
@@ -143,7 +143,7 @@
         self.turns.end(&settle, &self.fleet());
         let hub = self.clone();
         let respond = Box::new(move |response| responder.send(hub.answer(response)));
-        self.replica.ask(Request::Change(Command::Settle(settle)), respond);
+        self.replica.submit(Request::Change(Command::Settle(settle)), respond);
     }
 
     fn answer(&self, response: Response) -> Answer {
@@ -162,11 +162,11 @@
     pub async fn run_placement(self) {
         loop {
             self.turns.wait_for_work().await;
-            let standing = self.standing.borrow().clone();
-            if standing.is_leader {
+            let status = self.status.borrow().clone();
+            if status.is_leader {
                 self.turns.decide(&self.fleet());
             } else {
-                self.turns.dismiss(&self.not_leader(standing.leader));
+                self.turns.dismiss(&self.not_leader(status.leader));
             }
             tokio::time::sleep(PLACEMENT_INTERVAL).await;
         }
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::LedgerSettings;
-use super::replica::Standing;
+use super::replica::GroupStatus;
 use crate::protocol::{ChangeMark, ListMark, Seen};
 
 static COLD_REPLICAS: Gauge = Gauge::new(
@@ -98,17 +98,17 @@
 /// Starts a task that reads the list while this machine leads.
 pub fn spawn(
     settings: &LedgerSettings,
-    standing: watch::Receiver<Standing>,
+    status: watch::Receiver<GroupStatus>,
 ) -> watch::Receiver<Reading> {
     let (out, readings) = watch::channel(Reading::default());
     let settings = settings.clone();
-    tokio::spawn(async move { run(settings, standing, out).await });
+    tokio::spawn(async move { run(settings, status, out).await });
     readings
 }
 
 async fn run(
     settings: LedgerSettings,
-    mut standing: watch::Receiver<Standing>,
+    mut status: watch::Receiver<GroupStatus>,
     out: watch::Sender<Reading>,
 ) {
     let Some(reader) = settings.list else {
@@ -117,10 +117,10 @@
     let (mut watched_term, mut watch) = (0, ColdWatch::default());
     let mut starts = NewestStarts::default();
     loop {
-        if standing.wait_for(|standing| standing.is_leader).await.is_err() {
+        if status.wait_for(|status| status.is_leader).await.is_err() {
             return;
         }
-        let term = standing.borrow().term;
+        let term = status.borrow().term;
         if watched_term != term {
             // A list read in an earlier term does not show which replicas are new now.
             (watched_term, watch) = (term, ColdWatch::default());
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -33,7 +33,7 @@
 use crate::protocol::SPOKEN;
 use control::{Control, ControlCodec};
 use gateways::HubPlace;
-use replica::{Desks, ReplicaHandle, ReplicaThread};
+use replica::{LeaderServices, ReplicaHandle, ReplicaThread};
 
 /// Listening ports, the same on all ledger machines.
 #[derive(Clone, Copy, Debug)]
@@ -158,21 +158,24 @@
     let turns = Arc::new(turns::TurnDesk::new(settings.cold_tolerance));
     let limits = Arc::new(limits::LimitDesk::new(settings.limit_tolerance));
     let loads = Arc::default();
-    let desks =
-        Desks { turns: Arc::clone(&turns), limits: Arc::clone(&limits), loads: Arc::clone(&loads) };
-    let thread = ReplicaThread::open(&settings, outgoing_sender, desks)?;
+    let services = LeaderServices {
+        turns: Arc::clone(&turns),
+        limits: Arc::clone(&limits),
+        loads: Arc::clone(&loads),
+    };
+    let thread = ReplicaThread::open(&settings, outgoing_sender, services)?;
     let identity = thread.id();
-    let (handle, standing, failure) = thread.start()?;
+    let (handle, status, failure) = thread.start()?;
     let known_peers = peers::KnownPeers::default();
     tokio::spawn(peers::send(settings.clone(), identity, outgoing, known_peers.clone()));
     let accepting = peers::accept(listeners.peers, identity, handle.clone(), known_peers.clone());
     tokio::spawn(accepting);
     tokio::spawn(traffic::log_totals(settings.name.clone()));
-    let list = list::spawn(&settings, standing.clone());
+    let list = list::spawn(&settings, status.clone());
     tokio::spawn(Arc::clone(&limits).persist_permits(handle.clone()));
     let hub = gateways::Hub::new(
         handle.clone(),
-        standing.clone(),
+        status.clone(),
         list.clone(),
         turns,
         limits,
@@ -183,7 +186,7 @@
     let control = Control {
         settings: Arc::new(settings.clone()),
         replica: handle.clone(),
-        standing,
+        group_status: status,
         list,
         peers: known_peers,
     };
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -118,7 +118,7 @@
         let card = PeerCard::read(&mut frames, version).await?;
         let from = card.replica;
         self.peers.note(&card, version);
-        self.replica.greeting(card);
+        self.replica.register_peer(card);
         loop {
             let Parcel { to, messages } = Parcel::read(&mut frames, version).await?;
             let is_for_this_replica = to == self.identity;
@@ -128,7 +128,7 @@
                 messages.into_iter().filter(calicohoist_replication::node::is_for_machine).collect()
             };
             if !messages.is_empty() {
-                self.replica.frame(from, messages);
+                self.replica.deliver_messages(from, messages);
             }
         }
     }
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -26,9 +26,9 @@
 use rand::RngExt;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use pending::{CommandDigest, Outcome, Pending, PendingTable};
+use pending::{CommandDigest, Outcome, PendingRequest, PendingTable};
 use request::Input;
-pub use request::{ReplicaHandle, Request, Response, ResponseCallback, Standing};
+pub use request::{GroupStatus, ReplicaHandle, Request, Response, ResponseCallback};
 
 use super::limits::LimitDesk;
 use super::peers::{Outgoing, PeerCard};
@@ -89,9 +89,9 @@
     known_machines_updated_at: Instant,
     seal_proposed_at: Option<Instant>,
     slowness: Slowness,
-    standing: Standing,
+    status: GroupStatus,
     /// Receive updates from the log.
-    desks: Desks,
+    services: LeaderServices,
     /// Number of the next run to forward.
     next_run: u64,
     /// Number of the last forwarded permit batch.
@@ -102,7 +102,7 @@
 }
 
 /// Leader services that the replica thread updates from the log.
-pub struct Desks {
+pub struct LeaderServices {
     /// Receives finished runs.
     pub turns: Arc<TurnDesk>,
     /// Receives issued permits.
@@ -119,7 +119,7 @@
     pub fn open(
         settings: &LedgerSettings,
         outgoing: mpsc::Sender<Outgoing>,
-        desks: Desks,
+        services: LeaderServices,
     ) -> eyre::Result<Self> {
         // The clock starts before recovery: a replica acknowledges no leader while it reads its
         // log, so this time counts towards the period after a restart in which it must not vote.
@@ -171,8 +171,8 @@
             known_machines_updated_at: started_at,
             seal_proposed_at: None,
             slowness: Slowness::default(),
-            standing: Standing::default(),
-            desks,
+            status: GroupStatus::default(),
+            services,
             next_run: 0,
             last_permit_batch: 0,
             catching_up_since: None,
@@ -190,24 +190,24 @@
     /// Fails if the thread cannot be started.
     pub fn start(
         self,
-    ) -> std::io::Result<(ReplicaHandle, watch::Receiver<Standing>, oneshot::Receiver<String>)>
+    ) -> std::io::Result<(ReplicaHandle, watch::Receiver<GroupStatus>, oneshot::Receiver<String>)>
     {
         let (inputs, receiver) = bounded(INPUT_QUEUE_CAPACITY);
-        let (standing_out, standing) = watch::channel(Standing::default());
+        let (status_sender, status) = watch::channel(GroupStatus::default());
         let (failure_sender, failure) = oneshot::channel();
         thread::Builder::new().name("replica".to_owned()).spawn(move || {
-            if let Err(error) = self.run(&receiver, &standing_out) {
+            if let Err(error) = self.run(&receiver, &status_sender) {
                 emit!(Event::DiskFailed, "{error}");
                 let _ = failure_sender.send(error.to_string());
             }
         })?;
-        Ok((ReplicaHandle { inputs }, standing, failure))
+        Ok((ReplicaHandle { inputs }, status, failure))
     }
 
     fn run(
         mut self,
         inputs: &Receiver<Input>,
-        standing: &watch::Sender<Standing>,
+        status: &watch::Sender<GroupStatus>,
     ) -> Result<(), DiskError> {
         loop {
             match inputs.recv_timeout(TICK_INTERVAL) {
@@ -233,7 +233,7 @@
             // acknowledged to the operator, placements must not use an older state.
             self.forward_runs();
             self.forward_permits();
-            self.publish_drained(standing);
+            self.publish_drained(status);
             for event in events {
                 self.on_event(event);
             }
@@ -241,7 +241,7 @@
             // Term and leadership are published after the answers, so that a reservation committed
             // just before the leadership was lost is placed in the term that granted it. In a new
             // term, the waiting turns would be dropped.
-            self.publish(standing);
+            self.publish(status);
         }
     }
 
@@ -277,20 +277,20 @@
 
     fn on_request(&mut self, request: Request, respond: ResponseCallback) {
         match request {
-            Request::Change(command) => self.propose(&command, Pending::Change(respond)),
+            Request::Change(command) => self.propose(&command, PendingRequest::Change(respond)),
             Request::Reserve(reserve) => {
                 let command = Command::Reserve(reserve.clone());
-                self.propose(&command, Pending::Reserve(reserve, respond));
+                self.propose(&command, PendingRequest::Reserve(reserve, respond));
             }
             Request::Retire(name) => match self.retire_command(name) {
-                Some(command) => self.propose(&command, Pending::Retire(respond)),
-                None => self.reject(Pending::Retire(respond)),
+                Some(command) => self.propose(&command, PendingRequest::Retire(respond)),
+                None => self.reject(PendingRequest::Retire(respond)),
             },
             Request::ReadConfiguration { newer_than } => {
-                self.read(Pending::ReadConfiguration { newer_than, respond });
+                self.read(PendingRequest::ReadConfiguration { newer_than, respond });
             }
-            Request::ConfirmLeadership => self.read(Pending::Confirm(respond)),
-            Request::ReadRetiring(name) => self.read(Pending::ReadRetiring(name, respond)),
+            Request::ConfirmLeadership => self.read(PendingRequest::Confirm(respond)),
+            Request::ReadRetiring(name) => self.read(PendingRequest::ReadRetiring(name, respond)),
         }
     }
 
@@ -299,7 +299,7 @@
     fn retire_command(&self, name: String) -> Option<Command> {
         // The published status reflects applied entries, whereas Raft may already know of later
         // commits.
-        if !self.standing.is_leader {
+        if !self.status.is_leader {
             return None;
         }
         let machines = self.node.machine(GROUP).map(LedgerState::machines);
@@ -309,12 +309,12 @@
         let now = self.now();
         let standbys = self.node.raft(GROUP).map(|raft| raft.standby_machines(now));
         let standbys = standbys.unwrap_or_default();
-        let remaining = self.standing.machines.iter().chain(&standbys).filter(stays).count();
+        let remaining = self.status.machines.iter().chain(&standbys).filter(stays).count();
         let must_remain = 2 * self.tolerated_losses + 1;
         Some(Command::Retire { name, remaining, must_remain })
     }
 
-    fn propose(&mut self, command: &Command, request: Pending) {
+    fn propose(&mut self, command: &Command, request: PendingRequest) {
         let Ok(encoded) = encode(command) else {
             return self.answer(request, Outcome::Lost);
         };
@@ -334,7 +334,7 @@
         }
     }
 
-    fn read(&mut self, request: Pending) {
+    fn read(&mut self, request: PendingRequest) {
         let ticket = self.pending.ticket();
         match self.node.read(GROUP, ticket) {
             Ok(()) => self.pending.add_unshared(ticket, request),
@@ -342,7 +342,7 @@
         }
     }
 
-    fn reject(&mut self, pending: Pending) {
+    fn reject(&mut self, pending: PendingRequest) {
         let leader = self.node.leader_machine(GROUP);
         let leader = leader.filter(|leader| *leader != self.node.id().machine);
         self.answer(pending, Outcome::NotLeader(leader));
@@ -404,7 +404,7 @@
             return;
         };
         let loads = {
-            let mut loads = self.desks.loads.lock();
+            let mut loads = self.services.loads.lock();
             loads.decay(self.preference_checked_at);
             loads.clone()
         };
@@ -473,7 +473,7 @@
     }
 
     fn propose_without_reply(&mut self, command: &Command) {
-        self.propose(command, Pending::Change(Box::new(|_| {})));
+        self.propose(command, PendingRequest::Change(Box::new(|_| {})));
     }
 
     fn on_event(&mut self, event: NodeEvent<Output>) {
@@ -503,33 +503,33 @@
         }
     }
 
-    fn answer(&self, pending: Pending, outcome: Outcome) {
+    fn answer(&self, pending: PendingRequest, outcome: Outcome) {
         let output = match outcome {
-            Outcome::NotLeader(leader) => return pending.respond()(Response::NotLeader(leader)),
-            Outcome::Lost => return pending.respond()(Response::Lost),
+            Outcome::NotLeader(leader) => return pending.callback()(Response::NotLeader(leader)),
+            Outcome::Lost => return pending.callback()(Response::Lost),
             Outcome::Output(output) => Some(output),
             Outcome::ReadReady => None,
         };
         let Some(state) = self.node.machine(GROUP) else {
-            return pending.respond()(Response::Lost);
+            return pending.callback()(Response::Lost);
         };
         match (pending, output) {
-            (Pending::Change(respond), Some(output)) => respond(Response::Changed(output)),
-            (Pending::Reserve(reserve, respond), Some(Output::Reservation(reservation))) => {
+            (PendingRequest::Change(respond), Some(output)) => respond(Response::Changed(output)),
+            (PendingRequest::Reserve(reserve, respond), Some(Output::Reservation(reservation))) => {
                 respond(self.reservation_response(state, &reserve, reservation));
             }
-            (Pending::Retire(respond), Some(Output::Retiring(outcome))) => {
+            (PendingRequest::Retire(respond), Some(Output::Retiring(outcome))) => {
                 respond(Response::Retiring(outcome));
             }
-            (Pending::ReadConfiguration { newer_than, respond }, None) => {
+            (PendingRequest::ReadConfiguration { newer_than, respond }, None) => {
                 let held = queries::configuration(state).filter(|held| held.version > newer_than);
                 respond(Response::Configuration(held.cloned()));
             }
-            (Pending::Confirm(respond), None) => respond(Response::Leads(self.term())),
-            (Pending::ReadRetiring(name, respond), None) => {
+            (PendingRequest::Confirm(respond), None) => respond(Response::Leads(self.term())),
+            (PendingRequest::ReadRetiring(name, respond), None) => {
                 respond(Response::Retired(self.is_retired(state, &name)));
             }
-            (pending, _) => pending.respond()(Response::Lost),
+            (pending, _) => pending.callback()(Response::Lost),
         }
     }
 
@@ -607,7 +607,7 @@
             return;
         };
         if runs.next() != self.next_run {
-            self.desks.turns.record_runs(runs.since(self.next_run));
+            self.services.turns.record_runs(runs.since(self.next_run));
             self.next_run = runs.next();
         }
     }
@@ -619,21 +619,21 @@
         };
         if permits.newest() != self.last_permit_batch {
             self.last_permit_batch = permits.newest();
-            self.desks.limits.learn(permits);
+            self.services.limits.learn(permits);
         }
     }
 
     /// Publishes the drained zones if they have changed. The rest of the status is published by
     /// [`Self::publish`].
-    fn publish_drained(&mut self, out: &watch::Sender<Standing>) {
+    fn publish_drained(&mut self, out: &watch::Sender<GroupStatus>) {
         let drained = self.node.machine(GROUP).map(LedgerState::drained);
-        let Some(drained) = drained.filter(|drained| **drained != *self.standing.drained) else {
+        let Some(drained) = drained.filter(|drained| **drained != *self.status.drained) else {
             return;
         };
         emit!(Event::ZonesDrained; version = drained.version, zones = drained);
         DRAINED_ZONES.show(drained.zones.len() as u64);
-        self.standing.drained = Arc::new(drained.clone());
-        out.send_replace(self.standing.clone());
+        self.status.drained = Arc::new(drained.clone());
+        out.send_replace(self.status.clone());
     }
 
     /// Logs how long it took a new leader to apply all entries committed by earlier leaders.
@@ -654,24 +654,24 @@
         );
     }
 
-    fn publish(&mut self, out: &watch::Sender<Standing>) {
+    fn publish(&mut self, out: &watch::Sender<GroupStatus>) {
         let Some(raft) = self.node.raft(GROUP) else {
             return;
         };
         let configuration = self.node.machine(GROUP).map(|state| state.configuration().version);
         let is_leader = raft.has_committed_in_term();
         let leader = raft.leader().filter(|_| is_leader || !raft.is_leader());
-        let standing = Standing {
+        let status = GroupStatus {
             term: raft.term(),
             leader: leader.map(|leader| leader.machine),
             is_leader,
             configuration: configuration.unwrap_or_default(),
             machines: raft.member_machines(),
-            drained: Arc::clone(&self.standing.drained),
+            drained: Arc::clone(&self.status.drained),
         };
-        if standing != self.standing {
-            self.standing = standing.clone();
-            out.send_replace(standing);
+        if status != self.status {
+            self.status = status.clone();
+            out.send_replace(status);
         }
     }
 }
--- a/crates/ledger/src/server/replica/pending.rs
+++ b/crates/ledger/src/server/replica/pending.rs
@@ -11,7 +11,7 @@
 use crate::commands::{Output, ReserveTurn};
 
 /// A pending request with the data needed to answer it.
-pub enum Pending {
+pub enum PendingRequest {
     /// Waits for a change.
     Change(ResponseCallback),
     /// Waits for a reservation and the history.
@@ -31,9 +31,9 @@
     ReadRetiring(String, ResponseCallback),
 }
 
-impl Pending {
+impl PendingRequest {
     /// Returns the callback for the response.
-    pub fn respond(self) -> ResponseCallback {
+    pub fn callback(self) -> ResponseCallback {
         match self {
             Self::Change(respond)
             | Self::Reserve(_, respond)
@@ -72,7 +72,7 @@
 #[derive(Default)]
 struct PendingEntry {
     command: Option<CommandDigest>,
-    requests: Vec<Pending>,
+    requests: Vec<PendingRequest>,
 }
 
 /// All pending requests by ticket.
@@ -91,7 +91,11 @@
     }
 
     /// Attaches a request to the same command if that is pending; returns the request otherwise.
-    pub fn join(&mut self, command: CommandDigest, request: Pending) -> Option<Pending> {
+    pub fn join(
+        &mut self,
+        command: CommandDigest,
+        request: PendingRequest,
+    ) -> Option<PendingRequest> {
         let ticket = self.tickets.get(&command);
         match ticket.and_then(|ticket| self.entries.get_mut(ticket)) {
             Some(entry) => {
@@ -103,19 +107,19 @@
     }
 
     /// Adds a proposed command.
-    pub fn add_command(&mut self, ticket: Ticket, command: CommandDigest, request: Pending) {
+    pub fn add_command(&mut self, ticket: Ticket, command: CommandDigest, request: PendingRequest) {
         self.tickets.insert(command, ticket);
         let entry = PendingEntry { command: Some(command), requests: vec![request] };
         self.entries.insert(ticket, entry);
     }
 
     /// Adds a request that cannot be joined: a read, or a command that must be proposed each time.
-    pub fn add_unshared(&mut self, ticket: Ticket, request: Pending) {
+    pub fn add_unshared(&mut self, ticket: Ticket, request: PendingRequest) {
         self.entries.insert(ticket, PendingEntry { command: None, requests: vec![request] });
     }
 
     /// Removes and returns the requests of a finished ticket.
-    pub fn take(&mut self, ticket: Ticket) -> Vec<Pending> {
+    pub fn take(&mut self, ticket: Ticket) -> Vec<PendingRequest> {
         let Some(entry) = self.entries.remove(&ticket) else {
             return Vec::new();
         };
--- a/crates/ledger/src/server/replica/request.rs
+++ b/crates/ledger/src/server/replica/request.rs
@@ -79,7 +79,7 @@
 
 /// Status of the Raft group, published to other tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct GroupStatus {
     /// Current term.
     pub term: u64,
     /// The presumed leader. `None` if unknown, or if it is this machine and `is_leader` is not set
@@ -104,17 +104,17 @@
 
 impl ReplicaHandle {
     /// Delivers messages of another replica. They are dropped if the queue is full.
-    pub fn frame(&self, from: ReplicaId, messages: Vec<GroupMessage>) {
+    pub fn deliver_messages(&self, from: ReplicaId, messages: Vec<GroupMessage>) {
         let _ = self.inputs.try_send(Input::Messages { from, messages });
     }
 
     /// Delivers the name and zone of another machine.
-    pub fn greeting(&self, card: PeerCard) {
+    pub fn register_peer(&self, card: PeerCard) {
         let _ = self.inputs.try_send(Input::PeerConnected(card));
     }
 
     /// Submits a request. If the queue is full, responds with [`Response::Overdue`] immediately.
-    pub fn ask(&self, request: Request, respond: ResponseCallback) {
+    pub fn submit(&self, request: Request, respond: ResponseCallback) {
         let input = Input::Request { request, respond, enqueued_at: Instant::now() };
         if let Err(rejected) = self.inputs.try_send(input)
             && let Input::Request { respond, .. } = rejected.into_inner()
@@ -126,7 +126,7 @@
     /// Submits a request and waits for the response.
     pub async fn call(&self, request: Request) -> Response {
         let (sender, receiver) = oneshot::channel();
-        self.ask(
+        self.submit(
             request,
             Box::new(move |response| {
                 let _ = sender.send(response);
--- a/crates/ledger/tests/new_leader.rs
+++ b/crates/ledger/tests/new_leader.rs
@@ -112,7 +112,7 @@
         // An error, once the other end is dropped.
         let _ = released.recv();
     });
-    pair.handle.ask(Request::Retire("unknown".to_owned()), hold);
+    pair.handle.submit(Request::Retire("unknown".to_owned()), hold);
     tokio::time::sleep(SHORT).await;
     pair.send(vec![acknowledgement]);
     let handle = pair.handle.clone();
--- a/crates/ledger/tests/pending.rs
+++ b/crates/ledger/tests/pending.rs
@@ -4,12 +4,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use calicohoist_ledger::server::replica::Response;
-use calicohoist_ledger::server::replica::pending::{CommandDigest, Pending, PendingTable};
+use calicohoist_ledger::server::replica::pending::{CommandDigest, PendingRequest, PendingTable};
 use calicohoist_replication::Ticket;
 
-fn asker(answered: &Arc<AtomicUsize>) -> Pending {
+fn asker(answered: &Arc<AtomicUsize>) -> PendingRequest {
     let answered = Arc::clone(answered);
-    Pending::Change(Box::new(move |_| {
+    PendingRequest::Change(Box::new(move |_| {
         answered.fetch_add(1, Ordering::SeqCst);
     }))
 }
@@ -31,7 +31,7 @@
     assert!(table.join(command, asker(&answered)).is_none());
     assert!(table.join(command, asker(&answered)).is_none());
     for asker in table.take(ticket) {
-        asker.respond()(Response::Lost);
+        asker.callback()(Response::Lost);
     }
     assert_eq!(answered.load(Ordering::SeqCst), 3);
 }
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::peers::Outgoing;
 use calicohoist_ledger::server::replica::{
-    Desks, ReplicaHandle, ReplicaThread, Request, Response, Standing,
+    GroupStatus, LeaderServices, ReplicaHandle, ReplicaThread, Request, Response,
 };
 use calicohoist_ledger::server::turns::TurnDesk;
 use calicohoist_ledger::server::{LedgerSettings, Ports, machine_number};
@@ -117,7 +117,7 @@
 /// The machine under test with one peer; the third one is away.
 pub struct Pair {
     pub handle: ReplicaHandle,
-    pub standing: watch::Receiver<Standing>,
+    pub standing: watch::Receiver<GroupStatus>,
     turns: Arc<TurnDesk>,
     limits: Arc<LimitDesk>,
     frames: mpsc::Receiver<Outgoing>,
@@ -134,8 +134,11 @@
     pub fn open(folder: TempDir, tolerance: LimitTolerance) -> Self {
         let (out, frames) = mpsc::channel(1_024);
         let (turns, limits) = (Arc::default(), Arc::new(LimitDesk::new(tolerance)));
-        let desks =
-            Desks { turns: Arc::clone(&turns), limits: Arc::clone(&limits), loads: Arc::default() };
+        let desks = LeaderServices {
+            turns: Arc::clone(&turns),
+            limits: Arc::clone(&limits),
+            loads: Arc::default(),
+        };
         let thread = ReplicaThread::open(&settings(&folder), out, desks).expect("opens");
         let (handle, standing, ended) = thread.start().expect("starts");
         Self { handle, standing, turns, limits, frames, ended, folder }
@@ -175,7 +178,7 @@
     pub fn send(&self, messages: Vec<Message>) {
         let group = GroupId(0);
         let in_group = |message| GroupMessage { group, message };
-        self.handle.frame(Self::peer(), messages.into_iter().map(in_group).collect());
+        self.handle.deliver_messages(Self::peer(), messages.into_iter().map(in_group).collect());
     }
 
     /// The next messages to the peer.
@@ -277,7 +280,11 @@
 
     /// Asks, and returns the response with what was known to all as it was given. Asks again when the
     /// machine has given the leadership away, as one does whose disk is slow for a moment.
-    pub async fn ask(&mut self, request: Request, on_command: OnCommand) -> (Response, Standing) {
+    pub async fn ask(
+        &mut self,
+        request: Request,
+        on_command: OnCommand,
+    ) -> (Response, GroupStatus) {
         let awaited = AwaitedCommand::new(&request, on_command);
         loop {
             let (answered, answer) = std_mpsc::channel();
@@ -286,7 +293,7 @@
                 let known = standing.borrow().clone();
                 let _ = answered.send((response, known));
             };
-            self.handle.ask(awaited.request(), Box::new(respond));
+            self.handle.submit(awaited.request(), Box::new(respond));
             let early = std::cell::RefCell::new(None);
             let is_refused = || {
                 let mut early = early.borrow_mut();
