--- a/crates/ledger/src/server/failures.rs
+++ b/crates/ledger/src/server/failures.rs
@@ -10,7 +10,7 @@
 use crate::protocol::ChangeMark;
 
 /// Tracks the failures reported by gateways within a term.
-pub struct FailureDesk {
+pub struct FailureTracker {
     state: Mutex<TrackerState>,
     /// Mark of the newest change, for waiting watches.
     mark: watch::Sender<ChangeMark>,
@@ -22,15 +22,20 @@
     board: FailureBoard,
 }
 
-impl Default for FailureDesk {
+impl Default for FailureTracker {
     fn default() -> Self {
         Self { state: Mutex::default(), mark: watch::Sender::new(ChangeMark::default()) }
     }
 }
 
-impl FailureDesk {
+impl FailureTracker {
     /// Records a failure. Returns for how long the replica is excluded if the failure excludes it.
-    pub fn note(&self, term: u64, replica: &str, replicas: &[Replica]) -> Option<Duration> {
+    pub fn record_failure(
+        &self,
+        term: u64,
+        replica: &str,
+        replicas: &[Replica],
+    ) -> Option<Duration> {
         let mut state = self.state.lock();
         if state.term != term {
             *state = TrackerState { term, ..TrackerState::default() };
@@ -48,7 +53,7 @@
 
     /// Returns the excluded replicas with the remaining time in ms if they have changed since
     /// `seen`.
-    pub fn news(&self, seen: ChangeMark) -> Option<(ChangeMark, Vec<(String, u32)>)> {
+    pub fn changes_since(&self, seen: ChangeMark) -> Option<(ChangeMark, Vec<(String, u32)>)> {
         let mark = *self.mark.borrow();
         if mark == seen {
             return None;
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -27,14 +27,14 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-use super::failures::FailureDesk;
-use super::limits::LimitDesk;
+use super::failures::FailureTracker;
+use super::limits::TenantLimiter;
 use super::list::Reading;
-use super::loads::LoadBoard;
+use super::loads::LoadAggregator;
 use super::preference::ZoneLoads;
 use super::replica::{GroupStatus, ReplicaHandle};
 use super::traffic::{self, Peer};
-use super::turns::TurnDesk;
+use super::turns::TurnDispatcher;
 use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
 use older::LegacyGateways;
 use shared::{SharedAnswer, SharedAnswers};
@@ -72,13 +72,13 @@
     replica: ReplicaHandle,
     status: watch::Receiver<GroupStatus>,
     list: watch::Receiver<Reading>,
-    loads: Arc<Mutex<LoadBoard>>,
+    loads: Arc<Mutex<LoadAggregator>>,
     /// Placement of turns; used on the leader only.
-    turns: Arc<TurnDesk>,
+    turns: Arc<TurnDispatcher>,
     /// Tenant limits; used on the leader only.
-    limits: Arc<LimitDesk>,
+    limits: Arc<TenantLimiter>,
     /// Failing replicas; used on the leader only.
-    failures: Arc<FailureDesk>,
+    failures: Arc<FailureTracker>,
     /// Bytes of answers queued on all connections.
     queued_bytes: WaitingBytes,
     shared: Arc<Mutex<SharedAnswers>>,
@@ -94,8 +94,8 @@
         replica: ReplicaHandle,
         status: watch::Receiver<GroupStatus>,
         list: watch::Receiver<Reading>,
-        turns: Arc<TurnDesk>,
-        limits: Arc<LimitDesk>,
+        turns: Arc<TurnDispatcher>,
+        limits: Arc<TenantLimiter>,
         location: HubPlace,
     ) -> Self {
         Self {
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -82,11 +82,11 @@
     fn status_update(&self, seen: &Seen, status: &GroupStatus, reading: &Reading) -> News {
         let is_current = reading.term == status.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
-        let failing = self.failures.news(seen.failing);
+        let failing = self.failures.changes_since(seen.failing);
         let cold = reading.cold_news(seen.cold, Instant::now());
         News {
             list_age_ms: age.and_then(|age| u64::try_from(age).ok()),
-            loads: self.loads.lock().of_others(&seen.gateway, reading, Instant::now()),
+            loads: self.loads.lock().load_from_others(&seen.gateway, reading, Instant::now()),
             loads_of: reading.mark,
             machines: status.machines.clone(),
             failing: failing.filter(|(mark, _)| mark.term == status.term),
@@ -101,7 +101,7 @@
             return responder.send(self.not_leader(status.leader));
         }
         let replicas = &self.reading().list.replicas;
-        if let Some(exclusion) = self.failures.note(status.term, replica, replicas) {
+        if let Some(exclusion) = self.failures.record_failure(status.term, replica, replicas) {
             emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = exclusion.as_millis());
             self.turns.mark_failing(replica, Instant::now() + exclusion);
         }
@@ -109,7 +109,7 @@
     }
 
     fn record_load(&self, seen: &Seen) {
-        self.loads.lock().note(&seen.gateway, &seen.loads, Instant::now());
+        self.loads.lock().record_report(&seen.gateway, &seen.loads, Instant::now());
         let status = self.status.borrow();
         if status.is_leader {
             self.turns.record_report(status.term, &seen.gateway, &seen.loads);
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -90,7 +90,7 @@
     fn reject_exhausted(&self, permit: &PermitRequest) -> Option<Answer> {
         let status = self.status.borrow();
         let term = status.is_leader.then_some(status.term)?;
-        self.limits.refuse_early(term, permit).map(Answer::Permit)
+        self.limits.reject_exhausted(term, permit).map(Answer::Permit)
     }
 
     /// Issues a permit after a quorum has confirmed the leadership. Otherwise a deposed leader and
@@ -166,7 +166,7 @@
             if status.is_leader {
                 self.turns.decide(&self.fleet());
             } else {
-                self.turns.dismiss(&self.not_leader(status.leader));
+                self.turns.cancel_waiting(&self.not_leader(status.leader));
             }
             tokio::time::sleep(PLACEMENT_INTERVAL).await;
         }
--- a/crates/ledger/src/server/limits.rs
+++ b/crates/ledger/src/server/limits.rs
@@ -28,7 +28,7 @@
 const REPORT_THRESHOLD: f64 = 0.75;
 
 /// Issues permits within the limits of tenants.
-pub struct LimitDesk {
+pub struct TenantLimiter {
     tolerance: LimitTolerance,
     state: Mutex<LimiterState>,
     /// Signals that permits wait to be recorded in the log.
@@ -56,7 +56,7 @@
     elapsed: Duration,
 }
 
-impl LimitDesk {
+impl TenantLimiter {
     /// Creates a limiter that enforces limits within `tolerance`.
     pub fn new(tolerance: LimitTolerance) -> Self {
         let state = LimiterState {
@@ -87,7 +87,7 @@
 
     /// Rejects a request whose tenant has exhausted its limit for all purposes. Returns `None` if
     /// the request may be granted. Nothing is recorded in the log.
-    pub fn refuse_early(&self, term: u64, request: &PermitRequest) -> Option<PermitAnswer> {
+    pub fn reject_exhausted(&self, term: u64, request: &PermitRequest) -> Option<PermitAnswer> {
         let issued = self.with_issuer(term, |issuer, now| {
             let is_exhausted = issuer.is_exhausted(request, now);
             is_exhausted.then(|| issuer.issue(request, Purpose::Single, now))
@@ -99,7 +99,7 @@
     }
 
     /// Takes over new batches from the log.
-    pub fn learn(&self, permits: &RecentPermits) {
+    pub fn update_from_log(&self, permits: &RecentPermits) {
         let mut state = self.state.lock();
         state.clock = (permits.clock_ms(), Instant::now());
         let newest = state.batches.back().map_or(0, |batch| batch.number);
--- a/crates/ledger/src/server/loads.rs
+++ b/crates/ledger/src/server/loads.rs
@@ -16,7 +16,7 @@
 
 /// Load reports by gateway, and their sum.
 #[derive(Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadAggregator {
     reports: HashMap<String, LoadReport>,
     sum: LoadSum,
 }
@@ -38,15 +38,15 @@
     indices: HashMap<String, usize>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// Replaces the report of a gateway.
-    pub fn note(&mut self, gateway: &str, loads: &[(String, u32)], now: Instant) {
+    pub fn record_report(&mut self, gateway: &str, loads: &[(String, u32)], now: Instant) {
         let report = LoadReport { at: now, loads: loads.to_vec() };
         self.reports.insert(gateway.to_owned(), report);
     }
 
     /// Returns the requests in progress from all other gateways, for each replica of the list.
-    pub fn of_others(&mut self, gateway: &str, reading: &Reading, now: Instant) -> Vec<u32> {
+    pub fn load_from_others(&mut self, gateway: &str, reading: &Reading, now: Instant) -> Vec<u32> {
         self.refresh(reading, now);
         let mut others = self.sum.loads.clone();
         if let Some(own) = self.reports.get(gateway) {
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -155,8 +155,8 @@
     mut stop: watch::Receiver<bool>,
 ) -> eyre::Result<()> {
     let (outgoing_sender, outgoing) = tokio::sync::mpsc::channel(peers::OUTGOING_QUEUE_CAPACITY);
-    let turns = Arc::new(turns::TurnDesk::new(settings.cold_tolerance));
-    let limits = Arc::new(limits::LimitDesk::new(settings.limit_tolerance));
+    let turns = Arc::new(turns::TurnDispatcher::new(settings.cold_tolerance));
+    let limits = Arc::new(limits::TenantLimiter::new(settings.limit_tolerance));
     let loads = Arc::default();
     let services = LeaderServices {
         turns: Arc::clone(&turns),
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -30,11 +30,11 @@
 use request::Input;
 pub use request::{GroupStatus, ReplicaHandle, Request, Response, ResponseCallback};
 
-use super::limits::LimitDesk;
+use super::limits::TenantLimiter;
 use super::peers::{Outgoing, PeerCard};
 use super::preference::{GroupView, LeaderMove, LeaderPreference, PlacedVoter, ZoneLoads};
 use super::slowness::Slowness;
-use super::turns::TurnDesk;
+use super::turns::TurnDispatcher;
 use super::{LedgerSettings, machine_number};
 use crate::commands::{Command, Output, Reservation, ReserveTurn};
 use crate::queries;
@@ -104,9 +104,9 @@
 /// Leader services that the replica thread updates from the log.
 pub struct LeaderServices {
     /// Receives finished runs.
-    pub turns: Arc<TurnDesk>,
+    pub turns: Arc<TurnDispatcher>,
     /// Receives issued permits.
-    pub limits: Arc<LimitDesk>,
+    pub limits: Arc<TenantLimiter>,
     /// Turns by zone of origin, which the choice of the leader is based on.
     pub loads: Arc<Mutex<ZoneLoads>>,
 }
@@ -619,7 +619,7 @@
         };
         if permits.newest() != self.last_permit_batch {
             self.last_permit_batch = permits.newest();
-            self.services.limits.learn(permits);
+            self.services.limits.update_from_log(permits);
         }
     }
 
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -19,7 +19,7 @@
 
 /// The scheduler and the requests that wait for its decisions.
 #[derive(Default)]
-pub struct TurnDesk {
+pub struct TurnDispatcher {
     state: Mutex<DispatcherState>,
     /// Signals that a turn waits.
     waiting: Notify,
@@ -102,7 +102,7 @@
     }
 }
 
-impl TurnDesk {
+impl TurnDispatcher {
     /// Creates a dispatcher without turns. The limits of cold replicas may be exceeded by
     /// `tolerance`.
     pub fn new(tolerance: ColdTolerance) -> Self {
@@ -185,7 +185,7 @@
     }
 
     /// Removes all waiting turns and sends `answer` to each, because this machine no longer leads.
-    pub fn dismiss(&self, answer: &Answer) {
+    pub fn cancel_waiting(&self, answer: &Answer) {
         let mut state = self.state.lock();
         state.scheduler.dismiss();
         for (_, responder) in state.responders.drain() {
--- a/crates/ledger/tests/loads.rs
+++ b/crates/ledger/tests/loads.rs
@@ -5,7 +5,7 @@
 
 use calicohoist_ledger::protocol::ListMark;
 use calicohoist_ledger::server::list::Reading;
-use calicohoist_ledger::server::loads::LoadBoard;
+use calicohoist_ledger::server::loads::LoadAggregator;
 use calicohoist_routing::{Replica, ReplicaList, ReplicaState};
 
 fn replica(id: &str) -> Replica {
@@ -33,31 +33,31 @@
 #[test]
 fn a_gateway_is_told_the_loads_of_all_others() {
     let now = Instant::now();
-    let mut board = LoadBoard::default();
-    board.note("front-1", &loads(&[("a", 2), ("b", 1)]), now);
-    board.note("front-2", &loads(&[("b", 3), ("gone", 9)]), now);
+    let mut board = LoadAggregator::default();
+    board.record_report("front-1", &loads(&[("a", 2), ("b", 1)]), now);
+    board.record_report("front-2", &loads(&[("b", 3), ("gone", 9)]), now);
     let list = reading(&["a", "b", "c"]);
-    assert_eq!(board.of_others("front-1", &list, now), [0, 3, 0]);
-    assert_eq!(board.of_others("front-2", &list, now), [2, 1, 0]);
-    assert_eq!(board.of_others("front-3", &list, now), [2, 4, 0]);
+    assert_eq!(board.load_from_others("front-1", &list, now), [0, 3, 0]);
+    assert_eq!(board.load_from_others("front-2", &list, now), [2, 1, 0]);
+    assert_eq!(board.load_from_others("front-3", &list, now), [2, 4, 0]);
 }
 
 #[test]
 fn loads_follow_the_order_of_the_newest_list() {
     let now = Instant::now();
-    let mut board = LoadBoard::default();
-    board.note("front-1", &loads(&[("a", 2), ("b", 1)]), now);
-    assert_eq!(board.of_others("front-2", &reading(&["a", "b"]), now), [2, 1]);
-    assert_eq!(board.of_others("front-2", &reading(&["b", "c", "a"]), now), [1, 0, 2]);
+    let mut board = LoadAggregator::default();
+    board.record_report("front-1", &loads(&[("a", 2), ("b", 1)]), now);
+    assert_eq!(board.load_from_others("front-2", &reading(&["a", "b"]), now), [2, 1]);
+    assert_eq!(board.load_from_others("front-2", &reading(&["b", "c", "a"]), now), [1, 0, 2]);
 }
 
 #[test]
 fn old_reports_are_dropped() {
     let now = Instant::now();
     let later = now + Duration::from_secs(10);
-    let mut board = LoadBoard::default();
-    board.note("front-1", &loads(&[("a", 2)]), now);
-    assert_eq!(board.of_others("front-2", &reading(&["a"]), later), [0]);
+    let mut board = LoadAggregator::default();
+    board.record_report("front-1", &loads(&[("a", 2)]), now);
+    assert_eq!(board.load_from_others("front-2", &reading(&["a"]), later), [0]);
 }
 
 #[test]
--- a/crates/ledger/tests/permits.rs
+++ b/crates/ledger/tests/permits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::Command;
-use calicohoist_ledger::server::limits::LimitDesk;
+use calicohoist_ledger::server::limits::TenantLimiter;
 use calicohoist_ledger::{LedgerState, Output, queries};
 use calicohoist_limiter::{
     Issued, IssuedPermits, LimitTolerance, PermitAnswer, PermitRequest, Purpose,
@@ -96,19 +96,19 @@
     let mut state = LedgerState::new(GroupId(0));
     apply(&mut state, &note("t", 4, 0));
     apply(&mut state, &note("t", 3, 100));
-    let desk = LimitDesk::new(tolerance);
-    desk.learn(state.permits());
+    let desk = TenantLimiter::new(tolerance);
+    desk.update_from_log(state.permits());
     // Told again, as after a snapshot.
-    desk.learn(state.permits());
+    desk.update_from_log(state.permits());
     let single = || desk.issue(2, &request(limit), Purpose::Single);
     assert!(matches!(single(), Issued::Answer(PermitAnswer::Granted(_))));
     assert_eq!(desk.uses()[0].issued, 8);
     assert_eq!(single(), Issued::NotNow, "nothing more before a note");
 
     apply(&mut state, &note("t", 3, 100));
-    let next = LimitDesk::new(tolerance);
-    next.learn(state.permits());
-    assert!(next.refuse_early(3, &request(limit)).is_some());
+    let next = TenantLimiter::new(tolerance);
+    next.update_from_log(state.permits());
+    assert!(next.reject_exhausted(3, &request(limit)).is_some());
     assert!(matches!(
         next.issue(3, &request(limit), Purpose::Single),
         Issued::Answer(PermitAnswer::OverLimit(_))
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -12,13 +12,13 @@
 use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::gateways::{self, Hub, HubPlace};
-use calicohoist_ledger::server::limits::LimitDesk;
+use calicohoist_ledger::server::limits::TenantLimiter;
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::peers::Outgoing;
 use calicohoist_ledger::server::replica::{
     GroupStatus, LeaderServices, ReplicaHandle, ReplicaThread, Request, Response,
 };
-use calicohoist_ledger::server::turns::TurnDesk;
+use calicohoist_ledger::server::turns::TurnDispatcher;
 use calicohoist_ledger::server::{LedgerSettings, Ports, machine_number};
 use calicohoist_limiter::LimitTolerance;
 use calicohoist_replication::{Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId};
@@ -118,8 +118,8 @@
 pub struct Pair {
     pub handle: ReplicaHandle,
     pub standing: watch::Receiver<GroupStatus>,
-    turns: Arc<TurnDesk>,
-    limits: Arc<LimitDesk>,
+    turns: Arc<TurnDispatcher>,
+    limits: Arc<TenantLimiter>,
     frames: mpsc::Receiver<Outgoing>,
     ended: oneshot::Receiver<String>,
     folder: TempDir,
@@ -133,7 +133,7 @@
     /// Starts the machine with what its folder holds.
     pub fn open(folder: TempDir, tolerance: LimitTolerance) -> Self {
         let (out, frames) = mpsc::channel(1_024);
-        let (turns, limits) = (Arc::default(), Arc::new(LimitDesk::new(tolerance)));
+        let (turns, limits) = (Arc::default(), Arc::new(TenantLimiter::new(tolerance)));
         let desks = LeaderServices {
             turns: Arc::clone(&turns),
             limits: Arc::clone(&limits),
--- a/crates/ledger/tests/turns.rs
+++ b/crates/ledger/tests/turns.rs
@@ -4,7 +4,7 @@
 
 use calicohoist_ledger::Answer;
 use calicohoist_ledger::server::list::FleetSnapshot;
-use calicohoist_ledger::server::turns::TurnDesk;
+use calicohoist_ledger::server::turns::TurnDispatcher;
 use calicohoist_scheduler::{Decision, PlacementRequest};
 
 const TERM: u64 = 7;
@@ -27,8 +27,8 @@
 }
 
 /// A desk at which one turn waits: a new term decides nothing at first.
-fn desk_with_a_waiting_turn() -> TurnDesk {
-    let desk = TurnDesk::default();
+fn desk_with_a_waiting_turn() -> TurnDispatcher {
+    let desk = TurnDispatcher::default();
     assert_eq!(desk.arrive(TERM, "t", request(), &FleetSnapshot::default()), Decision::Wait);
     desk
 }
@@ -42,6 +42,6 @@
 #[tokio::test(start_paused = true)]
 async fn a_machine_that_leads_no_more_has_no_work_left() {
     let desk = desk_with_a_waiting_turn();
-    desk.dismiss(&Answer::Unavailable);
+    desk.cancel_waiting(&Answer::Unavailable);
     assert!(tokio::time::timeout(LONG, desk.wait_for_work()).await.is_err());
 }
