--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -57,7 +57,7 @@
 
 /// Location of a ledger machine and of the gateways that send turns to it.
 #[derive(Debug)]
-pub struct HubPlace {
+pub struct ServiceLocation {
     /// Zone of this machine.
     pub zone: String,
     /// Regions of the zones.
@@ -68,7 +68,7 @@
 
 /// Answers the questions of gateways. All connections share it.
 #[derive(Clone)]
-pub struct Hub {
+pub struct GatewayService {
     replica: ReplicaHandle,
     status: watch::Receiver<GroupStatus>,
     list: watch::Receiver<Reading>,
@@ -83,12 +83,12 @@
     queued_bytes: WaitingBytes,
     shared: Arc<Mutex<SharedAnswers>>,
     legacy: LegacyGateways,
-    location: Arc<HubPlace>,
+    location: Arc<ServiceLocation>,
     /// Runs delayed work, because the replica thread must not block.
     runtime: Handle,
 }
 
-impl Hub {
+impl GatewayService {
     /// Creates the service. Must be called within a Tokio runtime.
     pub fn new(
         replica: ReplicaHandle,
@@ -96,7 +96,7 @@
         list: watch::Receiver<Reading>,
         turns: Arc<TurnDispatcher>,
         limits: Arc<TenantLimiter>,
-        location: HubPlace,
+        location: ServiceLocation,
     ) -> Self {
         Self {
             replica,
@@ -132,14 +132,14 @@
 }
 
 /// Accepts connections from gateways.
-pub async fn accept(listener: TcpListener, hub: Hub) {
+pub async fn accept(listener: TcpListener, service: GatewayService) {
     loop {
         if let Ok((stream, address)) = listener.accept().await
             && tcp::prepare(&stream, USER_TIMEOUT).is_ok()
         {
-            let hub = hub.clone();
+            let service = service.clone();
             tokio::spawn(async move {
-                if let Err(error) = serve(stream, hub).await {
+                if let Err(error) = serve(stream, service).await {
                     REFUSALS.note_version(address, &error);
                 }
             });
@@ -147,42 +147,43 @@
     }
 }
 
-async fn serve(stream: TcpStream, hub: Hub) -> Result<(), VersionError> {
+async fn serve(stream: TcpStream, service: GatewayService) -> Result<(), VersionError> {
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
     let version = choose(&mut frames, &mut output, SPOKEN).await?;
-    let legacy = (version < NEWEST).then(|| Arc::new(hub.clone()));
-    let replies = spawn_writer(output, hub.queued_bytes.clone());
+    let legacy = (version < NEWEST).then(|| Arc::new(service.clone()));
+    let replies = spawn_writer(output, service.queued_bytes.clone());
     let mut distance = None;
     loop {
         let Ask { number, question } = Ask::read(&mut frames, version).await?;
         let question = match &legacy {
-            Some(hub) => hub.legacy.translate_question(question, &hub.fleet()),
+            Some(service) => service.legacy.translate_question(question, &service.fleet()),
             None => question,
         };
         if let Some(placement) = placement_request(&question) {
-            distance = Some(hub.location.topology.distance(&hub.location.zone, &placement.zone));
-            hub.location.loads.lock().note(&placement.zone, Instant::now());
+            distance =
+                Some(service.location.topology.distance(&service.location.zone, &placement.zone));
+            service.location.loads.lock().note(&placement.zone, Instant::now());
         }
         traffic::record(Peer::Asker, question_kind(&question), distance, frames.last_len());
-        let (replies, queued_bytes) = (replies.clone(), hub.queued_bytes.clone());
+        let (replies, queued_bytes) = (replies.clone(), service.queued_bytes.clone());
         let responder =
             Responder { number, replies, queued_bytes, distance, version, legacy: legacy.clone() };
         match question {
             Question::Reserve { reserve, placement, permit } => {
-                hub.reserve(reserve, placement, permit, responder);
+                service.reserve(reserve, placement, permit, responder);
             }
-            Question::Permit(permit) => hub.permit(permit, responder),
-            Question::Place { turn, placement } => hub.place(turn, placement, responder),
-            Question::Settle(settle) => hub.settle(settle, responder),
-            Question::ReportFailure { replica } => hub.report_failure(&replica, responder),
+            Question::Permit(permit) => service.permit(permit, responder),
+            Question::Place { turn, placement } => service.place(turn, placement, responder),
+            Question::Settle(settle) => service.settle(settle, responder),
+            Question::ReportFailure { replica } => service.report_failure(&replica, responder),
             Question::FindLeader => {
-                let hub = hub.clone();
-                tokio::spawn(async move { responder.send(hub.find_leader().await) });
+                let service = service.clone();
+                tokio::spawn(async move { responder.send(service.find_leader().await) });
             }
             Question::Watch(seen) => {
-                let hub = hub.clone();
-                tokio::spawn(async move { hub.watch(seen, responder).await });
+                let service = service.clone();
+                tokio::spawn(async move { service.watch(seen, responder).await });
             }
         }
     }
@@ -218,14 +219,14 @@
     distance: Option<Distance>,
     version: ProtocolVersion,
     /// Translates answers for a gateway running an older build.
-    legacy: Option<Arc<Hub>>,
+    legacy: Option<Arc<GatewayService>>,
 }
 
 impl Responder {
     /// Queues the answer. A connection whose queue overflows is closed, and the gateway retries.
     pub(super) fn send(self, answer: Answer) {
         let answer = match &self.legacy {
-            Some(hub) => hub.legacy.translate_answer(answer, &hub.fleet()),
+            Some(service) => service.legacy.translate_answer(answer, &service.fleet()),
             None => answer,
         };
         let kind = answer_kind(&answer);
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -6,7 +6,7 @@
 use calicohoist_routing::DrainedZones;
 use calicohoist_telemetry::{Event, emit};
 
-use super::{Hub, Responder};
+use super::{GatewayService, Responder};
 use crate::protocol::{Answer, News, Seen};
 use crate::server::list::Reading;
 use crate::server::replica::{GroupStatus, Request, Response};
@@ -14,7 +14,7 @@
 /// Maximum time that a watch is held without an update.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-impl Hub {
+impl GatewayService {
     /// Answers once there is an update that the gateway has not seen, or after [`WATCH_TIMEOUT`].
     pub(super) async fn watch(&self, seen: Seen, responder: Responder) {
         self.record_load(&seen);
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -7,7 +7,7 @@
 use calicohoist_scheduler::PlacementRequest;
 use tokio::runtime::Handle;
 
-use super::{Hub, Responder};
+use super::{GatewayService, Responder};
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
 use crate::protocol::Answer;
 use crate::server::list::{FleetSnapshot, Reading};
@@ -16,7 +16,7 @@
 /// Interval at which waiting turns are reconsidered.
 const PLACEMENT_INTERVAL: Duration = Duration::from_millis(20);
 
-impl Hub {
+impl GatewayService {
     /// Makes a reservation. Once it is granted, issues the permit and places the turn.
     pub(super) fn reserve(
         &self,
@@ -28,11 +28,11 @@
         if let Some(refusal) = permit.as_ref().and_then(|permit| self.reject_exhausted(permit)) {
             return responder.send(refusal);
         }
-        let hub = self.clone();
+        let service = self.clone();
         let turn = reserve.turn.clone();
         let program = reserve.program.clone();
         let respond = Box::new(move |response| {
-            let mut answer = hub.answer(response);
+            let mut answer = service.answer(response);
             let Answer::Reserved { reservation, is_under_way, permit: permit_answer, .. } =
                 &mut answer
             else {
@@ -46,7 +46,8 @@
                 Some(program) => Purpose::Begin(program),
                 None => Purpose::Single,
             };
-            let issued = permit.map(|permit| hub.limits.issue(hub.term(), &permit, purpose));
+            let issued =
+                permit.map(|permit| service.limits.issue(service.term(), &permit, purpose));
             let delay = match issued {
                 None => Duration::ZERO,
                 Some(Issued::Answer(decided)) => {
@@ -62,9 +63,9 @@
                 }
                 Some(Issued::NotNow) => return responder.send(Answer::Unavailable),
             };
-            let runtime = hub.runtime.clone();
+            let runtime = service.runtime.clone();
             run_after(&runtime, delay, move || {
-                responder.send(hub.add_placement(answer, &turn, placement))
+                responder.send(service.add_placement(answer, &turn, placement))
             });
         });
         self.replica.submit(Request::Reserve(reserve), respond);
@@ -96,17 +97,17 @@
     /// Issues a permit after a quorum has confirmed the leadership. Otherwise a deposed leader and
     /// its successor might both issue permits for the same limit.
     pub(super) fn permit(&self, permit: PermitRequest, responder: Responder) {
-        let hub = self.clone();
+        let service = self.clone();
         let respond = Box::new(move |response| {
             let Response::Leads(term) = response else {
-                return responder.send(hub.answer(response));
+                return responder.send(service.answer(response));
             };
-            let (answer, delay) = match hub.limits.issue(term, &permit, Purpose::Single) {
+            let (answer, delay) = match service.limits.issue(term, &permit, Purpose::Single) {
                 Issued::Answer(answer) => (answer, Duration::ZERO),
                 Issued::Later(grant, delay) => (PermitAnswer::Granted(grant), delay),
                 Issued::NotNow => return responder.send(Answer::Unavailable),
             };
-            run_after(&hub.runtime, delay, move || responder.send(Answer::Permit(answer)));
+            run_after(&service.runtime, delay, move || responder.send(Answer::Permit(answer)));
         });
         self.replica.submit(Request::ConfirmLeadership, respond);
     }
@@ -141,8 +142,8 @@
     /// Settles a turn. The scheduler is updated at once, whether or not the command is committed.
     pub(super) fn settle(&self, settle: SettleTurn, responder: Responder) {
         self.turns.end(&settle, &self.fleet());
-        let hub = self.clone();
-        let respond = Box::new(move |response| responder.send(hub.answer(response)));
+        let service = self.clone();
+        let respond = Box::new(move |response| responder.send(service.answer(response)));
         self.replica.submit(Request::Change(Command::Settle(settle)), respond);
     }
 
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::protocol::SPOKEN;
 use control::{Control, ControlCodec};
-use gateways::HubPlace;
+use gateways::ServiceLocation;
 use replica::{LeaderServices, ReplicaHandle, ReplicaThread};
 
 /// Listening ports, the same on all ledger machines.
@@ -173,16 +173,20 @@
     tokio::spawn(traffic::log_totals(settings.name.clone()));
     let list = list::spawn(&settings, status.clone());
     tokio::spawn(Arc::clone(&limits).persist_permits(handle.clone()));
-    let hub = gateways::Hub::new(
+    let service = gateways::GatewayService::new(
         handle.clone(),
         status.clone(),
         list.clone(),
         turns,
         limits,
-        HubPlace { zone: settings.zone.clone(), topology: Arc::clone(&settings.topology), loads },
+        ServiceLocation {
+            zone: settings.zone.clone(),
+            topology: Arc::clone(&settings.topology),
+            loads,
+        },
     );
-    tokio::spawn(hub.clone().run_placement());
-    tokio::spawn(gateways::accept(listeners.gateways, hub));
+    tokio::spawn(service.clone().run_placement());
+    tokio::spawn(gateways::accept(listeners.gateways, service));
     let control = Control {
         settings: Arc::new(settings.clone()),
         replica: handle.clone(),
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
-use calicohoist_ledger::server::gateways::{self, Hub, HubPlace};
+use calicohoist_ledger::server::gateways::{self, GatewayService, ServiceLocation};
 use calicohoist_ledger::server::limits::TenantLimiter;
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::peers::Outgoing;
@@ -163,10 +163,20 @@
         let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let (_, list) = watch::channel(reading);
-        let place =
-            HubPlace { zone: "a".to_owned(), topology: Arc::default(), loads: Arc::default() };
+        let place = ServiceLocation {
+            zone: "a".to_owned(),
+            topology: Arc::default(),
+            loads: Arc::default(),
+        };
         let (turns, limits) = (Arc::clone(&self.turns), Arc::clone(&self.limits));
-        let hub = Hub::new(self.handle.clone(), self.standing.clone(), list, turns, limits, place);
+        let hub = GatewayService::new(
+            self.handle.clone(),
+            self.standing.clone(),
+            list,
+            turns,
+            limits,
+            place,
+        );
         tokio::spawn(gateways::accept(listener, hub));
         address
     }
