--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::list::Reading;
+use super::list::DiscoverySnapshot;
 use super::peers::{FleetLag, KnownPeers};
 use super::replica::{GroupStatus, ReplicaHandle, Request, Response};
 use super::{LedgerSettings, machine_address};
@@ -164,7 +164,7 @@
     /// Status of the Raft group.
     pub group_status: watch::Receiver<GroupStatus>,
     /// Replicas found by discovery.
-    pub list: watch::Receiver<Reading>,
+    pub list: watch::Receiver<DiscoverySnapshot>,
     /// The other ledger machines.
     pub peers: KnownPeers,
 }
@@ -277,16 +277,16 @@
     /// Looks a zone up in the topology, the drained zones and the list of replicas.
     fn zone_existence(&self, zone: &Zone) -> ZoneExistence {
         let group_status = self.group_status.borrow();
-        let reading = self.list.borrow();
-        let mut replicas = reading.list.replicas.iter();
+        let discovery = self.list.borrow();
+        let mut replicas = discovery.list.replicas.iter();
         if self.settings.topology.contains(zone)
             || group_status.drained.contains(zone.as_str())
             || replicas.any(|replica| replica.zone == zone.as_str())
         {
             return ZoneExistence::Known;
         }
-        let is_current = group_status.is_leader && reading.term == group_status.term;
-        let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed());
+        let is_current = group_status.is_leader && discovery.term == group_status.term;
+        let age = discovery.read_at.filter(|_| is_current).map(|at| at.elapsed());
         match age {
             Some(age) if age <= MAX_LIST_AGE => ZoneExistence::Unknown,
             _ => ZoneExistence::Uncertain,
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -29,7 +29,7 @@
 
 use super::failures::FailureTracker;
 use super::limits::TenantLimiter;
-use super::list::Reading;
+use super::list::DiscoverySnapshot;
 use super::loads::LoadAggregator;
 use super::preference::ZoneLoads;
 use super::replica::{GroupStatus, ReplicaHandle};
@@ -71,7 +71,7 @@
 pub struct GatewayService {
     replica: ReplicaHandle,
     status: watch::Receiver<GroupStatus>,
-    list: watch::Receiver<Reading>,
+    list: watch::Receiver<DiscoverySnapshot>,
     loads: Arc<Mutex<LoadAggregator>>,
     /// Placement of turns; used on the leader only.
     turns: Arc<TurnDispatcher>,
@@ -93,7 +93,7 @@
     pub fn new(
         replica: ReplicaHandle,
         status: watch::Receiver<GroupStatus>,
-        list: watch::Receiver<Reading>,
+        list: watch::Receiver<DiscoverySnapshot>,
         turns: Arc<TurnDispatcher>,
         limits: Arc<TenantLimiter>,
         location: ServiceLocation,
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -8,7 +8,7 @@
 
 use super::{GatewayService, Responder};
 use crate::protocol::{Answer, News, Seen};
-use crate::server::list::Reading;
+use crate::server::list::DiscoverySnapshot;
 use crate::server::replica::{GroupStatus, Request, Response};
 
 /// Maximum time that a watch is held without an update.
@@ -66,28 +66,33 @@
             let answer = self.shared.lock().configuration(&held);
             return responder.send_if_encoded(answer);
         }
-        let reading = self.reading();
+        let discovery = self.discovery();
         let status = self.status.borrow().clone();
-        if reading.tells_list(status.term, seen) {
+        if discovery.should_send_list(status.term, seen) {
             if responder.is_legacy() {
-                let list = reading.list.as_ref().clone();
-                return responder.send(Answer::List { mark: reading.mark, list });
+                let list = discovery.list.as_ref().clone();
+                return responder.send(Answer::List { mark: discovery.mark, list });
             }
-            let answer = self.shared.lock().list(&reading);
+            let answer = self.shared.lock().list(&discovery);
             return responder.send_if_encoded(answer);
         }
-        responder.send(Answer::News(self.status_update(seen, &status, &reading)));
+        responder.send(Answer::News(self.status_update(seen, &status, &discovery)));
     }
 
-    fn status_update(&self, seen: &Seen, status: &GroupStatus, reading: &Reading) -> News {
-        let is_current = reading.term == status.term;
-        let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
+    fn status_update(
+        &self,
+        seen: &Seen,
+        status: &GroupStatus,
+        discovery: &DiscoverySnapshot,
+    ) -> News {
+        let is_current = discovery.term == status.term;
+        let age = discovery.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
         let failing = self.failures.changes_since(seen.failing);
-        let cold = reading.cold_news(seen.cold, Instant::now());
+        let cold = discovery.cold_update(seen.cold, Instant::now());
         News {
             list_age_ms: age.and_then(|age| u64::try_from(age).ok()),
-            loads: self.loads.lock().load_from_others(&seen.gateway, reading, Instant::now()),
-            loads_of: reading.mark,
+            loads: self.loads.lock().load_from_others(&seen.gateway, discovery, Instant::now()),
+            loads_of: discovery.mark,
             machines: status.machines.clone(),
             failing: failing.filter(|(mark, _)| mark.term == status.term),
             cold: cold.filter(|(mark, _)| mark.term == status.term),
@@ -100,7 +105,7 @@
         if !status.is_leader {
             return responder.send(self.not_leader(status.leader));
         }
-        let replicas = &self.reading().list.replicas;
+        let replicas = &self.discovery().list.replicas;
         if let Some(exclusion) = self.failures.record_failure(status.term, replica, replicas) {
             emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = exclusion.as_millis());
             self.turns.mark_failing(replica, Instant::now() + exclusion);
--- a/crates/ledger/src/server/gateways/older.rs
+++ b/crates/ledger/src/server/gateways/older.rs
@@ -28,7 +28,7 @@
 
 impl LegacyList {
     fn from_fleet(fleet: &FleetSnapshot) -> Self {
-        let replicas = &fleet.reading.list.replicas;
+        let replicas = &fleet.discovery.list.replicas;
         let translate = |replica: &Replica| {
             let is_drained = fleet.drained.contains(&replica.zone);
             Replica {
@@ -41,10 +41,10 @@
         let ids = ids.filter(|(identity, id)| identity != id).collect();
         let replicas: Vec<Replica> = replicas.iter().map(translate).collect();
         Self {
-            source: fleet.reading.mark,
+            source: fleet.discovery.mark,
             drained: fleet.drained.version,
             mark: ListMark::of(&replicas),
-            list: Arc::new(ReplicaList { version: fleet.reading.list.version, replicas }),
+            list: Arc::new(ReplicaList { version: fleet.discovery.list.version, replicas }),
             ids: Arc::new(ids),
         }
     }
@@ -64,7 +64,7 @@
 impl LegacyGateways {
     fn list(&self, fleet: &FleetSnapshot) -> LegacyList {
         let mut cached = self.0.lock();
-        if cached.source != fleet.reading.mark || cached.drained != fleet.drained.version {
+        if cached.source != fleet.discovery.mark || cached.drained != fleet.drained.version {
             *cached = LegacyList::from_fleet(fleet);
         }
         cached.clone()
@@ -94,7 +94,7 @@
                 }
                 // These gateways don't support cold replicas, and learn of drained zones from the
                 // list. Only later changes of either end the watch.
-                seen.cold = fleet.reading.cold_mark;
+                seen.cold = fleet.discovery.cold_mark;
                 seen.drained = Some(fleet.drained.version);
                 seen.loads.iter_mut().for_each(|(replica, _)| legacy.restore_id(replica));
             }
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -5,7 +5,7 @@
 use super::answer_kind;
 use crate::packed::PackedBytes;
 use crate::protocol::{Answer, ListMark};
-use crate::server::list::Reading;
+use crate::server::list::DiscoverySnapshot;
 use crate::state::HeldConfiguration;
 
 /// An encoded answer, shared by all connections.
@@ -50,15 +50,18 @@
     }
 
     /// Returns the answer with this list.
-    pub(super) fn list(&mut self, reading: &Reading) -> Result<SharedAnswer, FrameError> {
+    pub(super) fn list(
+        &mut self,
+        discovery: &DiscoverySnapshot,
+    ) -> Result<SharedAnswer, FrameError> {
         if let Some((mark, answer)) = &self.list
-            && *mark == reading.mark
+            && *mark == discovery.mark
         {
             return Ok(answer.clone());
         }
-        let list = reading.list.as_ref().clone();
-        let answer = SharedAnswer::encode(&Answer::List { mark: reading.mark, list })?;
-        self.list = Some((reading.mark, answer.clone()));
+        let list = discovery.list.as_ref().clone();
+        let answer = SharedAnswer::encode(&Answer::List { mark: discovery.mark, list })?;
+        self.list = Some((discovery.mark, answer.clone()));
         Ok(answer)
     }
 }
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -10,7 +10,7 @@
 use super::{GatewayService, Responder};
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
 use crate::protocol::Answer;
-use crate::server::list::{FleetSnapshot, Reading};
+use crate::server::list::{DiscoverySnapshot, FleetSnapshot};
 use crate::server::replica::{Request, Response};
 
 /// Interval at which waiting turns are reconsidered.
@@ -126,14 +126,14 @@
     }
 
     /// Returns the most recently discovered replicas.
-    pub(super) fn reading(&self) -> Reading {
+    pub(super) fn discovery(&self) -> DiscoverySnapshot {
         self.list.borrow().clone()
     }
 
     /// Returns the current state of the fleet.
     pub(super) fn fleet(&self) -> FleetSnapshot {
         FleetSnapshot {
-            reading: self.reading(),
+            discovery: self.discovery(),
             drained: Arc::clone(&self.status.borrow().drained),
             topology: Arc::clone(&self.location.topology),
         }
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -33,7 +33,7 @@
 
 /// The replicas found by the most recent read of this machine.
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub struct DiscoverySnapshot {
     /// Digest of the list.
     pub mark: ListMark,
     /// Term in which this machine led when it read the list.
@@ -49,10 +49,10 @@
     pub cold_mark: ChangeMark,
 }
 
-impl Reading {
+impl DiscoverySnapshot {
     /// Returns whether to send the list to a gateway in `term`. The cold replicas are sent first;
     /// without them the gateway would treat all listed replicas as warm.
-    pub fn tells_list(&self, term: u64, seen: &Seen) -> bool {
+    pub fn should_send_list(&self, term: u64, seen: &Seen) -> bool {
         let is_new = self.mark != seen.list && self.mark != ListMark::default();
         let knows_cold = self.cold_mark.term != term || self.cold_mark == seen.cold;
         self.term == term && is_new && knows_cold
@@ -60,7 +60,7 @@
 
     /// Returns the cold replicas with the remaining time in ms, unless the gateway has `seen`
     /// them.
-    pub fn cold_news(
+    pub fn cold_update(
         &self,
         seen: ChangeMark,
         now: Instant,
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetSnapshot {
     /// Replicas found by discovery.
-    pub reading: Reading,
+    pub discovery: DiscoverySnapshot,
     /// Drained zones.
     pub drained: Arc<DrainedZones>,
     /// Regions of the zones.
@@ -87,10 +87,10 @@
     /// Returns a view for the scheduler.
     pub fn view(&self) -> FleetView<'_> {
         FleetView {
-            replicas: &self.reading.list.replicas,
+            replicas: &self.discovery.list.replicas,
             topology: &self.topology,
             drained: &self.drained,
-            cold: &self.reading.cold,
+            cold: &self.discovery.cold,
         }
     }
 }
@@ -99,17 +99,17 @@
 pub fn spawn(
     settings: &LedgerSettings,
     status: watch::Receiver<GroupStatus>,
-) -> watch::Receiver<Reading> {
-    let (out, readings) = watch::channel(Reading::default());
+) -> watch::Receiver<DiscoverySnapshot> {
+    let (out, snapshots) = watch::channel(DiscoverySnapshot::default());
     let settings = settings.clone();
     tokio::spawn(async move { run(settings, status, out).await });
-    readings
+    snapshots
 }
 
 async fn run(
     settings: LedgerSettings,
     mut status: watch::Receiver<GroupStatus>,
-    out: watch::Sender<Reading>,
+    out: watch::Sender<DiscoverySnapshot>,
 ) {
     let Some(reader) = settings.list else {
         return;
@@ -157,7 +157,7 @@
 }
 
 fn publish(
-    out: &watch::Sender<Reading>,
+    out: &watch::Sender<DiscoverySnapshot>,
     watch: &mut ColdWatch,
     term: u64,
     listed: Vec<ListedReplica>,
@@ -168,24 +168,24 @@
     log_cold_change(&change, watch.cold().left(read_at).count());
     let replicas: Vec<_> = listed.into_iter().map(|listed| listed.replica).collect();
     let mark = ListMark::of(&replicas);
-    out.send_if_modified(|reading| {
-        reading.read_at = Some(read_at);
-        reading.cold = Arc::new(watch.cold().clone());
-        let is_same = reading.term == term && reading.mark == mark;
+    out.send_if_modified(|discovery| {
+        discovery.read_at = Some(read_at);
+        discovery.cold = Arc::new(watch.cold().clone());
+        let is_same = discovery.term == term && discovery.mark == mark;
         // Marks are only comparable within a term, so a new leader sends everything again.
         let has_new_cold = !change.became_cold.is_empty()
-            || (reading.term != term && reading.cold.left(read_at).next().is_some());
+            || (discovery.term != term && discovery.cold.left(read_at).next().is_some());
         if has_new_cold {
-            reading.cold_mark = reading.cold_mark.next(term);
+            discovery.cold_mark = discovery.cold_mark.next(term);
         }
         if is_same {
             return has_new_cold;
         }
-        reading.term = term;
-        if reading.mark != mark {
-            let version = reading.list.version + 1;
-            reading.mark = mark;
-            reading.list = Arc::new(ReplicaList { version, replicas });
+        discovery.term = term;
+        if discovery.mark != mark {
+            let version = discovery.list.version + 1;
+            discovery.mark = mark;
+            discovery.list = Arc::new(ReplicaList { version, replicas });
         }
         true
     });
--- a/crates/ledger/src/server/loads.rs
+++ b/crates/ledger/src/server/loads.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::list::Reading;
+use super::list::DiscoverySnapshot;
 use crate::protocol::ListMark;
 
 /// Reports expire after this time, several times the interval at which gateways send them.
@@ -46,8 +46,13 @@
     }
 
     /// Returns the requests in progress from all other gateways, for each replica of the list.
-    pub fn load_from_others(&mut self, gateway: &str, reading: &Reading, now: Instant) -> Vec<u32> {
-        self.refresh(reading, now);
+    pub fn load_from_others(
+        &mut self,
+        gateway: &str,
+        discovery: &DiscoverySnapshot,
+        now: Instant,
+    ) -> Vec<u32> {
+        self.refresh(discovery, now);
         let mut others = self.sum.loads.clone();
         if let Some(own) = self.reports.get(gateway) {
             for (index, load) in self.sum.indexed(&own.loads) {
@@ -57,15 +62,15 @@
         others
     }
 
-    fn refresh(&mut self, reading: &Reading, now: Instant) {
-        if self.sum.list != reading.mark {
-            self.sum = LoadSum::for_list(reading);
+    fn refresh(&mut self, discovery: &DiscoverySnapshot, now: Instant) {
+        if self.sum.list != discovery.mark {
+            self.sum = LoadSum::for_list(discovery);
         }
         if self.sum.computed_at.is_some_and(|at| now < at + SUM_INTERVAL) {
             return;
         }
         self.reports.retain(|_, report| now < report.at + REPORT_TTL);
-        let mut loads = vec![0; reading.list.replicas.len()];
+        let mut loads = vec![0; discovery.list.replicas.len()];
         for report in self.reports.values() {
             for (index, load) in self.sum.indexed(&report.loads) {
                 loads[index] += load;
@@ -77,10 +82,10 @@
 }
 
 impl LoadSum {
-    fn for_list(reading: &Reading) -> Self {
-        let replicas = reading.list.replicas.iter().enumerate();
+    fn for_list(discovery: &DiscoverySnapshot) -> Self {
+        let replicas = discovery.list.replicas.iter().enumerate();
         let indices = replicas.map(|(index, replica)| (replica.id.clone(), index)).collect();
-        Self { list: reading.mark, indices, ..Self::default() }
+        Self { list: discovery.mark, indices, ..Self::default() }
     }
 
     /// Returns the loads of listed replicas with their index in the list.
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 use super::gateways::Responder;
-use super::list::{FleetSnapshot, Reading};
+use super::list::{DiscoverySnapshot, FleetSnapshot};
 use crate::commands::SettleTurn;
 use crate::protocol::{Answer, ListMark};
 
@@ -41,10 +41,10 @@
 }
 
 impl DispatcherState {
-    fn update_list(&mut self, reading: &Reading) {
-        if self.list != reading.mark {
-            self.list = reading.mark;
-            self.scheduler.retain(&reading.list.replicas);
+    fn update_list(&mut self, discovery: &DiscoverySnapshot) {
+        if self.list != discovery.mark {
+            self.list = discovery.mark;
+            self.scheduler.retain(&discovery.list.replicas);
         }
     }
 
@@ -66,7 +66,7 @@
         fleet: &FleetSnapshot,
     ) -> Decision {
         self.update_term(term);
-        self.update_list(&fleet.reading);
+        self.update_list(&fleet.discovery);
         self.scheduler.arrive(turn, request, &fleet.view(), Instant::now())
     }
 
@@ -180,7 +180,7 @@
     /// Places the waiting turns that can run now.
     pub fn decide(&self, fleet: &FleetSnapshot) {
         let mut state = self.state.lock();
-        state.update_list(&fleet.reading);
+        state.update_list(&fleet.discovery);
         state.decide(fleet);
     }
 
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -20,7 +20,7 @@
 use calicohoist_ledger::client::LedgerClient;
 use calicohoist_ledger::commands::{Command, Output};
 use calicohoist_ledger::protocol::{Ask, ChangeMark, ListMark, Reply, Seen};
-use calicohoist_ledger::server::list::Reading;
+use calicohoist_ledger::server::list::DiscoverySnapshot;
 use calicohoist_ledger::server::replica::Request;
 use calicohoist_ledger::server::{self, Listeners, Ports, machine_address, machine_number};
 use calicohoist_ledger::{Answer, LedgerState, Question};
@@ -76,11 +76,11 @@
         state: ReplicaState::Ready,
     };
     let replicas = vec![replica("r1@1790000000000", "a"), replica("r2", "b")];
-    let reading = Reading {
+    let reading = DiscoverySnapshot {
         mark: ListMark::of(&replicas),
         term: pair.standing.borrow().term,
         list: Arc::new(ReplicaList { version: 1, replicas }),
-        ..Reading::default()
+        ..DiscoverySnapshot::default()
     };
     let address = pair.serve_gateways_with(reading).await;
     let asked = async {
--- a/crates/ledger/tests/loads.rs
+++ b/crates/ledger/tests/loads.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_ledger::protocol::ListMark;
-use calicohoist_ledger::server::list::Reading;
+use calicohoist_ledger::server::list::DiscoverySnapshot;
 use calicohoist_ledger::server::loads::LoadAggregator;
 use calicohoist_routing::{Replica, ReplicaList, ReplicaState};
 
@@ -19,11 +19,11 @@
     }
 }
 
-fn reading(ids: &[&str]) -> Reading {
+fn reading(ids: &[&str]) -> DiscoverySnapshot {
     let replicas: Vec<Replica> = ids.iter().map(|id| replica(id)).collect();
     let mark = ListMark::of(&replicas);
     let list = Arc::new(ReplicaList { version: 1, replicas });
-    Reading { mark, list, term: 1, ..Reading::default() }
+    DiscoverySnapshot { mark, list, term: 1, ..DiscoverySnapshot::default() }
 }
 
 fn loads(of: &[(&str, u32)]) -> Vec<(String, u32)> {
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::gateways::{self, GatewayService, ServiceLocation};
 use calicohoist_ledger::server::limits::TenantLimiter;
-use calicohoist_ledger::server::list::Reading;
+use calicohoist_ledger::server::list::DiscoverySnapshot;
 use calicohoist_ledger::server::peers::Outgoing;
 use calicohoist_ledger::server::replica::{
     GroupStatus, LeaderServices, ReplicaHandle, ReplicaThread, Request, Response,
@@ -155,11 +155,11 @@
 
     /// Serves gateways; returns the address.
     pub async fn serve_gateways(&self) -> SocketAddr {
-        self.serve_gateways_with(Reading::default()).await
+        self.serve_gateways_with(DiscoverySnapshot::default()).await
     }
 
     /// The same with a list of replicas.
-    pub async fn serve_gateways_with(&self, reading: Reading) -> SocketAddr {
+    pub async fn serve_gateways_with(&self, reading: DiscoverySnapshot) -> SocketAddr {
         let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let (_, list) = watch::channel(reading);
