--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 use super::list::DiscoverySnapshot;
-use super::peers::{FleetLag, KnownPeers};
+use super::peers::{KnownPeers, VersionSkew};
 use super::replica::{GroupStatus, ReplicaHandle, Request, Response};
 use super::{LedgerSettings, machine_address};
 use crate::commands::{Command, Output, RetiringOutcome};
@@ -246,8 +246,8 @@
             if self.zone_existence(zone) != ZoneExistence::Known {
                 return self.reject_zone(zone).await;
             }
-            if let Some(lag) = self.fleet_lag() {
-                return Response::FleetLags(lag);
+            if let Some(skew) = self.version_skew() {
+                return Response::FleetLags(skew);
             }
         }
         self.replica.call(to_request(call.clone(), body)).await
@@ -255,11 +255,11 @@
 
     /// On the leader, returns a member that may not support zone drains. A machine running an
     /// older build would not apply the command to its state.
-    fn fleet_lag(&self) -> Option<FleetLag> {
+    fn version_skew(&self) -> Option<VersionSkew> {
         let group_status = self.group_status.borrow();
         let own = super::machine_number(self.settings.ip);
         let others = group_status.machines.iter().copied().filter(|machine| *machine != own);
-        group_status.is_leader.then(|| self.peers.lag(others)).flatten()
+        group_status.is_leader.then(|| self.peers.version_skew(others)).flatten()
     }
 
     /// Rejects a change of a zone that is not known to exist, after confirming the leadership.
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -42,7 +42,7 @@
 
 /// Information that a machine provides about itself when it connects.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerCard {
+pub struct PeerInfo {
     /// Identity of its replica.
     pub replica: ReplicaId,
     /// Name shown to operators.
@@ -51,7 +51,7 @@
     pub zone: Option<String>,
 }
 
-impl PeerCard {
+impl PeerInfo {
     pub(super) async fn read(
         frames: &mut FrameReader<OwnedReadHalf>,
         version: ProtocolVersion,
@@ -70,50 +70,50 @@
 /// A machine that has lost its disk comes back as a different replica at the same address, and
 /// drops messages for the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct Envelope {
     /// The receiver.
     pub to: ReplicaId,
     /// The messages.
     pub messages: Vec<GroupMessage>,
 }
 
-/// A frame after the greeting. In protocol version 1, frames contain a bare [`Parcel`].
+/// A frame after the greeting. In protocol version 1, frames contain a bare [`Envelope`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
     /// Uncompressed messages.
-    Plain(Parcel),
+    Plain(Envelope),
     /// Messages, encoded and compressed.
     Packed(PackedBytes),
 }
 
 /// Minimum size of encoded messages, in bytes, for compression.
-pub const PACKED_FROM: usize = 256;
+pub const MIN_COMPRESSED_BYTES: usize = 256;
 
 impl PeerFrame {
     /// Creates a frame. Messages to other regions are compressed, because that traffic is billed.
-    pub fn wrap(parcel: Parcel, distance: Option<Distance>) -> Self {
+    pub fn wrap(envelope: Envelope, distance: Option<Distance>) -> Self {
         if distance != Some(Distance::OtherRegion) {
-            return Self::Plain(parcel);
+            return Self::Plain(envelope);
         }
-        match encode(&parcel) {
-            Ok(encoded) if encoded.len() >= PACKED_FROM => {
+        match encode(&envelope) {
+            Ok(encoded) if encoded.len() >= MIN_COMPRESSED_BYTES => {
                 Self::Packed(PackedBytes::pack(&encoded))
             }
             // If encoding fails here, encoding the frame fails as well.
-            _ => Self::Plain(parcel),
+            _ => Self::Plain(envelope),
         }
     }
 
     /// Returns the messages, or `None` if the frame is corrupt.
-    pub fn open(self) -> Option<Parcel> {
+    pub fn open(self) -> Option<Envelope> {
         match self {
-            Self::Plain(parcel) => Some(parcel),
+            Self::Plain(envelope) => Some(envelope),
             Self::Packed(packed) => decode(&packed.unpack().ok()?).ok(),
         }
     }
 }
 
-impl Parcel {
+impl Envelope {
     /// Reads the next frame in the given version.
     pub(super) async fn read(
         frames: &mut FrameReader<OwnedReadHalf>,
@@ -140,9 +140,9 @@
         if version != ProtocolVersion::UNNAMED {
             return frame_of(&self.payload);
         }
-        let parcel = decode(&self.payload).ok().and_then(PeerFrame::open);
+        let envelope = decode(&self.payload).ok().and_then(PeerFrame::open);
         // The payload was encoded by this process, so decoding succeeds. Otherwise the frame is
         // dropped.
-        parcel.and_then(|parcel| encode_frame(&parcel).ok()).unwrap_or_default()
+        envelope.and_then(|envelope| encode_frame(&envelope).ok()).unwrap_or_default()
     }
 }
--- a/crates/ledger/src/server/peers/known.rs
+++ b/crates/ledger/src/server/peers/known.rs
@@ -10,7 +10,7 @@
 use calicohoist_transport::ProtocolVersion;
 use parking_lot::Mutex;
 
-use super::PeerCard;
+use super::PeerInfo;
 use crate::protocol::NEWEST;
 
 static OLDER_MACHINES: Gauge = Gauge::new(
@@ -20,14 +20,14 @@
 
 /// A ledger machine that prevents the use of features of the newest protocol version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FleetLag {
+pub enum VersionSkew {
     /// The machine uses an older version.
     Machine(Ipv4Addr),
     /// The version of the machine is unknown, because it has not connected yet.
     UnheardMachine(Ipv4Addr),
 }
 
-impl fmt::Display for FleetLag {
+impl fmt::Display for VersionSkew {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Machine(ip) => write!(formatter, "ledger machine {ip} runs an older build"),
@@ -52,11 +52,11 @@
 
 impl KnownPeers {
     /// Records a machine that has connected with the given protocol version.
-    pub fn note(&self, card: &PeerCard, version: ProtocolVersion) {
+    pub fn record(&self, info: &PeerInfo, version: ProtocolVersion) {
         let mut peers = self.0.lock();
-        let previous_zone = peers.remove(&card.replica.machine).and_then(|known| known.zone);
-        let zone = card.zone.clone().or(previous_zone);
-        peers.insert(card.replica.machine, KnownPeer { zone, version });
+        let previous_zone = peers.remove(&info.replica.machine).and_then(|known| known.zone);
+        let zone = info.zone.clone().or(previous_zone);
+        peers.insert(info.replica.machine, KnownPeer { zone, version });
         let older = peers.values().filter(|known| known.version < NEWEST).count();
         OLDER_MACHINES.show(older as u64);
     }
@@ -75,14 +75,14 @@
 
     /// Returns the first of `members` that may not support commands of the newest version, or
     /// `None` if all of them do.
-    pub fn lag(&self, members: impl IntoIterator<Item = u32>) -> Option<FleetLag> {
+    pub fn version_skew(&self, members: impl IntoIterator<Item = u32>) -> Option<VersionSkew> {
         let peers = self.0.lock();
         members.into_iter().find_map(|machine| {
             let ip = Ipv4Addr::from_bits(machine);
             match peers.get(&machine) {
                 Some(known) if known.version >= NEWEST => None,
-                Some(_) => Some(FleetLag::Machine(ip)),
-                None => Some(FleetLag::UnheardMachine(ip)),
+                Some(_) => Some(VersionSkew::Machine(ip)),
+                None => Some(VersionSkew::UnheardMachine(ip)),
             }
         })
     }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -21,9 +21,9 @@
 use super::traffic::{self, Peer};
 use super::{LedgerSettings, machine_address};
 use crate::protocol::SPOKEN;
+pub use frame::{Envelope, MIN_COMPRESSED_BYTES, PeerFrame, PeerInfo};
 use frame::{Greeting, QueuedFrame};
-pub use frame::{PACKED_FROM, Parcel, PeerCard, PeerFrame};
-pub use known::{FleetLag, KnownPeers};
+pub use known::{KnownPeers, VersionSkew};
 
 /// Capacity of the queue from the replica thread to the network thread.
 pub const OUTGOING_QUEUE_CAPACITY: usize = 4_096;
@@ -32,7 +32,7 @@
 
 /// Messages to be sent to a replica.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingMessages {
     /// The receiver.
     pub to: ReplicaId,
     /// The messages.
@@ -43,13 +43,13 @@
 pub async fn send(
     settings: LedgerSettings,
     identity: ReplicaId,
-    mut outgoing: mpsc::Receiver<Outgoing>,
+    mut outgoing: mpsc::Receiver<OutgoingMessages>,
     peers: KnownPeers,
 ) {
     let LedgerSettings { name, zone, .. } = settings.clone();
     let greeting = Greeting { from: identity, name, zone };
     let mut links: HashMap<u32, Link<QueuedFrame>> = HashMap::new();
-    while let Some(Outgoing { to, messages }) = outgoing.recv().await {
+    while let Some(OutgoingMessages { to, messages }) = outgoing.recv().await {
         if to.machine == identity.machine {
             continue;
         }
@@ -60,7 +60,7 @@
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
         let kind = frame_kind(&messages);
-        let frame = PeerFrame::wrap(Parcel { to, messages }, distance);
+        let frame = PeerFrame::wrap(Envelope { to, messages }, distance);
         if let Ok(payload) = encode(&frame) {
             traffic::record(Peer::Ledger, kind, distance, HEADER_BYTES + payload.len());
             link.queue(QueuedFrame { payload });
@@ -115,12 +115,12 @@
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
         let version = choose(&mut frames, &mut output, SPOKEN).await?;
-        let card = PeerCard::read(&mut frames, version).await?;
-        let from = card.replica;
-        self.peers.note(&card, version);
-        self.replica.register_peer(card);
+        let info = PeerInfo::read(&mut frames, version).await?;
+        let from = info.replica;
+        self.peers.record(&info, version);
+        self.replica.register_peer(info);
         loop {
-            let Parcel { to, messages } = Parcel::read(&mut frames, version).await?;
+            let Envelope { to, messages } = Envelope::read(&mut frames, version).await?;
             let is_for_this_replica = to == self.identity;
             let messages: Vec<GroupMessage> = if is_for_this_replica {
                 messages
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -31,7 +31,7 @@
 pub use request::{GroupStatus, ReplicaHandle, Request, Response, ResponseCallback};
 
 use super::limits::TenantLimiter;
-use super::peers::{Outgoing, PeerCard};
+use super::peers::{OutgoingMessages, PeerInfo};
 use super::preference::{GroupView, LeaderMove, LeaderPreference, PlacedVoter, ZoneLoads};
 use super::slowness::Slowness;
 use super::turns::TurnDispatcher;
@@ -76,7 +76,7 @@
     started_at: Instant,
     name: String,
     tolerated_losses: usize,
-    outgoing: mpsc::Sender<Outgoing>,
+    outgoing: mpsc::Sender<OutgoingMessages>,
     pending: PendingTable,
     /// Names of machines to register.
     names: BTreeMap<u32, String>,
@@ -118,7 +118,7 @@
     /// Fails if the disk fails or its content is corrupt.
     pub fn open(
         settings: &LedgerSettings,
-        outgoing: mpsc::Sender<Outgoing>,
+        outgoing: mpsc::Sender<OutgoingMessages>,
         services: LeaderServices,
     ) -> eyre::Result<Self> {
         // The clock starts before recovery: a replica acknowledges no leader while it reads its
@@ -256,7 +256,7 @@
                 let now = self.now();
                 self.node.receive(now, from, messages);
             }
-            Input::PeerConnected(PeerCard { replica, name, zone }) => {
+            Input::PeerConnected(PeerInfo { replica, name, zone }) => {
                 if let Some(zone) = zone {
                     self.zones.insert(replica.machine, zone);
                 }
@@ -721,7 +721,7 @@
     if is_founder { 0 } else { rand::rng().random_range(1..=u32::MAX) }
 }
 
-fn send(outgoing: &mpsc::Sender<Outgoing>, to: ReplicaId, messages: Vec<GroupMessage>) {
+fn send(outgoing: &mpsc::Sender<OutgoingMessages>, to: ReplicaId, messages: Vec<GroupMessage>) {
     // Messages are dropped if the queue is full; Raft tolerates lost messages.
-    let _ = outgoing.try_send(Outgoing { to, messages });
+    let _ = outgoing.try_send(OutgoingMessages { to, messages });
 }
--- a/crates/ledger/src/server/replica/request.rs
+++ b/crates/ledger/src/server/replica/request.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 use crate::commands::{Command, Output, Reservation, ReserveTurn, RetiringOutcome};
-use crate::server::peers::{FleetLag, PeerCard};
+use crate::server::peers::{PeerInfo, VersionSkew};
 use crate::state::HeldConfiguration;
 
 /// A request to the replica thread.
@@ -56,7 +56,7 @@
     /// The zone does not exist.
     UnknownZone,
     /// A ledger machine may not support the command, which was not proposed.
-    FleetLags(FleetLag),
+    FleetLags(VersionSkew),
     /// This machine is the leader in this term.
     Leads(u64),
     /// This machine is not the leader; names the leader if it is known.
@@ -72,7 +72,7 @@
 
 pub(super) enum Input {
     Messages { from: ReplicaId, messages: Vec<GroupMessage> },
-    PeerConnected(PeerCard),
+    PeerConnected(PeerInfo),
     Request { request: Request, respond: ResponseCallback, enqueued_at: Instant },
     TransferLeadership,
 }
@@ -109,8 +109,8 @@
     }
 
     /// Delivers the name and zone of another machine.
-    pub fn register_peer(&self, card: PeerCard) {
-        let _ = self.inputs.try_send(Input::PeerConnected(card));
+    pub fn register_peer(&self, info: PeerInfo) {
+        let _ = self.inputs.try_send(Input::PeerConnected(info));
     }
 
     /// Submits a request. If the queue is full, responds with [`Response::Overdue`] immediately.
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -9,7 +9,7 @@
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
 use calicohoist_ledger::packed::PackedBytes;
 use calicohoist_ledger::protocol::{Ask, ChangeMark, ListMark, News, Reply, Seen};
-use calicohoist_ledger::server::peers::{Parcel, PeerFrame};
+use calicohoist_ledger::server::peers::{Envelope, PeerFrame};
 use calicohoist_ledger::{Answer, LedgerState, Question};
 use calicohoist_limiter::{IssuedPermits, PermitAnswer, PermitGrant, PermitRequest};
 use calicohoist_replication::{
@@ -210,7 +210,7 @@
         round: 11,
     };
     let messages = vec![GroupMessage { group: GroupId(0), message: append }];
-    samples.add("peer.plain", &PeerFrame::Plain(Parcel { to: id, messages }));
+    samples.add("peer.plain", &PeerFrame::Plain(Envelope { to: id, messages }));
     samples.add("peer.packed", &PeerFrame::Packed(PackedBytes::pack(b"a parcel")));
 
     let mut state = LedgerState::new(GroupId(0));
--- a/crates/ledger/tests/peers.rs
+++ b/crates/ledger/tests/peers.rs
@@ -1,11 +1,11 @@
 //! Frames between ledger machines: what goes to another region is packed.
 
-use calicohoist_ledger::server::peers::{PACKED_FROM, Parcel, PeerFrame};
+use calicohoist_ledger::server::peers::{Envelope, MIN_COMPRESSED_BYTES, PeerFrame};
 use calicohoist_replication::{Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId};
 use calicohoist_routing::Distance;
 use calicohoist_wire::encode;
 
-fn parcel(entries: u64) -> Parcel {
+fn parcel(entries: u64) -> Envelope {
     let entry =
         |index| Entry { term: 1, index, kind: EntryKind::Command(b"turn-of-desk".to_vec().into()) };
     let message = Message::Append {
@@ -17,14 +17,14 @@
         round: 1,
     };
     let messages = vec![GroupMessage { group: GroupId(0), message }];
-    Parcel { to: ReplicaId { machine: 7, disk: 3 }, messages }
+    Envelope { to: ReplicaId { machine: 7, disk: 3 }, messages }
 }
 
 #[test]
 fn only_what_goes_to_another_region_is_packed_and_comes_out_as_it_was() {
     let large = parcel(100);
     let plain = encode(&large).expect("encoded").len();
-    assert!(plain >= PACKED_FROM);
+    assert!(plain >= MIN_COMPRESSED_BYTES);
     for near in [None, Some(Distance::SameZone), Some(Distance::SameRegion)] {
         assert_eq!(PeerFrame::wrap(large.clone(), near), PeerFrame::Plain(large.clone()));
     }
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use calicohoist_ledger::server::gateways::{self, GatewayService, ServiceLocation};
 use calicohoist_ledger::server::limits::TenantLimiter;
 use calicohoist_ledger::server::list::DiscoverySnapshot;
-use calicohoist_ledger::server::peers::Outgoing;
+use calicohoist_ledger::server::peers::OutgoingMessages;
 use calicohoist_ledger::server::replica::{
     GroupStatus, LeaderServices, ReplicaHandle, ReplicaThread, Request, Response,
 };
@@ -120,7 +120,7 @@
     pub standing: watch::Receiver<GroupStatus>,
     turns: Arc<TurnDispatcher>,
     limits: Arc<TenantLimiter>,
-    frames: mpsc::Receiver<Outgoing>,
+    frames: mpsc::Receiver<OutgoingMessages>,
     ended: oneshot::Receiver<String>,
     folder: TempDir,
 }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -9,7 +9,7 @@
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN, Seen};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
-use calicohoist_ledger::server::peers::{FleetLag, KnownPeers, PeerCard};
+use calicohoist_ledger::server::peers::{KnownPeers, PeerInfo, VersionSkew};
 use calicohoist_ledger::server::{self, LedgerSettings, Listeners, Ports};
 use calicohoist_ledger::{LedgerState, Output};
 use calicohoist_replication::{GroupId, ReplicaId, StateMachine};
@@ -321,18 +321,18 @@
     let peers = KnownPeers::default();
     let note = |machine, version| {
         let replica = ReplicaId { machine, disk: 0 };
-        let card = PeerCard { replica, name: "store".to_owned(), zone: None };
-        peers.note(&card, version);
+        let card = PeerInfo { replica, name: "store".to_owned(), zone: None };
+        peers.record(&card, version);
     };
-    let lag = || peers.lag([NEWER, OTHER]);
+    let lag = || peers.version_skew([NEWER, OTHER]);
     note(NEWER, NEWEST);
-    assert_eq!(lag(), Some(FleetLag::UnheardMachine(ip)));
+    assert_eq!(lag(), Some(VersionSkew::UnheardMachine(ip)));
     note(OTHER, ProtocolVersion::UNNAMED);
-    assert_eq!(lag(), Some(FleetLag::Machine(ip)));
+    assert_eq!(lag(), Some(VersionSkew::Machine(ip)));
     note(OTHER, NEWEST);
     assert_eq!(lag(), None);
     note(OTHER, ProtocolVersion::UNNAMED);
-    assert_eq!(lag(), Some(FleetLag::Machine(ip)), "it went back");
+    assert_eq!(lag(), Some(VersionSkew::Machine(ip)), "it went back");
 }
 
 #[tokio::test]
