--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -163,7 +163,7 @@
         if let Some(placement) = placement_request(&question) {
             distance =
                 Some(service.location.topology.distance(&service.location.zone, &placement.zone));
-            service.location.loads.lock().note(&placement.zone, Instant::now());
+            service.location.loads.lock().record(&placement.zone, Instant::now());
         }
         traffic::record(Peer::Asker, question_kind(&question), distance, frames.last_len());
         let (replies, queued_bytes) = (replies.clone(), service.queued_bytes.clone());
--- a/crates/ledger/src/server/preference.rs
+++ b/crates/ledger/src/server/preference.rs
@@ -35,7 +35,7 @@
 
 impl ZoneLoads {
     /// Counts a turn from a gateway in `zone`.
-    pub fn note(&mut self, zone: &str, now: Instant) {
+    pub fn record(&mut self, zone: &str, now: Instant) {
         self.decay(now);
         match self.turns.get_mut(zone) {
             Some(turns) => *turns += 1.0,
@@ -69,7 +69,7 @@
 
 /// A voter and its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlacedVoter {
+pub struct VoterLocation {
     /// Number of the machine.
     pub machine: u32,
     /// Zone of the machine.
@@ -84,11 +84,11 @@
     /// The current leader.
     pub leader: u32,
     /// All voters.
-    pub voters: &'a [PlacedVoter],
+    pub voters: &'a [VoterLocation],
     /// Turns by zone of origin.
     pub loads: &'a ZoneLoads,
     /// Whether all voters are reachable and caught up, and no membership change is in progress.
-    pub is_calm: bool,
+    pub is_stable: bool,
     /// Machines that are being retired or have been retired.
     pub retiring: &'a BTreeSet<u32>,
 }
@@ -96,8 +96,8 @@
 impl GroupView<'_> {
     /// Returns whether a transfer is safe: the group is stable and no voter is retiring.
     fn allows_transfer(&self) -> bool {
-        let is_retiring = |voter: &PlacedVoter| self.retiring.contains(&voter.machine);
-        self.is_calm && !self.voters.iter().any(is_retiring)
+        let is_retiring = |voter: &VoterLocation| self.retiring.contains(&voter.machine);
+        self.is_stable && !self.voters.iter().any(is_retiring)
     }
 }
 
@@ -114,7 +114,7 @@
 
 /// A transfer of the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaderMove {
+pub struct LeadershipTransfer {
     /// The new leader.
     pub to: u32,
     /// Expected reduction of the delay per turn.
@@ -129,7 +129,7 @@
     }
 
     /// Returns the transfer to perform now, if any.
-    pub fn decide(&mut self, view: &GroupView<'_>, now: Instant) -> Option<LeaderMove> {
+    pub fn decide(&mut self, view: &GroupView<'_>, now: Instant) -> Option<LeadershipTransfer> {
         if std::mem::take(&mut self.has_followed) {
             self.last_transfer = Some(now);
         }
@@ -153,15 +153,15 @@
 }
 
 /// Returns the transfer to the best voter if the gain is at least [`MIN_GAIN`].
-fn best_transfer(view: &GroupView<'_>) -> Option<LeaderMove> {
+fn best_transfer(view: &GroupView<'_>) -> Option<LeadershipTransfer> {
     let current = view.voters.iter().find(|voter| voter.machine == view.leader)?;
     let best = view.voters.iter().min_by_key(|voter| (turn_delay(view, voter), voter.machine))?;
     let gain = turn_delay(view, current).saturating_sub(turn_delay(view, best));
-    (gain >= MIN_GAIN).then_some(LeaderMove { to: best.machine, gain })
+    (gain >= MIN_GAIN).then_some(LeadershipTransfer { to: best.machine, gain })
 }
 
 /// Returns the one-way delay from gateways to this voter plus that to its nearest quorum.
-fn turn_delay(view: &GroupView<'_>, leader: &PlacedVoter) -> Duration {
+fn turn_delay(view: &GroupView<'_>, leader: &VoterLocation) -> Duration {
     let delay = |zone: &str| one_way_delay(view.topology.distance(zone, &leader.zone));
     let others = view.voters.iter().filter(|voter| voter.machine != leader.machine);
     let mut delays: Vec<Duration> = others.map(|voter| delay(&voter.zone)).collect();
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -32,8 +32,10 @@
 
 use super::limits::TenantLimiter;
 use super::peers::{OutgoingMessages, PeerInfo};
-use super::preference::{GroupView, LeaderMove, LeaderPreference, PlacedVoter, ZoneLoads};
-use super::slowness::Slowness;
+use super::preference::{
+    GroupView, LeaderPreference, LeadershipTransfer, VoterLocation, ZoneLoads,
+};
+use super::slowness::SlowDiskDetector;
 use super::turns::TurnDispatcher;
 use super::{LedgerSettings, machine_number};
 use crate::commands::{Command, Output, Reservation, ReserveTurn};
@@ -88,7 +90,7 @@
     clock_advanced_at: Instant,
     known_machines_updated_at: Instant,
     seal_proposed_at: Option<Instant>,
-    slowness: Slowness,
+    slow_disk: SlowDiskDetector,
     status: GroupStatus,
     /// Receive updates from the log.
     services: LeaderServices,
@@ -170,7 +172,7 @@
             clock_advanced_at: started_at,
             known_machines_updated_at: started_at,
             seal_proposed_at: None,
-            slowness: Slowness::default(),
+            slow_disk: SlowDiskDetector::default(),
             status: GroupStatus::default(),
             services,
             next_run: 0,
@@ -225,7 +227,7 @@
             let send_early = |to, messages| send(&outgoing, to, messages);
             let flush_started = Instant::now();
             let events = self.node.flush_with(now, &mut self.log, send_early)?;
-            if self.slowness.note(flush_started.elapsed()) && self.node.leads_any() {
+            if self.slow_disk.record_flush(flush_started.elapsed()) && self.node.leads_any() {
                 emit!(Event::SlowLeader; machine = self.name, flush_ms = flush_started.elapsed().as_millis());
                 self.node.transfer_leadership(now);
             }
@@ -413,7 +415,7 @@
             leader: self.node.id().machine,
             voters: &voters,
             loads: &loads,
-            is_calm: raft.is_fully_replicated(now),
+            is_stable: raft.is_fully_replicated(now),
             retiring,
         };
         if let Some(transfer) = self.preference.decide(&view, self.preference_checked_at) {
@@ -422,15 +424,15 @@
     }
 
     /// Returns the voters with their zones, or `None` until the zones of all voters are known.
-    fn locate_voters(&self, voters: &BTreeSet<ReplicaId>) -> Option<Vec<PlacedVoter>> {
+    fn locate_voters(&self, voters: &BTreeSet<ReplicaId>) -> Option<Vec<VoterLocation>> {
         let located = |voter: &ReplicaId| {
             let zone = self.zones.get(&voter.machine)?.clone();
-            Some(PlacedVoter { machine: voter.machine, zone })
+            Some(VoterLocation { machine: voter.machine, zone })
         };
         voters.iter().map(located).collect()
     }
 
-    fn transfer_leadership(&mut self, LeaderMove { to, gain }: LeaderMove) {
+    fn transfer_leadership(&mut self, LeadershipTransfer { to, gain }: LeadershipTransfer) {
         let zone = self.zones.get(&to).cloned().unwrap_or_default();
         emit!(
             Event::LeaderMoved;
--- a/crates/ledger/src/server/slowness.rs
+++ b/crates/ledger/src/server/slowness.rs
@@ -13,13 +13,13 @@
 
 /// Counts consecutive slow flushes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Slowness {
+pub struct SlowDiskDetector {
     consecutive: u32,
 }
 
-impl Slowness {
+impl SlowDiskDetector {
     /// Records the duration of a flush; returns whether a leader should transfer the leadership.
-    pub fn note(&mut self, flush: Duration) -> bool {
+    pub fn record_flush(&mut self, flush: Duration) -> bool {
         if flush < SLOW_FLUSH_THRESHOLD {
             self.consecutive = 0;
             return false;
--- a/crates/ledger/tests/preference.rs
+++ b/crates/ledger/tests/preference.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use calicohoist_ledger::server::preference::{GroupView, LeaderPreference, PlacedVoter, ZoneLoads};
+use calicohoist_ledger::server::preference::{
+    GroupView, LeaderPreference, VoterLocation, ZoneLoads,
+};
 use calicohoist_routing::Topology;
 use calicohoist_types::{Region, Zone};
 
@@ -15,15 +17,16 @@
 }
 
 /// A voter on machine 1, 2, ... in each of these zones.
-fn voters(zones: &[&str]) -> Vec<PlacedVoter> {
-    let placed = |(machine, zone): (u32, &&str)| PlacedVoter { machine, zone: (*zone).to_owned() };
+fn voters(zones: &[&str]) -> Vec<VoterLocation> {
+    let placed =
+        |(machine, zone): (u32, &&str)| VoterLocation { machine, zone: (*zone).to_owned() };
     (1..).zip(zones).map(placed).collect()
 }
 
 fn loads(turns: &[(&str, u32)], now: Instant) -> ZoneLoads {
     let mut loads = ZoneLoads::default();
     for (zone, count) in turns {
-        (0..*count).for_each(|_| loads.note(zone, now));
+        (0..*count).for_each(|_| loads.record(zone, now));
     }
     loads
 }
@@ -31,9 +34,9 @@
 /// Machines that machine 1 hands over to within 100 s, half a second at a time; the machine that
 /// leads then stays 1, as when the other one does not take over.
 fn moves(
-    voters: &[PlacedVoter],
+    voters: &[VoterLocation],
     loads: &ZoneLoads,
-    is_calm: impl Fn(u64) -> bool,
+    is_stable: impl Fn(u64) -> bool,
 ) -> Vec<(u64, u32)> {
     let topology = topology();
     let begin = Instant::now();
@@ -45,7 +48,7 @@
             leader: 1,
             voters,
             loads,
-            is_calm: is_calm(step),
+            is_stable: is_stable(step),
             retiring: &BTreeSet::new(),
         };
         let now = begin + Duration::from_millis(500 * step);
@@ -102,7 +105,7 @@
     let now = Instant::now();
     let mut shifted = loads(&[("south-b", 100)], now);
     for step in 1..=20 {
-        shifted.note("north-a", now + Duration::from_secs(10 * step));
+        shifted.record("north-a", now + Duration::from_secs(10 * step));
     }
     assert_eq!(moves(&voters, &shifted, |_| true), []);
 }
@@ -113,7 +116,7 @@
     let now = Instant::now();
     let mut shifted = loads(&[("south-b", 1_000)], now);
     let later = now + Duration::from_secs(600);
-    (0..10).for_each(|_| shifted.note("north-a", later));
+    (0..10).for_each(|_| shifted.record("north-a", later));
     assert_eq!(moves(&voters, &shifted, |_| true), []);
 }
 
@@ -133,7 +136,7 @@
             leader,
             voters: &voters,
             loads: &swings[step / 16 % 2],
-            is_calm: true,
+            is_stable: true,
             retiring: &BTreeSet::new(),
         };
         let now = begin + Duration::from_millis(500 * step as u64);
@@ -162,7 +165,7 @@
             leader: 1,
             voters: &voters,
             loads: &ZoneLoads::default(),
-            is_calm: true,
+            is_stable: true,
             retiring: &BTreeSet::from([retiring]),
         };
         let mut moved = Vec::new();
@@ -189,7 +192,7 @@
             leader: 1,
             voters: &voters,
             loads: &ZoneLoads::default(),
-            is_calm: true,
+            is_stable: true,
             retiring: &BTreeSet::new(),
         };
         if preference.decide(&view, begin + Duration::from_millis(500 * step)).is_some() {
--- a/crates/ledger/tests/slowness.rs
+++ b/crates/ledger/tests/slowness.rs
@@ -2,24 +2,24 @@
 
 use std::time::Duration;
 
-use calicohoist_ledger::server::slowness::Slowness;
+use calicohoist_ledger::server::slowness::SlowDiskDetector;
 
 const SLOW: Duration = Duration::from_millis(150);
 const FAST: Duration = Duration::from_millis(5);
 
 #[test]
 fn slow_flushes_in_a_row_end_the_leadership() {
-    let mut slowness = Slowness::default();
-    let told: Vec<bool> = (0..6).map(|_| slowness.note(SLOW)).collect();
+    let mut slowness = SlowDiskDetector::default();
+    let told: Vec<bool> = (0..6).map(|_| slowness.record_flush(SLOW)).collect();
     assert_eq!(told, [false, false, true, false, false, true]);
 }
 
 #[test]
 fn single_pauses_do_not() {
-    let mut slowness = Slowness::default();
+    let mut slowness = SlowDiskDetector::default();
     for _ in 0..10 {
-        assert!(!slowness.note(SLOW));
-        assert!(!slowness.note(SLOW));
-        assert!(!slowness.note(FAST));
+        assert!(!slowness.record_flush(SLOW));
+        assert!(!slowness.record_flush(SLOW));
+        assert!(!slowness.record_flush(FAST));
     }
 }
