--- a/crates/lab/tests/ledger_members/cluster.rs
+++ b/crates/lab/tests/ledger_members/cluster.rs
@@ -437,8 +437,8 @@
             let mut found = Vec::new();
             for piece in pieces {
                 match piece {
-                    HistoryPiece::Held(bytes) => found.extend_from_slice(bytes),
-                    HistoryPiece::Stored(stored) => {
+                    HistoryPiece::InMemory(bytes) => found.extend_from_slice(bytes),
+                    HistoryPiece::OnDisk(stored) => {
                         let length = stored.length as usize;
                         let read = log.read_segment(GROUP, stored.segment, stored.offset, length);
                         let bytes = read.expect("the disk works");
--- a/crates/ledger/src/queries.rs
+++ b/crates/ledger/src/queries.rs
@@ -1,10 +1,10 @@
 //! What is read from the state, once a quorum stands behind the reader.
 
 use crate::commands::TurnId;
-use crate::state::{HeldConfiguration, HistoryPiece, LedgerState};
+use crate::state::{HistoryPiece, LedgerState, VersionedConfiguration};
 
 /// The configuration in force; `None` before the first.
-pub fn configuration(state: &LedgerState) -> Option<&HeldConfiguration> {
+pub fn configuration(state: &LedgerState) -> Option<&VersionedConfiguration> {
     let held = state.configuration();
     (held.version > 0).then_some(held)
 }
--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -337,7 +337,9 @@
             ControlOutcome::Done
         }
         Response::UnknownZone => ControlOutcome::NotFound,
-        Response::Configuration(Some(held)) => ControlOutcome::Configuration(held.document),
+        Response::Configuration(Some(configuration)) => {
+            ControlOutcome::Configuration(configuration.document)
+        }
         // No configuration has been activated yet.
         Response::Configuration(None) => ControlOutcome::Unavailable,
         Response::Retiring(RetiringOutcome::Accepted) => ControlOutcome::Done,
@@ -351,8 +353,11 @@
 
 fn summarize(response: &Response) -> String {
     match response {
-        Response::Configuration(held) => {
-            format!("configuration {}", held.as_ref().map_or(0, |held| held.version))
+        Response::Configuration(configuration) => {
+            format!(
+                "configuration {}",
+                configuration.as_ref().map_or(0, |configuration| configuration.version)
+            )
         }
         other => format!("{other:?}"),
     }
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -52,8 +52,8 @@
     /// zones, because no request may be sent there; configuration; list of replicas; all others.
     async fn send_update(&self, seen: &Seen, responder: Responder) {
         let read = Request::ReadConfiguration { newer_than: seen.configuration };
-        let held = match self.replica.call(read).await {
-            Response::Configuration(held) => held,
+        let configuration = match self.replica.call(read).await {
+            Response::Configuration(configuration) => configuration,
             Response::NotLeader(leader) => return responder.send(self.not_leader(leader)),
             _ => return responder.send(Answer::Unavailable),
         };
@@ -62,8 +62,8 @@
         if Some(drained.version) != seen.drained {
             return responder.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
         }
-        if let Some(held) = held {
-            let answer = self.shared.lock().configuration(&held);
+        if let Some(configuration) = configuration {
+            let answer = self.shared.lock().configuration(&configuration);
             return responder.send_if_encoded(answer);
         }
         let discovery = self.discovery();
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -6,7 +6,7 @@
 use crate::packed::PackedBytes;
 use crate::protocol::{Answer, ListMark};
 use crate::server::list::DiscoverySnapshot;
-use crate::state::HeldConfiguration;
+use crate::state::VersionedConfiguration;
 
 /// An encoded answer, shared by all connections.
 #[derive(Clone, Debug)]
@@ -35,17 +35,19 @@
     /// Returns the answer with this configuration.
     pub(super) fn configuration(
         &mut self,
-        held: &HeldConfiguration,
+        configuration: &VersionedConfiguration,
     ) -> Result<SharedAnswer, FrameError> {
         if let Some((version, answer)) = &self.configuration
-            && *version == held.version
+            && *version == configuration.version
         {
             return Ok(answer.clone());
         }
-        let document = PackedBytes::pack(&held.document);
-        let answer =
-            SharedAnswer::encode(&Answer::Configuration { version: held.version, document })?;
-        self.configuration = Some((held.version, answer.clone()));
+        let document = PackedBytes::pack(&configuration.document);
+        let answer = SharedAnswer::encode(&Answer::Configuration {
+            version: configuration.version,
+            document,
+        })?;
+        self.configuration = Some((configuration.version, answer.clone()));
         Ok(answer)
     }
 
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -524,8 +524,9 @@
                 respond(Response::Retiring(outcome));
             }
             (PendingRequest::ReadConfiguration { newer_than, respond }, None) => {
-                let held = queries::configuration(state).filter(|held| held.version > newer_than);
-                respond(Response::Configuration(held.cloned()));
+                let configuration = queries::configuration(state)
+                    .filter(|configuration| configuration.version > newer_than);
+                respond(Response::Configuration(configuration.cloned()));
             }
             (PendingRequest::Confirm(respond), None) => respond(Response::Leads(self.term())),
             (PendingRequest::ReadRetiring(name, respond), None) => {
@@ -573,8 +574,8 @@
         let mut history = Vec::new();
         for piece in pieces {
             match piece {
-                HistoryPiece::Held(bytes) => history.extend_from_slice(bytes),
-                HistoryPiece::Stored(stored) => {
+                HistoryPiece::InMemory(bytes) => history.extend_from_slice(bytes),
+                HistoryPiece::OnDisk(stored) => {
                     let length = stored.length as usize;
                     let bytes =
                         self.log.read_segment(GROUP, stored.segment, stored.offset, length)?;
@@ -703,7 +704,7 @@
 /// account, this is the case if the turn continues from another one.
 fn is_under_way(state: &LedgerState, reserve: &ReserveTurn) -> bool {
     match &reserve.program {
-        Some(program) => state.accounts().has_begun_before(program, &reserve.turn),
+        Some(program) => state.accounts().has_other_started_turn(program, &reserve.turn),
         None => reserve.previous.is_some(),
     }
 }
--- a/crates/ledger/src/server/replica/request.rs
+++ b/crates/ledger/src/server/replica/request.rs
@@ -10,7 +10,7 @@
 
 use crate::commands::{Command, Output, Reservation, ReserveTurn, RetiringOutcome};
 use crate::server::peers::{PeerInfo, VersionSkew};
-use crate::state::HeldConfiguration;
+use crate::state::VersionedConfiguration;
 
 /// A request to the replica thread.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
         is_under_way: bool,
     },
     /// The configuration; `None` when there is no newer one.
-    Configuration(Option<HeldConfiguration>),
+    Configuration(Option<VersionedConfiguration>),
     /// Outcome of retiring a machine.
     Retiring(RetiringOutcome),
     /// Whether a retiring machine is empty; `None` if it is not being retired.
--- a/crates/ledger/src/state/accounts.rs
+++ b/crates/ledger/src/state/accounts.rs
@@ -88,7 +88,7 @@
     ///
     /// Rejected turns do not count: a program whose first turn is retried after a rejection must
     /// not get the priority of a program that is already under way.
-    pub fn has_begun_before(&self, program: &str, turn: &str) -> bool {
+    pub fn has_other_started_turn(&self, program: &str, turn: &str) -> bool {
         let Some(account) = self.programs.get(program) else {
             return false;
         };
--- a/crates/ledger/src/state/mod.rs
+++ b/crates/ledger/src/state/mod.rs
@@ -26,7 +26,7 @@
 
 /// The configuration with the highest version, as applied here.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldConfiguration {
+pub struct VersionedConfiguration {
     /// Version of the document; 0 before the first configuration.
     pub version: u64,
     /// The document as sent by the operator. Clones share the same buffer.
@@ -38,7 +38,7 @@
 pub struct LedgerState {
     /// Logical clock advanced by leaders, in ms. It never runs ahead of real time.
     clock_ms: u64,
-    configuration: HeldConfiguration,
+    configuration: VersionedConfiguration,
     accounts: Accounts,
     turns: Turns,
     machines: Machines,
@@ -59,7 +59,7 @@
 #[derive(Serialize, Deserialize)]
 struct SnapshotBeforeDrains<'a> {
     clock_ms: u64,
-    configuration: Cow<'a, HeldConfiguration>,
+    configuration: Cow<'a, VersionedConfiguration>,
     accounts: Cow<'a, Accounts>,
     turns: Cow<'a, Turns>,
     machines: Cow<'a, Machines>,
@@ -99,7 +99,7 @@
 #[derive(Deserialize)]
 struct SnapshotBeforePermits {
     clock_ms: u64,
-    configuration: HeldConfiguration,
+    configuration: VersionedConfiguration,
     accounts: Accounts,
     turns: Turns,
     machines: Machines,
@@ -114,7 +114,7 @@
 
 impl LedgerState {
     /// Returns the current configuration.
-    pub fn configuration(&self) -> &HeldConfiguration {
+    pub fn configuration(&self) -> &VersionedConfiguration {
         &self.configuration
     }
 
@@ -153,7 +153,7 @@
             Command::PutConfiguration { version, document } => {
                 if version > self.configuration.version {
                     let document = Bytes::from(document);
-                    self.configuration = HeldConfiguration { version, document };
+                    self.configuration = VersionedConfiguration { version, document };
                 }
                 Output::Configuration { version: self.configuration.version }
             }
--- a/crates/ledger/src/state/turns.rs
+++ b/crates/ledger/src/state/turns.rs
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HistoryPiece<'a> {
     /// The bytes in memory.
-    Held(&'a [u8]),
+    InMemory(&'a [u8]),
     /// The location of the bytes on disk.
-    Stored(StoredBytes),
+    OnDisk(StoredBytes),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -127,8 +127,8 @@
         while let Some(id) = next {
             let turn = self.turns.get(id)?;
             pieces.push(match &turn.content {
-                Content::Held(bytes) => HistoryPiece::Held(bytes),
-                Content::Stored(stored) => HistoryPiece::Stored(*stored),
+                Content::Held(bytes) => HistoryPiece::InMemory(bytes),
+                Content::Stored(stored) => HistoryPiece::OnDisk(*stored),
             });
             next = turn.previous.as_deref();
         }
--- a/crates/ledger/tests/state.rs
+++ b/crates/ledger/tests/state.rs
@@ -71,8 +71,8 @@
     let mut history = Vec::new();
     for piece in queries::history(state, Some(&turn.to_owned()))? {
         match piece {
-            HistoryPiece::Held(bytes) => history.extend_from_slice(bytes),
-            HistoryPiece::Stored(stored) => panic!("{stored:?} was never sealed"),
+            HistoryPiece::InMemory(bytes) => history.extend_from_slice(bytes),
+            HistoryPiece::OnDisk(stored) => panic!("{stored:?} was never sealed"),
         }
     }
     String::from_utf8(history).ok()
@@ -83,14 +83,17 @@
 fn a_program_whose_only_turn_was_turned_away_has_not_begun() {
     let mut state = state();
     apply(&mut state, &reserve("first", 40, 100));
-    assert!(!state.accounts().has_begun_before("p", "first"));
+    assert!(!state.accounts().has_other_started_turn("p", "first"));
     apply(&mut state, &settle("first", 0));
     apply(&mut state, &reserve("again", 40, 100));
-    assert!(!state.accounts().has_begun_before("p", "again"), "nothing of it ever ran");
-    assert!(state.accounts().has_begun_before("p", "second"), "one of its turns may be running");
+    assert!(!state.accounts().has_other_started_turn("p", "again"), "nothing of it ever ran");
+    assert!(
+        state.accounts().has_other_started_turn("p", "second"),
+        "one of its turns may be running"
+    );
     apply(&mut state, &settle("again", 12));
     apply(&mut state, &reserve("second", 40, 100));
-    assert!(state.accounts().has_begun_before("p", "second"));
+    assert!(state.accounts().has_other_started_turn("p", "second"));
 }
 
 #[test]
