--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -1,29 +1,30 @@
-//! Answers that are the same for all gateways: packed and encoded once, however many ask.
+//! Answers that are the same for all gateways, and therefore compressed and encoded only once.
 
 use calicohoist_transport::{FrameError, SharedField};
 
-use super::bulk_of;
+use super::answer_kind;
 use crate::packed::PackedBytes;
 use crate::protocol::{Answer, ListMark};
-use crate::server::list::Reading;
-use crate::state::HeldConfiguration;
+use crate::server::list::DiscoverySnapshot;
+use crate::state::VersionedConfiguration;
 
-/// An answer, encoded for every connection.
+/// An encoded answer, shared by all connections.
 #[derive(Clone, Debug)]
 pub(super) struct SharedAnswer {
     pub(super) encoded: SharedField,
-    pub(super) bulk: &'static str,
+    pub(super) kind: &'static str,
 }
 
 impl SharedAnswer {
     fn encode(answer: &Answer) -> Result<Self, FrameError> {
-        Ok(Self { encoded: SharedField::encode(answer)?, bulk: bulk_of(answer) })
+        Ok(Self { encoded: SharedField::encode(answer)?, kind: answer_kind(answer) })
     }
 }
 
-/// The newest of each kind that was asked for. While 24 gateways that read nothing fetch a
-/// document of 8 MB, at most 4.0 documents are in memory; with a copy for each gateway 27.1 were
-/// (peak of the allocator in one process).
+/// A cache of the newest configuration and list.
+///
+/// Sharing the encoded answers bounds the memory used when many slow gateways fetch a large
+/// document.
 #[derive(Debug, Default)]
 pub(super) struct SharedAnswers {
     configuration: Option<(u64, SharedAnswer)>,
@@ -31,33 +32,38 @@
 }
 
 impl SharedAnswers {
-    /// The answer that holds this configuration.
+    /// Returns the answer with this configuration.
     pub(super) fn configuration(
         &mut self,
-        held: &HeldConfiguration,
+        configuration: &VersionedConfiguration,
     ) -> Result<SharedAnswer, FrameError> {
         if let Some((version, answer)) = &self.configuration
-            && *version == held.version
+            && *version == configuration.version
         {
             return Ok(answer.clone());
         }
-        let document = PackedBytes::pack(&held.document);
-        let answer =
-            SharedAnswer::encode(&Answer::Configuration { version: held.version, document })?;
-        self.configuration = Some((held.version, answer.clone()));
+        let document = PackedBytes::pack(&configuration.document);
+        let answer = SharedAnswer::encode(&Answer::Configuration {
+            version: configuration.version,
+            document,
+        })?;
+        self.configuration = Some((configuration.version, answer.clone()));
         Ok(answer)
     }
 
-    /// The answer that holds the list of this reading.
-    pub(super) fn list(&mut self, reading: &Reading) -> Result<SharedAnswer, FrameError> {
+    /// Returns the answer with this list.
+    pub(super) fn list(
+        &mut self,
+        discovery: &DiscoverySnapshot,
+    ) -> Result<SharedAnswer, FrameError> {
         if let Some((mark, answer)) = &self.list
-            && *mark == reading.mark
+            && *mark == discovery.mark
         {
             return Ok(answer.clone());
         }
-        let list = reading.list.as_ref().clone();
-        let answer = SharedAnswer::encode(&Answer::List { mark: reading.mark, list })?;
-        self.list = Some((reading.mark, answer.clone()));
+        let list = discovery.list.as_ref().clone();
+        let answer = SharedAnswer::encode(&Answer::List { mark: discovery.mark, list })?;
+        self.list = Some((discovery.mark, answer.clone()));
         Ok(answer)
     }
 }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between ledger machines.
+//! Communication between ledger machines.
 //!
-//! - [`frame`]: what goes over a connection, in each version of the protocol;
-//! - [`known`]: what the others say of themselves.
+//! - [`frame`]: frames in each version of the protocol;
+//! - [`known`]: zones and protocol versions of the other machines.
 
 mod frame;
 mod known;
@@ -21,35 +21,35 @@
 use super::traffic::{self, Peer};
 use super::{LedgerSettings, machine_address};
 use crate::protocol::SPOKEN;
+pub use frame::{Envelope, MIN_COMPRESSED_BYTES, PeerFrame, PeerInfo};
 use frame::{Greeting, QueuedFrame};
-pub use frame::{PACKED_FROM, Parcel, PeerCard, PeerFrame};
-pub use known::{FleetLag, KnownPeers};
+pub use known::{KnownPeers, VersionSkew};
 
-/// Messages that may wait between the replica's thread and the network's.
-pub const RING: usize = 4_096;
+/// Capacity of the queue from the replica thread to the network thread.
+pub const OUTGOING_QUEUE_CAPACITY: usize = 4_096;
 
 static REFUSALS: RefusedFrameLog = RefusedFrameLog::new("ledger machine");
 
-/// Messages for one replica.
+/// Messages to be sent to a replica.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingMessages {
     /// The receiver.
     pub to: ReplicaId,
     /// The messages.
     pub messages: Vec<GroupMessage>,
 }
 
-/// Sends what the replica's thread hands out.
+/// Sends the messages queued by the replica thread.
 pub async fn send(
     settings: LedgerSettings,
     identity: ReplicaId,
-    mut frames: mpsc::Receiver<Outgoing>,
+    mut outgoing: mpsc::Receiver<OutgoingMessages>,
     peers: KnownPeers,
 ) {
     let LedgerSettings { name, zone, .. } = settings.clone();
     let greeting = Greeting { from: identity, name, zone };
     let mut links: HashMap<u32, Link<QueuedFrame>> = HashMap::new();
-    while let Some(Outgoing { to, messages }) = frames.recv().await {
+    while let Some(OutgoingMessages { to, messages }) = outgoing.recv().await {
         if to.machine == identity.machine {
             continue;
         }
@@ -62,18 +62,19 @@
             )
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
-        let kind = kind_of(&messages);
-        let frame = PeerFrame::wrap(Parcel { to, messages }, distance);
+        let kind = frame_kind(&messages);
+        let frame = PeerFrame::wrap(Envelope { to, messages }, distance);
         if let Ok(payload) = encode(&frame) {
-            traffic::note(Peer::Ledger, kind, distance, HEADER_BYTES + payload.len());
+            traffic::record(Peer::Ledger, kind, distance, HEADER_BYTES + payload.len());
             link.queue(QueuedFrame { payload });
         }
     }
 }
 
-/// What takes most of a frame's bytes.
-fn kind_of(messages: &[GroupMessage]) -> &'static str {
-    let has = |is: fn(&Message) -> bool| messages.iter().any(|one| is(&one.message));
+/// Returns the metric label of a frame: the content that makes up most of its size.
+fn frame_kind(messages: &[GroupMessage]) -> &'static str {
+    let has =
+        |is_match: fn(&Message) -> bool| messages.iter().any(|grouped| is_match(&grouped.message));
     if has(|message| matches!(message, Message::Install { .. } | Message::SegmentChunk { .. })) {
         "snapshot"
     } else if has(
@@ -85,7 +86,7 @@
     }
 }
 
-/// Takes connections of other machines.
+/// Accepts connections from other machines.
 pub async fn accept(
     listener: TcpListener,
     identity: ReplicaId,
@@ -105,7 +106,7 @@
     }
 }
 
-/// Takes what comes on one connection.
+/// Receives the messages of one connection.
 struct PeerReceiver {
     identity: ReplicaId,
     replica: ReplicaHandle,
@@ -117,14 +118,14 @@
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
         let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
-        let card = PeerCard::read(&mut frames, version).await?;
-        let from = card.replica;
-        self.peers.note(&card, version);
-        self.replica.greeting(card);
+        let info = PeerInfo::read(&mut frames, version).await?;
+        let from = info.replica;
+        self.peers.record(&info, version);
+        self.replica.register_peer(info);
         loop {
-            let Parcel { to, messages } = Parcel::read(&mut frames, version).await?;
-            let is_for_us = to == self.identity;
-            let messages: Vec<GroupMessage> = if is_for_us {
+            let Envelope { to, messages } = Envelope::read(&mut frames, version).await?;
+            let is_for_this_replica = to == self.identity;
+            let messages: Vec<GroupMessage> = if is_for_this_replica {
                 messages
             } else {
                 messages
@@ -133,7 +134,7 @@
                     .collect()
             };
             if !messages.is_empty() {
-                self.replica.frame(from, messages);
+                self.replica.deliver_messages(from, messages);
             }
         }
     }
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -11,14 +11,14 @@
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
-use calicohoist_ledger::server::gateways::{self, Hub, HubPlace};
-use calicohoist_ledger::server::limits::LimitDesk;
-use calicohoist_ledger::server::list::Reading;
-use calicohoist_ledger::server::peers::Outgoing;
+use calicohoist_ledger::server::gateways::{self, GatewayService, ServiceLocation};
+use calicohoist_ledger::server::limits::TenantLimiter;
+use calicohoist_ledger::server::list::DiscoverySnapshot;
+use calicohoist_ledger::server::peers::OutgoingMessages;
 use calicohoist_ledger::server::replica::{
-    Desks, ReplicaHandle, ReplicaThread, Request, Response, Standing,
+    GroupStatus, LeaderServices, ReplicaHandle, ReplicaThread, Request, Response,
 };
-use calicohoist_ledger::server::turns::TurnDesk;
+use calicohoist_ledger::server::turns::TurnDispatcher;
 use calicohoist_ledger::server::{LedgerSettings, Ports, machine_number};
 use calicohoist_limiter::LimitTolerance;
 use calicohoist_replication::{Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId};
@@ -117,10 +117,10 @@
 /// The machine under test with one peer; the third one is away.
 pub struct Pair {
     pub handle: ReplicaHandle,
-    pub standing: watch::Receiver<Standing>,
-    turns: Arc<TurnDesk>,
-    limits: Arc<LimitDesk>,
-    frames: mpsc::Receiver<Outgoing>,
+    pub standing: watch::Receiver<GroupStatus>,
+    turns: Arc<TurnDispatcher>,
+    limits: Arc<TenantLimiter>,
+    frames: mpsc::Receiver<OutgoingMessages>,
     ended: oneshot::Receiver<String>,
     folder: TempDir,
 }
@@ -133,9 +133,12 @@
     /// Starts the machine with what its folder holds.
     pub fn open(folder: TempDir, tolerance: LimitTolerance) -> Self {
         let (out, frames) = mpsc::channel(1_024);
-        let (turns, limits) = (Arc::default(), Arc::new(LimitDesk::new(tolerance)));
-        let desks =
-            Desks { turns: Arc::clone(&turns), limits: Arc::clone(&limits), loads: Arc::default() };
+        let (turns, limits) = (Arc::default(), Arc::new(TenantLimiter::new(tolerance)));
+        let desks = LeaderServices {
+            turns: Arc::clone(&turns),
+            limits: Arc::clone(&limits),
+            loads: Arc::default(),
+        };
         let thread = ReplicaThread::open(&settings(&folder), out, desks).expect("opens");
         let (handle, standing, ended) = thread.start().expect("starts");
         Self { handle, standing, turns, limits, frames, ended, folder }
@@ -152,18 +155,28 @@
 
     /// Serves gateways; returns the address.
     pub async fn serve_gateways(&self) -> SocketAddr {
-        self.serve_gateways_with(Reading::default()).await
+        self.serve_gateways_with(DiscoverySnapshot::default()).await
     }
 
     /// The same with a list of replicas.
-    pub async fn serve_gateways_with(&self, reading: Reading) -> SocketAddr {
+    pub async fn serve_gateways_with(&self, reading: DiscoverySnapshot) -> SocketAddr {
         let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let (_, list) = watch::channel(reading);
-        let place =
-            HubPlace { zone: "a".to_owned(), topology: Arc::default(), loads: Arc::default() };
+        let place = ServiceLocation {
+            zone: "a".to_owned(),
+            topology: Arc::default(),
+            loads: Arc::default(),
+        };
         let (turns, limits) = (Arc::clone(&self.turns), Arc::clone(&self.limits));
-        let hub = Hub::new(self.handle.clone(), self.standing.clone(), list, turns, limits, place);
+        let hub = GatewayService::new(
+            self.handle.clone(),
+            self.standing.clone(),
+            list,
+            turns,
+            limits,
+            place,
+        );
         tokio::spawn(gateways::accept(listener, hub));
         address
     }
@@ -175,7 +188,7 @@
     pub fn send(&self, messages: Vec<Message>) {
         let group = GroupId(0);
         let in_group = |message| GroupMessage { group, message };
-        self.handle.frame(Self::peer(), messages.into_iter().map(in_group).collect());
+        self.handle.deliver_messages(Self::peer(), messages.into_iter().map(in_group).collect());
     }
 
     /// The next messages to the peer.
@@ -277,7 +290,11 @@
 
     /// Asks, and returns the response with what was known to all as it was given. Asks again when the
     /// machine has given the leadership away, as one does whose disk is slow for a moment.
-    pub async fn ask(&mut self, request: Request, on_command: OnCommand) -> (Response, Standing) {
+    pub async fn ask(
+        &mut self,
+        request: Request,
+        on_command: OnCommand,
+    ) -> (Response, GroupStatus) {
         let awaited = AwaitedCommand::new(&request, on_command);
         loop {
             let (answered, answer) = std_mpsc::channel();
@@ -286,7 +303,7 @@
                 let known = standing.borrow().clone();
                 let _ = answered.send((response, known));
             };
-            self.handle.ask(awaited.request(), Box::new(respond));
+            self.handle.submit(awaited.request(), Box::new(respond));
             let early = std::cell::RefCell::new(None);
             let is_refused = || {
                 let mut early = early.borrow_mut();
