--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -1,14 +1,14 @@
 //! The service for gateways.
 //!
-//! - [`news`]: long polling for updates, and the load reports sent with it;
-//! - [`older`]: translation for gateways running older builds;
+//! - [`legacy`]: translation for gateways running older builds;
 //! - [`shared`]: answers that are encoded once for all gateways;
-//! - [`turns`]: reservations, permits and placement.
+//! - [`turns`]: reservations, permits and placement;
+//! - [`updates`]: long polling for updates, and the load reports sent with it.
 
-mod news;
-mod older;
+mod legacy;
 mod shared;
 mod turns;
+mod updates;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 use super::traffic::{self, Peer};
 use super::turns::TurnDispatcher;
 use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
-use older::LegacyGateways;
+use legacy::LegacyGateways;
 use shared::{SharedAnswer, SharedAnswers};
 
 /// How long a request for the leader is held while there is none.
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -13,7 +13,7 @@
 pub mod peers;
 pub mod preference;
 pub mod replica;
-pub mod slowness;
+pub mod slow_disk;
 pub mod traffic;
 pub mod turns;
 
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -35,7 +35,7 @@
 use super::preference::{
     GroupView, LeaderPreference, LeadershipTransfer, VoterLocation, ZoneLoads,
 };
-use super::slowness::SlowDiskDetector;
+use super::slow_disk::SlowDiskDetector;
 use super::turns::TurnDispatcher;
 use super::{LedgerSettings, machine_number};
 use crate::commands::{Command, Output, Reservation, ReserveTurn};
--- a/crates/ledger/tests/slowness.rs
+++ b/crates/ledger/tests/slowness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use calicohoist_ledger::server::slowness::SlowDiskDetector;
+use calicohoist_ledger::server::slow_disk::SlowDiskDetector;
 
 const SLOW: Duration = Duration::from_millis(150);
 const FAST: Duration = Duration::from_millis(5);
