--- a/crates/ledger/src/server/control.rs
+++ b/crates/ledger/src/server/control.rs
@@ -129,7 +129,7 @@
     Known,
     /// The zone does not exist according to a recent list of replicas.
     Unknown,
-    /// The list of replicas is too old to tell.
+    /// There is no recent list of replicas to decide from.
     Uncertain,
 }
 
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -172,7 +172,8 @@
         discovery.read_at = Some(read_at);
         discovery.cold = Arc::new(watch.cold().clone());
         let is_same = discovery.term == term && discovery.mark == mark;
-        // Marks are only comparable within a term, so a new leader sends everything again.
+        // Change marks are only comparable within a term, so a new leader sends the cold replicas
+        // again.
         let has_new_cold = !change.became_cold.is_empty()
             || (discovery.term != term && discovery.cold.left(read_at).next().is_some());
         if has_new_cold {
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -35,7 +35,7 @@
             }
             _ => encode_frame(self),
         };
-        // Encoding fails only for frames that are too long, which a greeting never is.
+        // An identity and two names can always be encoded and never exceed the frame size limit.
         frame.unwrap_or_default()
     }
 }
