--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads the list of replicas from the platform's discovery service.
+//! Client of the platform's discovery service, which lists the replicas.
 //!
-//! A reading is a series of pages over one connection. A reading that misses a page
-//! is of no use: a replica that is absent counts as gone.
+//! A list is fetched as a series of pages over one connection. An incomplete list is an error,
+//! because replicas that it does not contain are treated as removed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,83 +19,82 @@
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// Timeout of connecting and of fetching the whole list.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 const MAX_PAGE_BYTES: usize = 4 << 20;
-/// More pages than any fleet has: an endless list must not hold the reader.
+/// Limit on the number of pages, so that an endless list is rejected.
 const MAX_PAGES: usize = 256;
-/// More replicas than any fleet has: what a reading holds in memory is bounded by it.
+/// Limit on the number of replicas, which bounds memory usage.
 const MAX_REPLICAS: usize = 16_384;
-/// Characters of a value that a log line shows.
-const MAX_SHOWN_CHARS: usize = 64;
+/// Maximum number of characters of an invalid value in a log line.
+const MAX_LOGGED_CHARS: usize = 64;
 
-static LEFT_OUT: Counter = Counter::new(
+static SKIPPED_ENTRIES: Counter = Counter::new(
     "calicohoist_list_entries_left_out_total",
     "Entries of the list that name no replica to use, at each reading, by field",
     "field",
 );
 
-/// A replica as one reading shows it.
+/// A replica as returned by one fetch of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedReplica {
-    /// What does not change from one reading to the next.
+    /// Properties of the replica that do not depend on the time of the fetch.
     pub replica: Replica,
-    /// For how long it will still be cold; zero when it is warm, `None` when the list does not
-    /// tell.
+    /// Remaining time for which the replica is cold; zero if it is warm, `None` if not reported.
     pub cold_left: Option<Duration>,
 }
 
-/// Why an entry of the list is not used.
+/// Reason why an entry of the list is skipped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryProblem {
-    /// The field that is missing or holds what it cannot.
+    /// Field that is missing or invalid.
     pub field: &'static str,
-    /// What stands there, cut short.
-    pub shown: String,
+    /// Escaped value of the field, truncated for logging.
+    pub value: String,
 }
 
 impl EntryProblem {
-    /// `shown` stands in the `field`.
-    pub fn new(field: &'static str, shown: &str) -> Self {
-        let shown = shown.chars().take(MAX_SHOWN_CHARS).flat_map(char::escape_debug).collect();
-        Self { field, shown }
+    /// Creates a problem that reports `value` of `field`.
+    pub fn new(field: &'static str, value: &str) -> Self {
+        let value = value.chars().take(MAX_LOGGED_CHARS).flat_map(char::escape_debug).collect();
+        Self { field, value }
     }
 }
 
-/// Entries that are not used. Its size does not grow with their number.
+/// Summary of the skipped entries of a list; its size does not depend on their number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeftOut {
-    /// How many, by field.
+    /// Number of skipped entries, by field.
     pub by_field: BTreeMap<&'static str, u64>,
-    /// The first of them.
+    /// First skipped entry.
     pub first: Option<EntryProblem>,
 }
 
 impl LeftOut {
-    /// Counts one entry more.
+    /// Records one skipped entry.
     pub fn add(&mut self, problem: EntryProblem) {
         *self.by_field.entry(problem.field).or_default() += 1;
         self.first.get_or_insert(problem);
     }
 
-    fn add_all(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         for (field, count) in other.by_field {
             *self.by_field.entry(field).or_default() += count;
         }
         self.first = self.first.take().or(other.first);
     }
 
-    /// Counts and logs what one reading has left out. What the reading before left out, too, is
-    /// not logged again.
-    fn tell(&self, before: &Self) {
+    /// Updates the metrics, and logs the summary unless it equals that of the previous fetch.
+    fn report(&self, previous: &Self) {
         for (field, count) in &self.by_field {
-            LEFT_OUT.add(field, *count);
+            SKIPPED_ENTRIES.add(field, *count);
         }
-        let Some(EntryProblem { field, shown }) = &self.first else {
+        let Some(EntryProblem { field, value }) = &self.first else {
             return;
         };
-        if self != before {
+        if self != previous {
             let entries: u64 = self.by_field.values().sum();
-            emit!(Event::ListEntriesLeftOut; entries = entries, field = field, shown = shown);
+            emit!(Event::ListEntriesLeftOut; entries = entries, field = field, shown = value);
         }
     }
 }
@@ -103,77 +102,77 @@
 /// One page of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The replicas that may be used.
+    /// Valid replicas.
     pub replicas: Vec<ListedReplica>,
-    /// Its other entries.
+    /// Summary of the other entries.
     pub left_out: LeftOut,
-    /// Names the next page; `None` on the last.
+    /// Token of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// How the platform's list is asked for and written.
+/// Request paths and encoding of the platform's list.
 pub trait ListCodec: Send + Sync {
-    /// Path and query of a page; the first one without a token.
+    /// Returns path and query of a page; `token` is `None` for the first page.
     fn page_path(&self, token: Option<&str>) -> String;
 
-    /// Reads a page, entry by entry; `None` when it is not one, or not whole.
+    /// Parses a page; returns `None` if it is malformed or truncated.
     fn parse_page(&self, body: &[u8]) -> Option<Page>;
 }
 
-/// Why the list could not be read.
+/// An error returned by [`ListReader::read`].
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// No connection, or it broke.
-    #[error("connection: {0}")]
+    /// Connecting to the service failed.
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The exchange failed.
-    #[error("exchange: {0}")]
+    /// The HTTP exchange failed.
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The service refused.
-    #[error("status {0}")]
+    /// The service responded with an error status.
+    #[error("unexpected HTTP status: {0}")]
     Status(StatusCode),
-    /// The answer is not a list, or has no end.
-    #[error("not a list")]
-    NotAList,
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// The list is malformed or exceeds a size limit.
+    #[error("list is malformed or too large")]
+    InvalidList,
+    /// The list could not be fetched in time.
+    #[error("timed out fetching the list")]
     Timeout,
 }
 
-/// Reads the list from one address.
+/// A reader of the list at one address.
 #[derive(Clone)]
 pub struct ListReader {
     address: SocketAddr,
     codec: Arc<dyn ListCodec>,
-    /// What the newest whole reading has left out.
+    /// Skipped entries of the latest complete fetch.
     left_out: Arc<Mutex<LeftOut>>,
 }
 
 impl ListReader {
-    /// Reads from `address`.
+    /// Creates a reader of the list at `address`.
     pub fn new(address: SocketAddr, codec: Arc<dyn ListCodec>) -> Self {
         Self { address, codec, left_out: Arc::default() }
     }
 
-    /// All replicas, as of now.
+    /// Fetches the current list of replicas.
     ///
     /// # Errors
     /// See [`ReadError`].
     pub async fn read(&self) -> Result<Vec<ListedReplica>, ReadError> {
-        let reading = tokio::time::timeout(PATIENCE, self.read_pages());
-        reading.await.unwrap_or(Err(ReadError::Timeout))
+        let result = tokio::time::timeout(READ_TIMEOUT, self.read_pages());
+        result.await.unwrap_or(Err(ReadError::Timeout))
     }
 
     async fn read_pages(&self) -> Result<Vec<ListedReplica>, ReadError> {
-        let stream = tcp::connect(self.address, PATIENCE, PATIENCE).await?;
+        let stream = tcp::connect(self.address, READ_TIMEOUT, READ_TIMEOUT).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(connection);
-        let result = self.follow_pages(&mut sender).await;
+        let result = self.fetch_pages(&mut sender).await;
         driver.abort();
         result
     }
 
-    async fn follow_pages(
+    async fn fetch_pages(
         &self,
         sender: &mut SendRequest<Empty<Bytes>>,
     ) -> Result<Vec<ListedReplica>, ReadError> {
@@ -183,21 +182,21 @@
         for _ in 0..MAX_PAGES {
             let path = self.codec.page_path(token.as_deref());
             let body = self.get(sender, &path).await?;
-            let page = self.codec.parse_page(&body).ok_or(ReadError::NotAList)?;
+            let page = self.codec.parse_page(&body).ok_or(ReadError::InvalidList)?;
             replicas.extend(page.replicas);
-            left_out.add_all(page.left_out);
+            left_out.merge(page.left_out);
             if replicas.len() > MAX_REPLICAS {
                 break;
             }
             token = page.next;
             if token.is_none() {
-                let mut before = self.left_out.lock();
-                left_out.tell(&before);
-                *before = left_out;
+                let mut previous = self.left_out.lock();
+                left_out.report(&previous);
+                *previous = left_out;
                 return Ok(replicas);
             }
         }
-        Err(ReadError::NotAList)
+        Err(ReadError::InvalidList)
     }
 
     async fn get(
@@ -207,13 +206,13 @@
     ) -> Result<Bytes, ReadError> {
         sender.ready().await?;
         let request = Request::get(path).header("host", self.address.to_string());
-        let request = request.body(Empty::new()).map_err(|_| ReadError::NotAList)?;
+        let request = request.body(Empty::new()).map_err(|_| ReadError::InvalidList)?;
         let response = sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(ReadError::Status(response.status()));
         }
         let body = Limited::new(response.into_body(), MAX_PAGE_BYTES);
-        let body = body.collect().await.map_err(|_| ReadError::NotAList)?;
+        let body = body.collect().await.map_err(|_| ReadError::InvalidList)?;
         Ok(body.to_bytes())
     }
 }
--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a ledger machine, shared by all questions to it.
+//! A multiplexed connection to a ledger machine.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,120 +18,119 @@
 
 static REFUSALS: RefusalLog = RefusalLog::new("ledger");
 
-/// Within one zone or the next a connection opens in a few milliseconds.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
-/// Written bytes that stay unacknowledged for so long break the connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// TCP user timeout: the connection fails if sent data stays unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An open connection.
+/// A handle to a connection.
 #[derive(Clone)]
 pub(super) struct Connection {
-    questions: FrameQueue,
+    requests: FrameQueue,
     state: Arc<ConnectionState>,
     version: ProtocolVersion,
 }
 
 struct ConnectionState {
     is_open: AtomicBool,
-    /// Who waits for which answer.
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
-    /// When bytes of an answer came last, to whichever question. A whole answer may be long under
-    /// way: one of 2.6 MB that took 4 s was asked for again and again, and had not come after 60 s.
-    heard: Mutex<Instant>,
+    /// Response channels of the requests in flight, by number.
+    pending: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
+    /// When bytes were last received, even of an incomplete response. A large response may take
+    /// longer than the response timeout to arrive and must not be requested again meanwhile.
+    last_received: Mutex<Instant>,
 }
 
 impl Connection {
-    /// Connects; `None` when the machine refuses or stays silent.
+    /// Connects to `address`; returns `None` if the connection fails or times out.
     pub(super) async fn open(address: SocketAddr) -> Option<Self> {
-        let opened = version::connect(address, CONNECT_PATIENCE, USER_TIMEOUT, SPOKEN).await;
+        let opened = version::connect(address, CONNECT_TIMEOUT, USER_TIMEOUT, SPOKEN).await;
         let (stream, version) =
             opened.inspect_err(|error| REFUSALS.note_version(address, error)).ok()?;
         let (input, output) = stream.into_split();
         let state = ConnectionState {
             is_open: AtomicBool::new(true),
-            waiting: Mutex::default(),
-            heard: Mutex::new(Instant::now()),
+            pending: Mutex::default(),
+            last_received: Mutex::new(Instant::now()),
         };
-        let questions = spawn_writer(output, WaitingBytes::default());
-        let connection = Self { questions, state: Arc::new(state), version };
+        let requests = spawn_writer(output, WaitingBytes::default());
+        let connection = Self { requests, state: Arc::new(state), version };
         let state = Arc::clone(&connection.state);
-        tokio::spawn(read_answers(FrameReader::new(input), version, state, address));
+        tokio::spawn(read_responses(FrameReader::new(input), version, state, address));
         Some(connection)
     }
 
-    /// Whether it has not broken.
+    /// Returns whether the connection is still usable.
     pub(super) fn is_open(&self) -> bool {
         self.state.is_open.load(Ordering::Relaxed)
     }
 
-    /// Version of the protocol that is spoken on it.
+    /// Returns the negotiated protocol version.
     pub(super) fn version(&self) -> ProtocolVersion {
         self.version
     }
 
-    /// When the machine last showed that it answers.
-    pub(super) fn heard(&self) -> Instant {
-        *self.state.heard.lock()
+    /// Returns when bytes were last received.
+    pub(super) fn last_received(&self) -> Instant {
+        *self.state.last_received.lock()
     }
 
-    /// Sends a question; `None` when the connection is broken or its queue is full.
-    pub(super) fn ask(&self, number: u64, question: &Question) -> Option<PendingAnswer> {
+    /// Sends a request; returns `None` if the connection is closed or its queue is full.
+    pub(super) fn send(&self, number: u64, request: &Question) -> Option<PendingResponse> {
         let (sender, receiver) = oneshot::channel();
         if self.version == ProtocolVersion::UNNAMED
-            && let Some(answer) = question.answer_for_v1()
+            && let Some(response) = request.local_response_for_v1()
         {
-            let _ = sender.send(answer);
-            return Some(PendingAnswer { number, receiver, state: Arc::clone(&self.state) });
+            let _ = sender.send(response);
+            return Some(PendingResponse { number, receiver, state: Arc::clone(&self.state) });
         }
-        let frame = Ask { number, question: question.clone() }.encode(self.version).ok()?;
-        self.state.waiting.lock().insert(number, sender);
-        let pending = PendingAnswer { number, receiver, state: Arc::clone(&self.state) };
+        let frame = Ask { number, question: request.clone() }.encode(self.version).ok()?;
+        self.state.pending.lock().insert(number, sender);
+        let pending = PendingResponse { number, receiver, state: Arc::clone(&self.state) };
         if !self.is_open() {
             return None;
         }
-        (self.questions.send(frame) == Queued::Taken).then_some(pending)
+        (self.requests.send(frame) == Queued::Taken).then_some(pending)
     }
 }
 
-/// The answer that a question waits for; dropped, it is forgotten.
-pub(super) struct PendingAnswer {
+/// A request in flight; dropping it discards the response.
+pub(super) struct PendingResponse {
     number: u64,
     receiver: oneshot::Receiver<Answer>,
     state: Arc<ConnectionState>,
 }
 
-impl PendingAnswer {
-    /// The answer; `None` when the connection broke.
-    pub(super) async fn answer(&mut self) -> Option<Answer> {
+impl PendingResponse {
+    /// Waits for the response; returns `None` if the connection is closed first.
+    pub(super) async fn receive(&mut self) -> Option<Answer> {
         (&mut self.receiver).await.ok()
     }
 }
 
-impl Drop for PendingAnswer {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        self.state.waiting.lock().remove(&self.number);
+        self.state.pending.lock().remove(&self.number);
     }
 }
 
-async fn read_answers(
+async fn read_responses(
     mut frames: FrameReader<OwnedReadHalf>,
     version: ProtocolVersion,
     state: Arc<ConnectionState>,
     address: SocketAddr,
 ) {
-    let note_sign_of_life = || *state.heard.lock() = Instant::now();
+    let record_received = || *state.last_received.lock() = Instant::now();
     let error = loop {
-        let read = Reply::read(&mut frames, version, note_sign_of_life).await;
+        let read = Reply::read(&mut frames, version, record_received).await;
         let Reply { number, answer } = match read {
             Ok(reply) => reply,
             Err(error) => break error,
         };
-        if let Some(sender) = state.waiting.lock().remove(&number) {
+        if let Some(sender) = state.pending.lock().remove(&number) {
             let _ = sender.send(answer);
         }
     };
     REFUSALS.note(address, &error);
-    // Whoever waits sees that the connection broke, and nobody begins to.
+    // Rejects new requests before the pending ones are cancelled.
     state.is_open.store(false, Ordering::Relaxed);
-    state.waiting.lock().clear();
+    state.pending.lock().clear();
 }
--- a/crates/ledger/src/client/mod.rs
+++ b/crates/ledger/src/client/mod.rs
@@ -1,14 +1,13 @@
-//! The asking side, in a gateway.
+//! Ledger client that gateways use.
 //!
-//! [`LedgerClient`] asks the machine that leads. All questions may be repeated, so it
-//! repeats them until their deadline; but a leader that is slow must not be asked more
-//! often because of it. Three things keep that so:
+//! [`LedgerClient`] sends requests to the leader and retries them until their deadline, which is
+//! safe because they are idempotent. To keep retries from overloading a slow leader:
 //!
-//! - One question at a time looks for a leader, with a message that costs nothing; the
-//!   others wait for what it finds.
-//! - A leader that stays silent is left only when another machine no longer names it as
-//!   the leader. As long as it does, the question and the connection stay.
-//! - Pauses between tries grow, and differ from gateway to gateway.
+//! - Only one request at a time searches for the leader, with an inexpensive message; the others
+//!   wait for its result.
+//! - An unresponsive leader is abandoned only if another machine no longer names it as the leader.
+//!   Until then, the request and the connection are kept.
+//! - Retries use exponential backoff with jitter.
 
 mod connection;
 mod targets;
@@ -27,18 +26,18 @@
 use crate::protocol::{Answer, Question};
 use crate::server::{machine_address, machine_number};
 use connection::Connection;
-pub use targets::Targets;
+pub use targets::LeaderTracker;
 pub use timing::ClientTiming;
 
-/// Why a question has no answer.
+/// An error returned by [`LedgerClient::ask`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AskError {
-    /// No machine answered in time; nothing is known of the question's effect.
-    #[error("no leader answered in time")]
+    /// No leader responded before the deadline; whether the request took effect is unknown.
+    #[error("no ledger leader responded before the deadline")]
     Deadline,
 }
 
-/// Asks the ledger.
+/// A client of the ledger; clones share connections and the known leader.
 #[derive(Clone)]
 pub struct LedgerClient {
     shared: Arc<Shared>,
@@ -48,180 +47,181 @@
     port: u16,
     timing: ClientTiming,
     state: Mutex<State>,
-    /// Held while a connection is opened, so that one task opens it for all.
-    opening: tokio::sync::Mutex<()>,
-    /// Held by the question that looks for a leader, for all.
-    searching: tokio::sync::Mutex<()>,
+    /// Held while a connection is opened, so that concurrent requests share it.
+    connect_lock: tokio::sync::Mutex<()>,
+    /// Held by the request that searches for the leader.
+    search_lock: tokio::sync::Mutex<()>,
 }
 
 struct State {
-    targets: Targets,
+    tracker: LeaderTracker,
     connections: HashMap<u32, Connection>,
     next_number: u64,
-    /// Until when a silent leader counts as leading.
-    vouched_until: Option<Instant>,
+    /// Time until which the confirmation of the leader by another machine is valid.
+    leader_confirmed_until: Option<Instant>,
 }
 
-/// How one try of a question ended.
+/// Outcome of a single attempt to send a request.
 enum Attempt {
     Answered(Answer),
-    /// The leader cannot tell now; it may be asked again after a pause.
+    /// The leader cannot answer at present; retried after a backoff.
     Unavailable,
-    /// It does not lead, is gone, or stayed silent.
-    Left,
+    /// The machine does not lead, is unreachable or timed out.
+    Abandoned,
 }
 
 impl LedgerClient {
-    /// Asks the machines at `seeds` first; all listen on `port`.
+    /// Creates a client that contacts the machines at `seeds` first; all machines listen on
+    /// `port`.
     pub fn new(seeds: &[Ipv4Addr], port: u16) -> Self {
         Self::with_timing(seeds, port, ClientTiming::default())
     }
 
-    /// The same, with other times.
+    /// Creates a client with the given timing.
     pub fn with_timing(seeds: &[Ipv4Addr], port: u16, timing: ClientTiming) -> Self {
         let seeds = seeds.iter().copied().map(machine_number).collect();
         let state = State {
-            targets: Targets::new(seeds, rand::rng().random()),
+            tracker: LeaderTracker::new(seeds, rand::rng().random()),
             connections: HashMap::new(),
             next_number: 0,
-            vouched_until: None,
+            leader_confirmed_until: None,
         };
         let shared = Shared {
             port,
             timing,
             state: Mutex::new(state),
-            opening: tokio::sync::Mutex::new(()),
-            searching: tokio::sync::Mutex::new(()),
+            connect_lock: tokio::sync::Mutex::new(()),
+            search_lock: tokio::sync::Mutex::new(()),
         };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Asks until there is an answer from a leader, or `deadline` has come.
+    /// Sends a request to the leader and retries it until `deadline`.
     ///
     /// # Errors
-    /// [`AskError::Deadline`].
-    pub async fn ask(&self, question: &Question, deadline: Instant) -> Result<Answer, AskError> {
+    /// Returns [`AskError::Deadline`] if no leader responds before `deadline`.
+    pub async fn ask(&self, request: &Question, deadline: Instant) -> Result<Answer, AskError> {
         let until_deadline = deadline.saturating_duration_since(Instant::now());
-        let asked = timeout(until_deadline, self.ask_until_answered(question)).await;
-        asked.map_err(|_| AskError::Deadline)
+        let result = timeout(until_deadline, self.retry_until_answered(request)).await;
+        result.map_err(|_| AskError::Deadline)
     }
 
-    async fn ask_until_answered(&self, question: &Question) -> Answer {
-        let mut pause = self.shared.timing.first_pause;
+    async fn retry_until_answered(&self, request: &Question) -> Answer {
+        let mut backoff = self.shared.timing.initial_backoff;
         loop {
             let leader = self.leader().await;
-            match self.attempt(leader, question).await {
-                Attempt::Answered(answer) => return answer,
-                Attempt::Left => {}
-                Attempt::Unavailable => self.rest(&mut pause).await,
+            match self.attempt(leader, request).await {
+                Attempt::Answered(response) => return response,
+                Attempt::Abandoned => {}
+                Attempt::Unavailable => self.back_off(&mut backoff).await,
             }
         }
     }
 
-    /// The machine that leads; looks for it when it is not known.
+    /// Returns the leader, and searches for it if it is not known.
     async fn leader(&self) -> u32 {
         if let Some(leader) = self.known_leader() {
             return leader;
         }
-        let _searching = self.shared.searching.lock().await;
-        let mut pause = self.shared.timing.first_pause;
+        let _search_guard = self.shared.search_lock.lock().await;
+        let mut backoff = self.shared.timing.initial_backoff;
         loop {
             if let Some(leader) = self.known_leader() {
                 return leader;
             }
-            if !self.search().await {
-                self.rest(&mut pause).await;
+            if !self.probe_target().await {
+                self.back_off(&mut backoff).await;
             }
         }
     }
 
     fn known_leader(&self) -> Option<u32> {
-        self.shared.state.lock().targets.leader()
+        self.shared.state.lock().tracker.leader()
     }
 
-    /// Asks the next machine whether it leads; returns whether there is another one to be
-    /// asked at once.
-    async fn search(&self) -> bool {
-        let asked = self.shared.state.lock().targets.current();
-        match self.ask_who_leads(asked).await {
+    /// Asks the current target whether it leads. Returns whether the next target may be contacted
+    /// without backoff.
+    async fn probe_target(&self) -> bool {
+        let target = self.shared.state.lock().tracker.current();
+        match self.find_leader_via(target).await {
             Some(Answer::Leads { machines }) => {
                 let mut state = self.shared.state.lock();
-                state.targets.learn(machines);
-                state.targets.confirm(asked);
+                state.tracker.update_members(machines);
+                state.tracker.confirm_leader(target);
                 true
             }
             Some(Answer::NotLeader { leader, machines }) => {
                 self.learn_machines(machines);
-                self.move_on(asked, leader)
+                self.record_refusal(target, leader)
             }
             _ => {
-                self.drop_connection(asked);
-                self.move_on(asked, None)
+                self.drop_connection(target);
+                self.record_refusal(target, None)
             }
         }
     }
 
-    async fn ask_who_leads(&self, machine: u32) -> Option<Answer> {
-        let asking = async {
+    async fn find_leader_via(&self, machine: u32) -> Option<Answer> {
+        let response = async {
             let connection = self.connection(machine).await?;
-            connection.ask(self.next_number(), &Question::FindLeader)?.answer().await
+            connection.send(self.next_number(), &Question::FindLeader)?.receive().await
         };
-        timeout(self.shared.timing.search_patience, asking).await.ok().flatten()
+        timeout(self.shared.timing.find_leader_timeout, response).await.ok().flatten()
     }
 
-    /// Asks `leader` once, and waits while it is there.
-    async fn attempt(&self, leader: u32, question: &Question) -> Attempt {
+    /// Sends the request to `leader` once and waits while its leadership is confirmed.
+    async fn attempt(&self, leader: u32, request: &Question) -> Attempt {
         let Some(connection) = self.connection(leader).await else {
-            return self.leave(leader);
+            return self.abandon(leader);
         };
-        let Some(mut pending) = connection.ask(self.next_number(), question) else {
-            return self.leave(leader);
+        let Some(mut pending) = connection.send(self.next_number(), request) else {
+            return self.abandon(leader);
         };
-        let asked = Instant::now();
-        let most_silence = self.shared.timing.most_silence;
-        let mut patience = self.shared.timing.patience_for(question);
+        let sent_at = Instant::now();
+        let max_silence = self.shared.timing.max_silence;
+        let mut silence_limit = self.shared.timing.timeout_for(request);
         loop {
-            let silent_since = connection.heard().max(asked);
+            let silent_since = connection.last_received().max(sent_at);
             let silent_for = silent_since.elapsed();
-            if silent_for >= patience {
-                if patience >= most_silence || !self.is_vouched_for(leader).await {
-                    return self.leave(leader);
+            if silent_for >= silence_limit {
+                if silence_limit >= max_silence || !self.is_leader_confirmed(leader).await {
+                    return self.abandon(leader);
                 }
-                patience = (patience * 2).min(most_silence);
+                silence_limit = (silence_limit * 2).min(max_silence);
             }
-            let wait = patience.saturating_sub(silent_for);
-            match timeout(wait, pending.answer()).await {
+            let wait = silence_limit.saturating_sub(silent_for);
+            match timeout(wait, pending.receive()).await {
                 Ok(Some(Answer::NotLeader { leader: hint, machines })) => {
                     self.learn_machines(machines);
-                    self.move_on(leader, hint);
-                    return Attempt::Left;
+                    self.record_refusal(leader, hint);
+                    return Attempt::Abandoned;
                 }
                 Ok(Some(Answer::Unavailable)) => return Attempt::Unavailable,
-                Ok(Some(answer)) => return Attempt::Answered(answer),
-                Ok(None) => return self.leave(leader),
+                Ok(Some(response)) => return Attempt::Answered(response),
+                Ok(None) => return self.abandon(leader),
                 Err(_) => {}
             }
         }
     }
 
-    /// Whether another machine names the silent `leader` as the leader.
-    async fn is_vouched_for(&self, leader: u32) -> bool {
-        let _searching = self.shared.searching.lock().await;
+    /// Returns whether another machine confirms the unresponsive `leader`.
+    async fn is_leader_confirmed(&self, leader: u32) -> bool {
+        let _search_guard = self.shared.search_lock.lock().await;
         let other = {
             let state = self.shared.state.lock();
-            if state.targets.leader() != Some(leader) {
+            if state.tracker.leader() != Some(leader) {
                 return false;
             }
-            if state.vouched_until.is_some_and(|until| Instant::now() < until) {
+            if state.leader_confirmed_until.is_some_and(|until| Instant::now() < until) {
                 return true;
             }
-            state.targets.longest_not_asked(leader)
+            state.tracker.least_recently_refused(leader)
         };
         let Some(other) = other else {
             return false;
         };
-        let answer = self.ask_who_leads(other).await;
-        let named = match answer {
+        let response = self.find_leader_via(other).await;
+        let named = match response {
             Some(Answer::NotLeader { leader: named, .. }) => named,
             Some(Answer::Leads { .. }) => Some(other),
             _ => None,
@@ -234,19 +234,19 @@
             is_named = is_named,
         );
         if is_named {
-            self.shared.state.lock().vouched_until =
-                Some(Instant::now() + self.shared.timing.vouched_for);
+            self.shared.state.lock().leader_confirmed_until =
+                Some(Instant::now() + self.shared.timing.leader_confirmation_ttl);
         } else if named.is_none() {
-            // Whoever does not answer is not asked first the next time.
-            self.shared.state.lock().targets.refused(other, None, Instant::now());
+            // Makes the next check contact another machine first.
+            self.shared.state.lock().tracker.record_refusal(other, None, Instant::now());
         }
         is_named
     }
 
-    fn leave(&self, machine: u32) -> Attempt {
+    fn abandon(&self, machine: u32) -> Attempt {
         self.drop_connection(machine);
-        self.move_on(machine, None);
-        Attempt::Left
+        self.record_refusal(machine, None);
+        Attempt::Abandoned
     }
 
     fn next_number(&self) -> u64 {
@@ -259,7 +259,7 @@
         if let Some(connection) = self.open_connection(machine) {
             return Some(connection);
         }
-        let _opening = self.shared.opening.lock().await;
+        let _connect_guard = self.shared.connect_lock.lock().await;
         if let Some(connection) = self.open_connection(machine) {
             return Some(connection);
         }
@@ -276,14 +276,15 @@
         connection.is_open().then(|| connection.clone())
     }
 
-    /// Notes the machines that a member knows.
+    /// Updates the known members of the group.
     pub fn learn_machines(&self, machines: Vec<u32>) {
-        self.shared.state.lock().targets.learn(machines);
+        self.shared.state.lock().tracker.update_members(machines);
     }
 
-    /// Turns to another machine; returns whether it may be asked at once.
-    fn move_on(&self, asked: u32, hint: Option<u32>) -> bool {
-        self.shared.state.lock().targets.refused(asked, hint, Instant::now())
+    /// Selects another target after `machine` refused a request or failed. Returns whether it may
+    /// be contacted without backoff.
+    fn record_refusal(&self, machine: u32, hint: Option<u32>) -> bool {
+        self.shared.state.lock().tracker.record_refusal(machine, hint, Instant::now())
     }
 
     fn drop_connection(&self, machine: u32) {
@@ -294,10 +295,10 @@
         }
     }
 
-    /// Sleeps for about `pause`, and makes the next one longer.
-    async fn rest(&self, pause: &mut Duration) {
-        let share = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(pause.mul_f64(share)).await;
-        *pause = (*pause * 2).min(self.shared.timing.longest_pause);
+    /// Sleeps for `backoff` with jitter, then doubles it up to the maximum.
+    async fn back_off(&self, backoff: &mut Duration) {
+        let jitter = rand::rng().random_range(0.5..1.5);
+        tokio::time::sleep(backoff.mul_f64(jitter)).await;
+        *backoff = (*backoff * 2).min(self.shared.timing.max_backoff);
     }
 }
--- a/crates/ledger/src/client/targets.rs
+++ b/crates/ledger/src/client/targets.rs
@@ -1,101 +1,103 @@
-//! Which ledger machine to ask next.
+//! Selection of the ledger machine to contact next.
 //!
-//! A machine that was cut off goes on to name the leader that it knew, and that leader
-//! may have been deposed. A hint to a machine that has just refused is therefore not
-//! followed; whoever was not asked for the longest time is next. Of machines that were
-//! not asked yet each gateway has an order of its own: hundreds of gateways that look
-//! for a leader at once must not all ask the same machine.
+//! A partitioned machine may keep naming a leader that has been replaced. Hints that name a
+//! machine that has recently refused a request are therefore ignored in favor of the machine that
+//! refused least recently. Each gateway contacts untried machines in an order of its own, so that
+//! gateways searching for a leader at the same time do not all contact the same machine.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// A machine that refused, or stayed silent, is not asked again on a hint within this.
-const REFUSAL_HOLDS: Duration = Duration::from_millis(150);
+/// Time during which hints that name a machine that refused or timed out are ignored.
+const REFUSAL_COOLDOWN: Duration = Duration::from_millis(150);
 
-/// What is known of the machines.
+/// Tracks the presumed leader and the known members.
 #[derive(Debug)]
-pub struct Targets {
+pub struct LeaderTracker {
     seeds: Vec<u32>,
-    machines: Vec<u32>,
+    members: Vec<u32>,
     target: u32,
-    /// Whether the target said that it leads, and nothing spoke against it since.
+    /// Whether the target has claimed leadership and has not refused a request since.
     is_confirmed: bool,
-    refused: HashMap<u32, Instant>,
-    /// Tells the order of this gateway from that of others.
+    /// When each machine last refused a request or timed out.
+    refused_at: HashMap<u32, Instant>,
+    /// Makes the order of untried machines specific to this gateway.
     salt: u64,
 }
 
-impl Targets {
-    /// Begins with one of `seeds`; `salt` decides which.
+impl LeaderTracker {
+    /// Creates a tracker that starts with one of `seeds`, selected by `salt`.
     pub fn new(seeds: Vec<u32>, salt: u64) -> Self {
-        let first = seeds.iter().copied().min_by_key(|seed| place(salt, *seed));
+        let first = seeds.iter().copied().min_by_key(|seed| rank(salt, *seed));
         Self {
-            machines: seeds.clone(),
+            members: seeds.clone(),
             seeds,
             target: first.unwrap_or_default(),
             is_confirmed: false,
-            refused: HashMap::new(),
+            refused_at: HashMap::new(),
             salt,
         }
     }
 
-    /// The machine to ask.
+    /// Returns the machine to contact.
     pub fn current(&self) -> u32 {
         self.target
     }
 
-    /// The machine that leads, as far as is known.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<u32> {
         self.is_confirmed.then_some(self.target)
     }
 
-    /// `machine` said that it leads.
-    pub fn confirm(&mut self, machine: u32) {
+    /// Records that `machine` has claimed leadership.
+    pub fn confirm_leader(&mut self, machine: u32) {
         self.target = machine;
         self.is_confirmed = true;
     }
 
-    /// Notes the machines of the group, as a member knows them.
-    pub fn learn(&mut self, machines: Vec<u32>) {
-        if !machines.is_empty() {
-            self.machines = machines;
+    /// Replaces the known members of the group, unless `members` is empty.
+    pub fn update_members(&mut self, members: Vec<u32>) {
+        if !members.is_empty() {
+            self.members = members;
         }
     }
 
-    /// `asked` does not lead, broke or stayed silent; `hint` is whom it believes to.
-    /// Returns whether the next machine may be asked at once.
-    pub fn refused(&mut self, asked: u32, hint: Option<u32>, now: Instant) -> bool {
-        self.refused.insert(asked, now);
-        if self.target != asked {
-            // Another question has moved on already.
+    /// Records that `machine` does not lead, failed or timed out; `hint` is the leader it named.
+    /// Returns whether the next machine may be contacted without backoff.
+    pub fn record_refusal(&mut self, machine: u32, hint: Option<u32>, now: Instant) -> bool {
+        self.refused_at.insert(machine, now);
+        if self.target != machine {
+            // Another request has already selected a new target.
             return true;
         }
         self.is_confirmed = false;
-        let hint = hint.filter(|hint| *hint != asked && !self.has_just_refused(*hint, now));
-        let next = hint.or_else(|| self.longest_not_asked(asked));
+        let hint = hint.filter(|hint| *hint != machine && !self.recently_refused(*hint, now));
+        let next = hint.or_else(|| self.least_recently_refused(machine));
         if let Some(next) = next {
             self.target = next;
         }
-        !self.has_just_refused(self.target, now)
+        !self.recently_refused(self.target, now)
     }
 
-    fn has_just_refused(&self, machine: u32, now: Instant) -> bool {
-        let refused = self.refused.get(&machine);
-        refused.is_some_and(|at| now.saturating_duration_since(*at) < REFUSAL_HOLDS)
+    fn recently_refused(&self, machine: u32, now: Instant) -> bool {
+        let refused_at = self.refused_at.get(&machine);
+        refused_at.is_some_and(|at| now.saturating_duration_since(*at) < REFUSAL_COOLDOWN)
     }
 
-    /// The machine, other than `except`, that refused longest ago.
-    pub fn longest_not_asked(&self, except: u32) -> Option<u32> {
-        let known = self.machines.iter().chain(&self.seeds).copied();
+    /// Returns the machine, other than `except`, that refused least recently; untried machines
+    /// come first.
+    pub fn least_recently_refused(&self, except: u32) -> Option<u32> {
+        let known = self.members.iter().chain(&self.seeds).copied();
         let others = known.filter(|machine| *machine != except);
-        others
-            .min_by_key(|machine| (self.refused.get(machine).copied(), place(self.salt, *machine)))
+        others.min_by_key(|machine| {
+            (self.refused_at.get(machine).copied(), rank(self.salt, *machine))
+        })
     }
 }
 
-/// Place of a machine in the order of one gateway.
-fn place(salt: u64, machine: u32) -> u64 {
+/// Rank of a machine in the order of one gateway.
+fn rank(salt: u64, machine: u32) -> u64 {
     let mut hasher = DefaultHasher::new();
     (salt, machine).hash(&mut hasher);
     hasher.finish()
--- a/crates/ledger/src/commands/mod.rs
+++ b/crates/ledger/src/commands/mod.rs
@@ -1,165 +1,165 @@
-//! What changes the state, and what comes of it.
+//! State machine commands and their results.
 //!
-//! Every command may be applied twice with the effect of once: a caller that got no
-//! answer sends the same command again, perhaps to another leader.
+//! Commands are idempotent: a caller that receives no response retries the same command, possibly
+//! with another leader.
 
 use calicohoist_limiter::IssuedPermits;
 use calicohoist_scheduler::TurnRun;
 use calicohoist_types::Zone;
 use serde::{Deserialize, Serialize};
 
-/// Identity of a program, as its caller gave it.
+/// ID of a program, chosen by its caller.
 pub type ProgramId = String;
-/// Identity of a turn: that of the request whose answer it is.
+/// ID of a turn: the ID of the request that it answers.
 pub type TurnId = String;
 
-/// A change to the state.
+/// A command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Holds a configuration if its version is the highest so far.
+    /// Stores a configuration if its version is the highest so far.
     PutConfiguration {
-        /// Its version.
+        /// Configuration version.
         version: u64,
-        /// The document, as the operator sent it.
+        /// Configuration document as the operator sent it.
         #[serde(with = "serde_bytes")]
         document: Vec<u8>,
     },
-    /// Sets tokens aside before a turn runs.
+    /// Reserves tokens before a turn runs.
     Reserve(ReserveTurn),
-    /// Ends a turn: charges what was used, and keeps the turn if it is to be retained.
+    /// Ends a turn: charges the tokens used and stores the turn if it is to be retained.
     Settle(SettleTurn),
-    /// Lets the state's own clock run on; everything that has run out is dropped.
+    /// Advances the clock of the state machine and removes expired entries.
     Advance {
-        /// Time since the last such command of the same leader, in ms.
+        /// Time since the previous `Advance` of the same leader, in ms.
         elapsed_ms: u64,
     },
-    /// Notes which name a machine has.
+    /// Registers the name of a machine.
     Enroll {
         /// Name of the machine.
         name: String,
-        /// Its number.
+        /// Machine number.
         machine: u32,
     },
-    /// Empties a machine, so that it can be taken away.
+    /// Starts moving data off a machine so that it can be removed.
     Retire {
         /// Name of the machine.
         name: String,
-        /// Machines that would be left, as the leader counts its members.
+        /// Number of members that would remain, according to the leader.
         remaining: usize,
-        /// Machines that must be left.
+        /// Minimum number of members that must remain.
         must_remain: usize,
     },
-    /// Moves what was said in retained turns out of memory into a segment.
+    /// Moves the content of retained turns from memory into a segment on disk.
     Seal,
-    /// Notes the permits that the leader has issued since its last note.
+    /// Records the permits that the leader has issued since the previous `NotePermits`.
     NotePermits {
-        /// By tenant.
+        /// Issued permits by tenant.
         issued: Vec<IssuedPermits>,
-        /// Time since the last such command of the same leader, in ms.
+        /// Time since the previous `NotePermits` of the same leader, in ms.
         elapsed_ms: u64,
     },
-    /// Sends nothing more to the replicas of a zone.
+    /// Stops sending requests to the replicas of a zone.
     DrainZone {
-        /// The zone.
+        /// Affected zone.
         zone: Zone,
     },
-    /// Takes a drained zone into use again.
+    /// Resumes sending requests to a drained zone.
     RestoreZone {
-        /// The zone.
+        /// Affected zone.
         zone: Zone,
     },
 }
 
-/// Sets tokens aside for one turn.
+/// Reserves tokens for one turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveTurn {
-    /// The program whose account is charged; `None` for a turn without a budget.
+    /// Program whose account is charged; `None` for a turn without a budget.
     pub program: Option<ProgramId>,
-    /// The turn.
+    /// ID of the turn.
     pub turn: TurnId,
-    /// Most tokens that it generates.
+    /// Maximum number of tokens that the turn generates.
     pub most_tokens: u64,
-    /// Tokens that all turns of the program may generate together.
+    /// Total number of tokens that the turns of the program may generate.
     pub budget: u64,
-    /// The turn it continues from.
+    /// Turn that this one continues from.
     pub previous: Option<TurnId>,
-    /// How long the account is kept without use, in ms.
+    /// Time after its last use at which the account expires, in ms.
     pub retention_ms: u64,
 }
 
 /// Ends one turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleTurn {
-    /// The program whose account is charged.
+    /// Program whose account is charged; `None` for a turn without a budget.
     pub program: Option<ProgramId>,
-    /// The turn.
+    /// ID of the turn.
     pub turn: TurnId,
-    /// Tokens that were handed to the caller.
+    /// Number of tokens delivered to the caller.
     pub used_tokens: u64,
-    /// How long account and turn are kept without use, in ms.
+    /// Time after their last use at which account and turn expire, in ms.
     pub retention_ms: u64,
-    /// What is kept of a turn that ended whole on a retaining route.
+    /// Content to retain, if the turn completed on a route with retention.
     pub retained: Option<RetainedTurn>,
-    /// Where it ran; every machine learns from it what replicas hold.
+    /// Where the turn ran, from which machines derive the contents of prefix caches.
     pub run: Option<Box<TurnRun>>,
 }
 
-/// What is kept of a turn.
+/// Retained content of a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetainedTurn {
-    /// The turn it continued from.
+    /// Turn that this one continued from.
     pub previous: Option<TurnId>,
-    /// Its new input.
+    /// New input of the turn.
     #[serde(with = "serde_bytes")]
     pub input: Vec<u8>,
-    /// The data of its events, each with a line feed after it.
+    /// Data of the events of the turn, each followed by a line feed.
     #[serde(with = "serde_bytes")]
     pub output: Vec<u8>,
 }
 
-/// What came of a command.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Output {
-    /// A configuration of this version is held now.
+    /// Result of `PutConfiguration`.
     Configuration {
-        /// The highest version.
+        /// Version of the stored configuration.
         version: u64,
     },
-    /// What came of a reservation.
+    /// Result of `Reserve`.
     Reservation(Reservation),
-    /// What came of retiring a machine.
+    /// Result of `Retire`.
     Retiring(RetiringOutcome),
-    /// It was done.
+    /// The command was applied.
     Done,
-    /// The command could not be read; nothing was changed, and the replica stops.
+    /// The command could not be decoded; the state is unchanged and the replica stops.
     Unreadable,
-    /// The drained zones have this version now.
+    /// Result of `DrainZone` and `RestoreZone`.
     DrainedZones {
-        /// It rises with every change.
+        /// Version of the set of drained zones, incremented with each change.
         version: u64,
     },
 }
 
-/// Whether a turn may run.
+/// Result of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reservation {
-    /// Its most is set aside.
+    /// The maximum number of tokens of the turn is reserved.
     Granted,
-    /// It does not fit into what is left of the budget.
+    /// The remaining budget is insufficient.
     BudgetSpent,
-    /// The turn it continues from does not exist.
+    /// The turn to continue from does not exist.
     NoSuchTurn,
-    /// The turn was ended before; this is a late repetition.
+    /// The turn has already ended; the command is a delayed duplicate.
     Ended,
 }
 
-/// Whether a machine is being emptied.
+/// Result of a request to retire a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetiringOutcome {
-    /// It is, or has been.
+    /// Retirement of the machine is in progress or complete.
     Accepted,
-    /// No machine has that name.
+    /// No machine with that name is registered.
     Unknown,
-    /// Too few machines would be left.
+    /// Too few members would remain.
     TooFewLeft,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,13 +1,13 @@
-//! What must survive: the configuration, the budgets of programs, and retained turns.
+//! Replicated store for the configuration, program budgets and retained turns.
 //!
-//! Layers, each knowing only those above it in this list:
+//! Each layer depends only on those listed before it:
 //!
-//! - [`commands`]: what changes the state, and what comes of it;
+//! - [`commands`]: state machine commands and their results;
 //! - [`state`]: the replicated state machine, without I/O;
-//! - [`queries`]: what is read from it;
-//! - [`protocol`]: what gateways ask of a ledger machine;
-//! - [`server`]: the process of a ledger machine;
-//! - [`client`]: the asking side, in a gateway.
+//! - [`queries`]: read-only queries on the state;
+//! - [`protocol`]: messages between gateways and ledger machines;
+//! - [`server`]: the server process of a ledger machine;
+//! - [`client`]: the client that gateways use.
 
 pub mod client;
 pub mod commands;
--- a/crates/ledger/src/packed.rs
+++ b/crates/ledger/src/packed.rs
@@ -1,39 +1,38 @@
-//! Documents, packed for their way to the gateways.
+//! Compression of documents that are sent to gateways.
 
 use calicohoist_wire::MAX_FRAME_BYTES;
 use serde::{Deserialize, Serialize};
 
-/// Bytes in a compressed form. A configuration of 2,000 routes takes 59 kB instead of 654 kB;
-/// packing it takes 0.7 ms and unpacking 0.1 to 0.5 ms of a whole core (three runs in one process).
+/// LZ4-compressed bytes, prefixed with their uncompressed size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedBytes(#[serde(with = "serde_bytes")] Vec<u8>);
 
-/// Why bytes could not be unpacked.
+/// An error returned by [`PackedBytes::unpack`].
 #[derive(Debug, thiserror::Error)]
 pub enum UnpackError {
-    /// They are not what was packed.
-    #[error("packed bytes are damaged: {0}")]
+    /// The compressed data is corrupt.
+    #[error("corrupt compressed data: {0}")]
     Damaged(#[from] lz4_flex::block::DecompressError),
-    /// They say that they become more than a frame may hold.
-    #[error("{0} bytes are too long")]
+    /// The declared uncompressed size exceeds the frame size limit.
+    #[error("uncompressed size of {0} bytes exceeds the frame size limit")]
     TooLong(usize),
 }
 
 impl PackedBytes {
-    /// Packs `bytes`.
+    /// Compresses `bytes`.
     pub fn pack(bytes: &[u8]) -> Self {
         Self(lz4_flex::compress_prepend_size(bytes))
     }
 
-    /// What was packed.
+    /// Returns the uncompressed bytes.
     ///
     /// # Errors
-    /// See [`UnpackError`].
+    /// Returns [`UnpackError`] if the data is corrupt or declares too large a size.
     pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
-        let (length, packed) = lz4_flex::block::uncompressed_size(&self.0)?;
-        if length > MAX_FRAME_BYTES {
-            return Err(UnpackError::TooLong(length));
+        let (size, compressed) = lz4_flex::block::uncompressed_size(&self.0)?;
+        if size > MAX_FRAME_BYTES {
+            return Err(UnpackError::TooLong(size));
         }
-        Ok(lz4_flex::decompress(packed, length)?)
+        Ok(lz4_flex::decompress(compressed, size)?)
     }
 }
--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! What gateways ask of a ledger machine.
+//! Request and response messages between gateways and ledger machines.
 //!
-//! One connection carries many questions at a time; the number tells which answer
-//! belongs to which. Every question may be asked again, of any machine. The forms here are those of
-//! the newest version, see [`SPOKEN`].
+//! Requests are multiplexed over one connection and matched to responses by number. Every request
+//! is idempotent and may be retried on any machine. The types here are those of the latest
+//! protocol version, see [`SPOKEN`].
 
 mod v1;
 mod version;
@@ -18,108 +18,110 @@
 use crate::packed::PackedBytes;
 pub use version::{NEWEST, SPOKEN};
 
-/// A numbered question.
+/// A request with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Ask {
-    /// Tells the answer; unique within the connection.
+    /// Number that the response repeats; unique within the connection.
     pub number: u64,
-    /// The question.
+    /// The request.
     pub question: Question,
 }
 
-/// A numbered answer.
+/// A response with the number of its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// Number of the question.
+    /// Number of the request.
     pub number: u64,
-    /// The answer.
+    /// The response.
     pub answer: Answer,
 }
 
-/// What a gateway asks.
+/// A request from a gateway to a ledger machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Question {
-    /// May this turn run, and what came before it?
+    /// Reserves tokens for a turn and returns the history before it.
     Reserve {
-        /// What to set aside.
+        /// Reservation of tokens.
         reserve: ReserveTurn,
-        /// Where it may run; `None` when it needs no place.
+        /// Placement constraints; `None` if the turn needs no placement.
         placement: Option<PlacementRequest>,
-        /// Asks for its permit; `None` without a limit.
+        /// Permit request; `None` if the tenant has no rate limit.
         permit: Option<PermitRequest>,
     },
-    /// May a request run that makes no reservation?
+    /// Requests a permit for a request that makes no reservation.
     Permit(PermitRequest),
-    /// Where does this turn run, whose reservation was granted? Held while it waits.
+    /// Requests placement of a turn whose reservation was granted. The response is held while the
+    /// turn is queued.
     Place {
-        /// The turn.
+        /// ID of the turn.
         turn: TurnId,
-        /// Where it may run.
+        /// Placement constraints.
         placement: PlacementRequest,
     },
-    /// Keep the end of this turn.
+    /// Records the end of a turn.
     Settle(SettleTurn),
-    /// What is newer than this? Held for a while when nothing is.
+    /// Long poll for changes since the given versions.
     Watch(Seen),
-    /// This replica gave no answer to a request.
+    /// Reports that a replica did not respond to a request.
     ReportFailure {
-        /// Identity of the replica.
+        /// ID of the replica.
         replica: String,
     },
-    /// Who leads? Held for a while when nobody does. It touches neither log nor disk.
+    /// Requests the current leader. The response is held for a while if there is none. Needs no
+    /// access to log or disk.
     FindLeader,
 }
 
-/// What a gateway has seen so far.
+/// Versions that a gateway has seen so far, and its report of load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
-    /// Name of the gateway, for its reports of load.
+    /// Name of the gateway that the load report belongs to.
     pub gateway: String,
-    /// Version of its configuration.
+    /// Configuration version.
     pub configuration: u64,
-    /// Its list of replicas.
+    /// Digest of the replica list.
     pub list: ListMark,
-    /// Requests that it has under way, by replica.
+    /// Number of requests in flight from this gateway, by replica.
     pub loads: Vec<(String, u32)>,
-    /// The newest of its leader's changes to the replicas that are left alone.
+    /// Version of the set of failing replicas.
     pub failing: ChangeMark,
-    /// The newest of its leader's changes to the replicas that are cold.
+    /// Version of the set of cold replicas.
     pub cold: ChangeMark,
-    /// Version of the drained zones; `None` before the gateway has been told any. It needs no
-    /// term: it counts changes in the log, on which all leaders agree.
+    /// Version of the set of drained zones; `None` if not yet received. Independent of the term
+    /// because it counts committed changes.
     pub drained: Option<u64>,
 }
 
-/// Names a state of something that a leader keeps in memory and tells gateways about: which
-/// replicas are left alone, which are cold. Each of these has a mark of its own.
+/// Version of state that a leader keeps in memory only and distributes to gateways, such as the
+/// set of failing replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeMark {
     /// Term of the leader.
     pub term: u64,
-    /// Counts its changes.
+    /// Number of changes within the term.
     pub change: u64,
 }
 
 impl ChangeMark {
-    /// The mark after one more change by the leader of `term`.
+    /// Returns the version that follows a change by the leader of `term`.
     pub fn next(self, term: u64) -> Self {
         let change = if self.term == term { self.change + 1 } else { 1 };
         Self { term, change }
     }
 }
 
-/// Digest of a list of replicas. Leaders that read the same list give it the same mark, so
-/// that a change of leader is no reason to send it to every gateway; 0 is no list.
+/// Digest of a replica list; 0 stands for no list. It does not depend on the leader, so a change
+/// of leader does not cause the list to be sent to every gateway again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ListMark(u64);
 
 impl ListMark {
-    /// The mark of a list with these replicas, in this order.
+    /// Computes the digest of a list, which depends on the order of the replicas.
     pub fn of(replicas: &[Replica]) -> Self {
         let mut digest = blake3::Hasher::new();
         for replica in replicas {
-            // A list that cannot be encoded differs from every other one by its length.
+            // A replica that cannot be encoded is hashed as an empty encoding.
             let encoded = calicohoist_wire::encode(replica).unwrap_or_default();
             digest.update(&(encoded.len() as u64).to_le_bytes());
             digest.update(&encoded);
@@ -135,80 +137,82 @@
     }
 }
 
-/// What a ledger machine answers.
+/// A response of a ledger machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// What came of a reservation.
+    /// Response to [`Question::Reserve`].
     Reserved {
-        /// Whether the turn may run.
+        /// Result of the reservation.
         reservation: Reservation,
-        /// All input and output before it, when granted.
+        /// All input and output before the turn, if the reservation was granted.
         #[serde(with = "serde_bytes")]
         history: Vec<u8>,
-        /// When and where it runs; `None` when it needs no place.
+        /// Placement decision; `None` if the turn needs no placement.
         decision: Option<Decision>,
-        /// Whether its program has begun with an earlier turn.
+        /// Whether an earlier turn of the program has started.
         is_under_way: bool,
-        /// Whether its tenant's limit lets it run; `None` without a limit.
+        /// Rate limit decision; `None` if the tenant has no rate limit.
         permit: Option<PermitAnswer>,
     },
-    /// Whether a tenant's limit lets a request run.
+    /// Response to [`Question::Permit`].
     Permit(PermitAnswer),
-    /// When and where a turn runs.
+    /// Response to [`Question::Place`].
     Placed(Decision),
-    /// The end of the turn is durable.
+    /// Response to [`Question::Settle`]: the end of the turn is durable.
     Settled,
-    /// The report was taken.
+    /// Response to [`Question::ReportFailure`].
     Noted,
-    /// A configuration that is newer than the one that was seen.
+    /// A configuration newer than the one that the gateway has.
     Configuration {
-        /// Its version.
+        /// Configuration version.
         version: u64,
-        /// The document.
+        /// Compressed configuration document.
         document: PackedBytes,
     },
-    /// A list of replicas that is not the one that was seen.
+    /// A replica list that differs from the one that the gateway has.
     List {
-        /// Tells it from others.
+        /// Digest of the list.
         mark: ListMark,
-        /// The list.
+        /// Replica list.
         list: ReplicaList,
     },
-    /// Nothing large is newer than what was seen.
+    /// Response to [`Question::Watch`] if configuration, replica list and drained zones are
+    /// unchanged.
     News(News),
-    /// The machine that was asked leads.
+    /// The contacted machine is the leader.
     Leads {
-        /// All machines of the group.
+        /// All members of the group.
         machines: Vec<u32>,
     },
-    /// Another machine leads.
+    /// The contacted machine is not the leader.
     NotLeader {
-        /// The one believed to.
+        /// Presumed leader, if known.
         leader: Option<u32>,
-        /// All machines known here.
+        /// Members known to the contacted machine.
         machines: Vec<u32>,
     },
-    /// It cannot be answered now; nothing is known of its effect.
+    /// The request cannot be answered now; whether it took effect is unknown.
     Unavailable,
-    /// The drained zones, when the gateway has seen another version of them. Sent before all
-    /// other news, so that a gateway with a configuration knows which zones are drained.
+    /// The drained zones, if the gateway has another version. Sent before all other updates, so
+    /// that a gateway with a configuration always knows which zones are drained.
     DrainedZones(DrainedZones),
 }
 
-/// What a leader with a quorum behind it tells a gateway.
+/// Update that a leader with a confirmed quorum sends to a gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct News {
-    /// Age of the newest reading of discovery, in ms; `None` before the first.
+    /// Age of the latest replica list from discovery, in ms; `None` before the first.
     pub list_age_ms: Option<u64>,
-    /// Requests that all other gateways have under way, for each replica of the newest
-    /// list, in its order.
+    /// Number of requests in flight from all other gateways, for each replica in the order of the
+    /// latest list.
     pub loads: Vec<u32>,
-    /// The list that `loads` goes with.
+    /// Digest of the list that `loads` refers to.
     pub loads_of: ListMark,
-    /// All machines known.
+    /// All known members of the group.
     pub machines: Vec<u32>,
-    /// The replicas to be left alone, each with the ms left, if that has changed.
+    /// Failing replicas that receive no requests, each with the remaining time in ms, if the set
+    /// has changed.
     pub failing: Option<(ChangeMark, Vec<(String, u32)>)>,
-    /// The cold replicas, each with the ms left, if one became cold.
+    /// Cold replicas, each with the remaining time in ms, if a replica has become cold.
     pub cold: Option<(ChangeMark, Vec<(String, u32)>)>,
 }
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -1,7 +1,8 @@
-//! Messages of version 1, which builds without version numbers speak, and their translation.
+//! Messages of protocol version 1, used by builds without version negotiation, and conversions
+//! from and to the latest version.
 //!
-//! Only this module knows their form. What the other side does not know is left out, or told in a
-//! way that it understands and that is safe; each conversion says how.
+//! Information that version 1 cannot represent is omitted or mapped to a safe equivalent, as
+//! documented at each conversion.
 
 use std::time::Duration;
 
@@ -14,7 +15,7 @@
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
 use crate::packed::PackedBytes;
 
-/// A numbered question of version 1.
+/// A request of version 1 with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AskV1 {
     number: u64,
@@ -41,7 +42,7 @@
     FindLeader,
 }
 
-/// Without homes and limits of cold replicas.
+/// Placement request without home regions and limits for cold replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PlacementRequestV1 {
     service: String,
@@ -55,7 +56,7 @@
     is_under_way: bool,
 }
 
-/// Without cold replicas and drained zones.
+/// Watch request without cold replicas and drained zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SeenV1 {
     gateway: String,
@@ -65,7 +66,7 @@
     failing: ChangeMark,
 }
 
-/// A numbered answer of version 1.
+/// A response of version 1 with the number of its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplyV1 {
     number: u64,
@@ -113,7 +114,7 @@
     Refuse(Duration),
 }
 
-/// Without cold replicas.
+/// Watch update without cold replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct NewsV1 {
     list_age_ms: Option<u64>,
@@ -142,7 +143,7 @@
     }
 }
 
-/// Builds of version 1 know replicas by their identity alone, whenever they started.
+/// Replica IDs are reduced to the identity, since version 1 has no incarnations.
 impl From<Ask> for AskV1 {
     fn from(Ask { number, question }: Ask) -> Self {
         let question = match question {
@@ -155,13 +156,13 @@
             }
             Question::Settle(mut settle) => {
                 if let Some(run) = &mut settle.run {
-                    strip(&mut run.replica);
+                    strip_incarnation(&mut run.replica);
                 }
                 QuestionV1::Settle(settle)
             }
             Question::Watch(seen) => QuestionV1::Watch(seen.into()),
             Question::ReportFailure { mut replica } => {
-                strip(&mut replica);
+                strip_incarnation(&mut replica);
                 QuestionV1::ReportFailure { replica }
             }
             Question::FindLeader => QuestionV1::FindLeader,
@@ -170,7 +171,7 @@
     }
 }
 
-/// A gateway of version 1 binds no request to regions and limits no cold replica.
+/// Gateways of version 1 restrict neither home regions nor load on cold replicas.
 impl From<PlacementRequestV1> for PlacementRequest {
     fn from(request: PlacementRequestV1) -> Self {
         let PlacementRequestV1 {
@@ -200,8 +201,8 @@
     }
 }
 
-/// A leader of version 1 knows neither homes nor cold replicas. The gateway sends nothing to a
-/// replica that it may not use itself, wherever the leader has placed the request.
+/// Leaders of version 1 support neither home regions nor cold replicas. The gateway enforces these
+/// restrictions itself, whatever placement the leader returns.
 impl From<PlacementRequest> for PlacementRequestV1 {
     fn from(request: PlacementRequest) -> Self {
         let PlacementRequest {
@@ -217,7 +218,7 @@
             homes: _,
             cold: _,
         } = request;
-        connected.iter_mut().for_each(strip);
+        connected.iter_mut().for_each(strip_incarnation);
         Self {
             service,
             zone,
@@ -232,7 +233,7 @@
     }
 }
 
-/// A gateway of version 1 has been told nothing of cold replicas and drained zones.
+/// Gateways of version 1 have no version of cold replicas and drained zones.
 impl From<SeenV1> for Seen {
     fn from(SeenV1 { gateway, configuration, list, loads, failing }: SeenV1) -> Self {
         let (cold, drained) = (ChangeMark::default(), None);
@@ -243,7 +244,7 @@
 impl From<Seen> for SeenV1 {
     fn from(seen: Seen) -> Self {
         let Seen { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } = seen;
-        loads.iter_mut().for_each(|(replica, _)| strip(replica));
+        loads.iter_mut().for_each(|(replica, _)| strip_incarnation(replica));
         Self { gateway, configuration, list, loads, failing }
     }
 }
@@ -290,7 +291,7 @@
             Answer::News(news) => AnswerV1::News(news.into()),
             Answer::Leads { machines } => AnswerV1::Leads { machines },
             Answer::NotLeader { leader, machines } => AnswerV1::NotLeader { leader, machines },
-            // Drained zones are told in the list; the gateway asks again and gets that one.
+            // Version 1 gateways retry and then receive drained zones as part of the replica list.
             Answer::Unavailable | Answer::DrainedZones(_) => AnswerV1::Unavailable,
         };
         Self { number, answer }
@@ -303,7 +304,7 @@
             DecisionV1::Run(replica) => Self::Run(replica),
             DecisionV1::RunAnywhere => Self::RunAnywhere,
             DecisionV1::Wait => Self::Wait,
-            DecisionV1::Refuse(after) => Self::Refuse(after),
+            DecisionV1::Refuse(retry_after) => Self::Refuse(retry_after),
         }
     }
 }
@@ -312,12 +313,12 @@
     fn from(decision: Decision) -> Self {
         match decision {
             Decision::Run(mut replica) | Decision::RunCold { mut replica, .. } => {
-                strip(&mut replica);
+                strip_incarnation(&mut replica);
                 Self::Run(replica)
             }
             Decision::RunAnywhere => Self::RunAnywhere,
             Decision::Wait => Self::Wait,
-            Decision::Refuse(after) => Self::Refuse(after),
+            Decision::Refuse(retry_after) => Self::Refuse(retry_after),
         }
     }
 }
@@ -332,15 +333,15 @@
     fn from(news: News) -> Self {
         let News { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
         let replicas = failing.iter_mut().flat_map(|(_, replicas)| replicas);
-        replicas.for_each(|(replica, _)| strip(replica));
+        replicas.for_each(|(replica, _)| strip_incarnation(replica));
         Self { list_age_ms, loads, loads_of, machines, failing }
     }
 }
 
 impl Question {
-    /// What a leader of version 1 need not be asked. It has never drained a zone, since that takes
-    /// a ledger without machines of its version.
-    pub fn answer_for_v1(&self) -> Option<Answer> {
+    /// Returns the response to a request that a leader of version 1 does not support. No zone can
+    /// be drained while the leader runs version 1.
+    pub fn local_response_for_v1(&self) -> Option<Answer> {
         match self {
             Self::Watch(Seen { drained: None, .. }) => {
                 Some(Answer::DrainedZones(DrainedZones::none()))
@@ -350,8 +351,8 @@
     }
 }
 
-/// Leaves the identity of a replica and drops when it started.
-fn strip(replica: &mut String) {
-    let identity = Incarnation::identity_of(replica).len();
-    replica.truncate(identity);
+/// Removes the incarnation from a replica ID, which leaves its identity.
+fn strip_incarnation(replica: &mut String) {
+    let identity_len = Incarnation::identity_of(replica).len();
+    replica.truncate(identity_len);
 }
--- a/crates/ledger/src/protocol/version.rs
+++ b/crates/ledger/src/protocol/version.rs
@@ -1,12 +1,12 @@
-//! The versions of the messages between gateways and ledger machines, and among these.
+//! Versions of the protocol between gateways and ledger machines, and among ledger machines.
 //!
-//! | version | since | what is new |
+//! | version | since | changes |
 //! |---|---|---|
-//! | 1 | builds that name none | |
-//! | 2 | drained zones | versions, zones of ledger machines, packed frames, drained zones, cold replicas, homes |
+//! | 1 | builds without protocol versions | |
+//! | 2 | drained zones | versions, zones of ledger machines, compressed frames, drained zones, cold replicas, home regions |
 //!
-//! A change to the form of any message needs a new version, and a translation from and to the one
-//! before in a module of its own. Inside, there are only the newest forms.
+//! Any change to the encoding of a message requires a new version and a module that converts from
+//! and to the previous version. All other code uses the types of the latest version only.
 
 use calicohoist_transport::{Frame, FrameError, FrameReader, ProtocolVersion, VersionRange};
 use tokio::io::AsyncRead;
@@ -14,17 +14,17 @@
 use super::v1::{AskV1, ReplyV1};
 use super::{Ask, Reply};
 
-/// The newest version.
+/// Latest protocol version.
 pub const NEWEST: ProtocolVersion = ProtocolVersion::new(2);
-/// Versions that this build speaks: machines are replaced one after the other, so that those of the
-/// build before go on beside it.
+/// Protocol versions that this build supports. During a rolling upgrade, machines of the previous
+/// build run alongside it.
 pub const SPOKEN: VersionRange = VersionRange { oldest: ProtocolVersion::UNNAMED, newest: NEWEST };
 
 impl Ask {
-    /// Its frame in this version.
+    /// Encodes the message as a frame of the given protocol version.
     ///
     /// # Errors
-    /// When it cannot be represented or is too long.
+    /// Returns [`FrameError`] if the message cannot be encoded or exceeds the frame size limit.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
             ProtocolVersion::UNNAMED => Frame::encode(&AskV1::from(self)),
@@ -32,10 +32,10 @@
         }
     }
 
-    /// The next one that comes in this version.
+    /// Reads the next message in the given protocol version.
     ///
     /// # Errors
-    /// See [`FrameError`]; the connection is of no use afterwards.
+    /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn read<R: AsyncRead + Unpin>(
         frames: &mut FrameReader<R>,
         version: ProtocolVersion,
@@ -48,10 +48,10 @@
 }
 
 impl Reply {
-    /// Its frame in this version.
+    /// Encodes the message as a frame of the given protocol version.
     ///
     /// # Errors
-    /// When it cannot be represented or is too long.
+    /// Returns [`FrameError`] if the message cannot be encoded or exceeds the frame size limit.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
             ProtocolVersion::UNNAMED => Frame::encode(&ReplyV1::from(self)),
@@ -59,11 +59,11 @@
         }
     }
 
-    /// The next one that comes in this version; `on_bytes` is called whenever bytes have come, of
-    /// a whole one or not.
+    /// Reads the next message in the given protocol version. Calls `on_bytes` whenever bytes
+    /// arrive, even if the message is still incomplete.
     ///
     /// # Errors
-    /// See [`FrameError`]; the connection is of no use afterwards.
+    /// See [`FrameError`]; the connection is unusable afterwards.
     pub async fn read<R: AsyncRead + Unpin>(
         frames: &mut FrameReader<R>,
         version: ProtocolVersion,
--- a/crates/ledger/src/queries.rs
+++ b/crates/ledger/src/queries.rs
@@ -1,16 +1,16 @@
-//! What is read from the state, once a quorum stands behind the reader.
+//! Read-only queries on the state; callers confirm leadership with a quorum first.
 
 use crate::commands::TurnId;
 use crate::state::{HeldConfiguration, HistoryPiece, LedgerState};
 
-/// The configuration in force; `None` before the first.
+/// Returns the current configuration, or `None` if none has been stored yet.
 pub fn configuration(state: &LedgerState) -> Option<&HeldConfiguration> {
     let held = state.configuration();
     (held.version > 0).then_some(held)
 }
 
-/// All input and output before a turn that continues from `previous`, oldest first;
-/// `None` when part of it is not kept.
+/// Returns all input and output before a turn that continues from `previous`, oldest first, or
+/// `None` if part of it is no longer retained.
 pub fn history<'a>(
     state: &'a LedgerState,
     previous: Option<&TurnId>,
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -1,16 +1,7 @@
-//! Machines are replaced one after the other, so processes of two builds run side by side, and
-//! they have to understand each other. Once they did not. The greeting between ledger machines had a
-//! field more than before, and so had what gateways ask and what they are told; a message with bytes
-//! left over is refused, and whoever cannot read a frame closes the connection. A replaced gateway
-//! had no configuration until a replaced ledger machine led, a replaced ledger machine heard nothing of
-//! its group, and when it led, gateways of the build before went on with an older configuration.
-//! One of those logged every 180 ms
+//! Compatibility with processes that use protocol version 1, as during a rolling upgrade.
 //!
-//! `60.64 LedgerConnected machine=10.3.0.42:7481`
-//! `60.64 LedgerLost machine=10.3.0.42:7481`
-//!
-//! and answered 404 by version 68 while version 71 had been acknowledged 3 s before. What the build
-//! before wrote is kept here as bytes.
+//! Guards against message changes without a new protocol version: peers that cannot decode a
+//! message close the connection, so gateways get no updates and ledger machines lose their peers.
 
 mod support;
 
@@ -30,43 +21,45 @@
 use calicohoist_transport::{Frame, FrameReader, ProtocolVersion, bind, frame_of};
 use calicohoist_types::Zone;
 use calicohoist_wire::encode;
-use support::older::{OlderGateway, OlderLeader, OlderMachine, sample};
-use support::{LOCAL, LONG, OnCommand, PEER, Pair, settings};
+use support::older::{V1Follower, V1Gateway, V1Leader, sample};
+use support::{LOCAL, MachineWithPeer, PEER, PeerReaction, TEST_TIMEOUT, settings};
 use tokio::sync::watch;
 
 #[tokio::test]
-async fn a_gateway_of_the_build_before_follows_a_leader_of_this_one() {
-    let mut pair = Pair::start();
-    pair.follow().await;
+async fn a_v1_gateway_works_with_a_current_leader() {
+    let mut machine = MachineWithPeer::start();
+    machine.run_peer_until_leader().await;
     let document = b"{\"version\":74}".to_vec();
     let put = Request::Change(Command::PutConfiguration { version: 74, document });
-    pair.ask(put, OnCommand::Acknowledge).await;
-    let address = pair.serve_gateways().await;
-
-    let asked = async {
-        let mut gateway = OlderGateway::connect(address).await;
-        let told = gateway.ask(&sample("ask.watch")).await;
-        let reserved = gateway.ask(&sample("ask.reserve")).await;
-        (told, reserved)
+    machine.request(put, PeerReaction::Acknowledge).await;
+    let address = machine.serve_gateways().await;
+
+    let requests = async {
+        let mut gateway = V1Gateway::connect(address).await;
+        let update = gateway.request(&sample("ask.watch")).await;
+        let reserved = gateway.request(&sample("ask.reserve")).await;
+        (update, reserved)
     };
-    let (told, reserved) = pair.follow_while(asked).await;
+    let (update, reserved) = machine.run_peer_while(requests).await;
 
-    assert_eq!(told, Some(sample("reply.configuration")));
-    // Number, kind of answer, granted, no history, a decision. Without a replica the turn waits, or
-    // any will do once gateways have had their time to report.
-    let reserved = reserved.expect("answered");
+    assert_eq!(update, Some(sample("reply.configuration")));
+    // Number, response variant, reservation granted, empty history, decision present. Without
+    // replicas the decision is `Wait`, or `RunAnywhere` once gateways have had time to report
+    // load.
+    let reserved = reserved.expect("no response");
     assert_eq!(reserved[..5], [1, 0, 0, 0, 1]);
-    let [any, waits] = ["run_anywhere", "wait"].map(|name| sample(&format!("reply.placed.{name}")));
-    assert!([any[2], waits[2]].contains(&reserved[5]), "{reserved:?}");
+    let [run_anywhere, wait] =
+        ["run_anywhere", "wait"].map(|name| sample(&format!("reply.placed.{name}")));
+    assert!([run_anywhere[2], wait[2]].contains(&reserved[5]), "{reserved:?}");
 }
 
-/// It names replicas to themselves by what it is told, and knows no drained zones.
+/// Version 1 gateways use replica identities without incarnations and have no drained zones.
 #[tokio::test]
-async fn a_gateway_of_the_build_before_is_told_bare_identities_and_drained_zones_as_leaving() {
-    let mut pair = Pair::start();
-    pair.follow().await;
+async fn a_v1_gateway_receives_plain_identities_and_drained_zones_as_draining_replicas() {
+    let mut machine = MachineWithPeer::start();
+    machine.run_peer_until_leader().await;
     let drain = Command::DrainZone { zone: Zone::new("b") };
-    pair.ask(Request::Change(drain), OnCommand::Acknowledge).await;
+    machine.request(Request::Change(drain), PeerReaction::Acknowledge).await;
     let replica = |id: &str, zone: &str| Replica {
         id: id.to_owned(),
         service: "lm".to_owned(),
@@ -78,35 +71,37 @@
     let replicas = vec![replica("r1@1790000000000", "a"), replica("r2", "b")];
     let reading = Reading {
         mark: ListMark::of(&replicas),
-        term: pair.standing.borrow().term,
+        term: machine.standing.borrow().term,
         list: Arc::new(ReplicaList { version: 1, replicas }),
         ..Reading::default()
     };
-    let address = pair.serve_gateways_with(reading).await;
-    let asked = async {
-        let mut gateway = OlderGateway::connect(address).await;
-        let listed = gateway.ask(&sample("ask.watch")).await.expect("answered");
-        let placed = gateway.ask(&sample("ask.reserve")).await.expect("answered");
-        (listed, placed)
+    let address = machine.serve_gateways_with(reading).await;
+    let requests = async {
+        let mut gateway = V1Gateway::connect(address).await;
+        let list_response = gateway.request(&sample("ask.watch")).await.expect("no response");
+        let placed = gateway.request(&sample("ask.reserve")).await.expect("no response");
+        (list_response, placed)
     };
-    let (listed, placed) = pair.follow_while(asked).await;
+    let (list_response, placed) = machine.run_peer_while(requests).await;
 
-    let framed = frame_of(&listed);
+    let framed = frame_of(&list_response);
     let mut frames = FrameReader::new(framed.as_slice());
-    let reply = Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await.expect("read");
+    let reply =
+        Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await.expect("read reply");
     let Answer::List { mark, list } = reply.answer else { panic!("{reply:?}") };
-    let told: Vec<_> = list.replicas.iter().map(|told| (told.id.as_str(), told.state)).collect();
-    assert_eq!(told, [("r1", ReplicaState::Ready), ("r2", ReplicaState::Draining)]);
-    assert_eq!(mark, ListMark::of(&list.replicas), "another mark than that of the list itself");
-    let start = placed.windows(2).any(|bytes| bytes == b"1@");
-    assert!(!start, "a placement names the identity alone: {placed:?}");
+    let listed: Vec<_> =
+        list.replicas.iter().map(|replica| (replica.id.as_str(), replica.state)).collect();
+    assert_eq!(listed, [("r1", ReplicaState::Ready), ("r2", ReplicaState::Draining)]);
+    assert_eq!(mark, ListMark::of(&list.replicas), "digest does not match the list");
+    let has_incarnation = placed.windows(2).any(|bytes| bytes == b"1@");
+    assert!(!has_incarnation, "placement contains an incarnation: {placed:?}");
 }
 
 #[tokio::test]
-async fn a_gateway_of_this_build_follows_a_leader_of_the_build_before() {
-    let mut leader = OlderLeader::bind().await;
+async fn a_current_gateway_works_with_a_v1_leader() {
+    let mut leader = V1Leader::bind().await;
     let port = leader.address().port();
-    leader.answer("ask.watch", "reply.configuration");
+    leader.respond_to("ask.watch", "reply.configuration");
     tokio::spawn(leader.serve());
 
     let client = LedgerClient::new(&[LOCAL], port);
@@ -119,35 +114,36 @@
         cold: ChangeMark::default(),
         drained: None,
     };
-    let deadline = Instant::now() + LONG;
-    let told = loop {
-        let asked = client.ask(&Question::Watch(seen.clone()), deadline).await;
-        match asked.expect("answered in time") {
-            // A gateway chooses no replica before it knows which zones are drained.
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    let update = loop {
+        let response = client.ask(&Question::Watch(seen.clone()), deadline).await;
+        match response.expect("no response in time") {
+            // Drained zones are sent before any other update.
             Answer::DrainedZones(drained) => seen.drained = Some(drained.version),
-            told => break told,
+            update => break update,
         }
     };
 
-    assert!(matches!(told, Answer::Configuration { version: 74, .. }), "{told:?}");
+    assert!(matches!(update, Answer::Configuration { version: 74, .. }), "{update:?}");
     assert_eq!(seen.drained, Some(0));
 }
 
 #[tokio::test]
-async fn ledger_machines_of_both_builds_form_one_group() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (listeners, ports, older) = loop {
+async fn v1_and_current_ledger_machines_form_one_group() {
+    let folder = tempfile::tempdir().expect("create temporary directory");
+    let (listeners, ports, v1_listener) = loop {
         let free = Ports { peers: 0, gateways: 0, control: 0 };
-        let listeners = Listeners::bind(LOCAL, free).expect("ports");
-        let port =
-            |listener: &tokio::net::TcpListener| listener.local_addr().expect("bound").port();
+        let listeners = Listeners::bind(LOCAL, free).expect("bind listeners");
+        let port = |listener: &tokio::net::TcpListener| {
+            listener.local_addr().expect("local address").port()
+        };
         let ports = Ports {
             peers: port(&listeners.peers),
             gateways: port(&listeners.gateways),
             control: port(&listeners.control),
         };
-        if let Ok(older) = bind(machine_address(machine_number(PEER), ports.peers)) {
-            break (listeners, ports, older);
+        if let Ok(v1_listener) = bind(machine_address(machine_number(PEER), ports.peers)) {
+            break (listeners, ports, v1_listener);
         }
     };
     let settings = server::LedgerSettings { ports, ..settings(&folder) };
@@ -156,48 +152,48 @@
 
     let id = ReplicaId { machine: machine_number(LOCAL), disk: 0 };
     let address = machine_address(id.machine, ports.peers);
-    tokio::spawn(OlderMachine::start(older, address, id).await.follow());
-    let mut gateway = OlderGateway::connect(machine_address(id.machine, ports.gateways)).await;
-    let elected = async {
+    tokio::spawn(V1Follower::start(v1_listener, address, id).await.run());
+    let mut gateway = V1Gateway::connect(machine_address(id.machine, ports.gateways)).await;
+    let leader_found = async {
         loop {
-            let answer = gateway.ask(&sample("ask.find_leader")).await.expect("answered");
-            // Three bytes of number, then the kind of answer: it leads.
-            if answer[3] == sample("reply.leads")[1] {
+            let response = gateway.request(&sample("ask.find_leader")).await.expect("no response");
+            // The response variant follows three bytes of request number.
+            if response[3] == sample("reply.leads")[1] {
                 return;
             }
         }
     };
-    tokio::time::timeout(LONG, elected).await.expect("one of two machines out of three leads");
+    tokio::time::timeout(TEST_TIMEOUT, leader_found).await.expect("no leader elected");
     machine.abort();
 }
 
-/// The payload of a frame, as a reader of bytes sees it.
+/// Returns the payload of a frame as it is sent.
 async fn payload_of(frame: Frame) -> Vec<u8> {
     let (output, input) = tokio::io::duplex(1 << 16);
     let queue = calicohoist_transport::spawn_writer(output, Default::default());
     queue.send(frame);
-    let payload = FrameReader::new(input).take_if(|_| true).await.expect("a whole frame");
-    payload.expect("wanted").to_vec()
+    let payload = FrameReader::new(input).take_if(|_| true).await.expect("read frame");
+    payload.expect("frame accepted").to_vec()
 }
 
 #[test]
-fn a_machine_of_the_build_before_can_take_a_snapshot_until_a_zone_was_drained() {
+fn snapshots_without_drained_zones_have_the_v1_encoding() {
     let mut state = LedgerState::new(GroupId(0));
-    for name in support::older::names().filter(|name| name.starts_with("command.")) {
+    for name in support::older::sample_names().filter(|name| name.starts_with("command.")) {
         assert_ne!(state.apply(&sample(name)), Output::Unreadable, "{name}");
     }
     assert_eq!(state.snapshot(), sample("snapshot"));
 
     let drain = Command::DrainZone { zone: Zone::new("a") };
-    state.apply(&encode(&drain).expect("encodes"));
+    state.apply(&encode(&drain).expect("encode"));
     let mut restored = LedgerState::new(GroupId(0));
     assert!(restored.restore(&state.snapshot()));
     assert!(restored.drained().contains("a"));
 }
 
 #[tokio::test]
-async fn every_message_of_the_build_before_is_read_and_written_as_it_was() {
-    for name in support::older::names() {
+async fn all_v1_messages_are_decoded_and_encoded_unchanged() {
+    for name in support::older::sample_names() {
         let bytes = sample(name);
         let framed = frame_of(&bytes);
         let mut frames = FrameReader::new(framed.as_slice());
@@ -214,20 +210,20 @@
             }
             _ => continue,
         };
-        assert_eq!(payload_of(frame.expect("encodes")).await, bytes, "{name}");
+        assert_eq!(payload_of(frame.expect("encode")).await, bytes, "{name}");
     }
 }
 
 #[tokio::test]
-async fn what_the_build_before_does_not_know_is_told_as_something_that_it_does() {
+async fn responses_unknown_to_v1_are_mapped_to_known_ones() {
     let cold = Decision::RunCold { replica: "r1".to_owned(), waited_ms: 7 };
-    for (answer, told) in [
+    for (answer, expected) in [
         (Answer::Placed(cold), "reply.placed.run"),
         (Answer::DrainedZones(DrainedZones::none()), "reply.unavailable"),
     ] {
-        let told = sample(told);
-        let reply = Reply { number: told[0].into(), answer };
-        let frame = reply.encode(ProtocolVersion::UNNAMED).expect("encodes");
-        assert_eq!(payload_of(frame).await, told);
+        let expected = sample(expected);
+        let reply = Reply { number: expected[0].into(), answer };
+        let frame = reply.encode(ProtocolVersion::UNNAMED).expect("encode");
+        assert_eq!(payload_of(frame).await, expected);
     }
 }
--- a/crates/ledger/tests/client.rs
+++ b/crates/ledger/tests/client.rs
@@ -1,7 +1,7 @@
-//! How gateways ask: stand-ins of ledger machines count what reaches them.
+//! Tests of the ledger client against mock ledger machines that count connections and requests.
 //!
-//! The times of the client are long where a slow machine could change the outcome, and
-//! stand-ins answer on events, not after times.
+//! Client timeouts are long and mocks respond to events instead of delays, so that results do not
+//! depend on the speed of the test machine.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,52 +18,52 @@
 use tokio::sync::Notify;
 
 const MACHINES: usize = 3;
-const LONG: Duration = Duration::from_secs(60);
-/// A long answer comes in pieces of this size, as over a link that others share.
-const PIECE_BYTES: usize = 64 << 10;
-const PIECE_PAUSE: Duration = Duration::from_millis(100);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Size of the chunks in which mocks write responses, to emulate a slow link.
+const CHUNK_BYTES: usize = 64 << 10;
+const CHUNK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What one stand-in has seen.
+/// Counters of one mock machine.
 #[derive(Default)]
-struct Seen {
+struct RequestCounts {
     connections: AtomicUsize,
     reservations: AtomicUsize,
-    searches: AtomicUsize,
+    leader_searches: AtomicUsize,
 }
 
-/// Stand-ins at 127.0.0.1 to 127.0.0.3 on one port.
-struct Ledger {
+/// Mock ledger machines at 127.0.0.1 to 127.0.0.3 on one port.
+struct MockLedger {
     port: u16,
-    /// Position of the machine that leads; another number when none does.
+    /// Index of the leader; any other number if there is none.
     leader: AtomicUsize,
-    seen: [Seen; MACHINES],
-    /// Searches that all machines have had.
-    searches: AtomicU32,
-    searched: Notify,
-    /// Reservations are answered once there were so many searches.
-    answers_after: AtomicU32,
-    /// Bytes of history in the answer to a reservation.
+    counts: [RequestCounts; MACHINES],
+    /// Total number of leader searches.
+    total_searches: AtomicU32,
+    search_received: Notify,
+    /// Number of leader searches after which reservations are answered.
+    respond_after_searches: AtomicU32,
+    /// Length of the history in responses to reservations.
     history_bytes: AtomicUsize,
 }
 
 fn address(position: usize) -> Ipv4Addr {
-    Ipv4Addr::new(127, 0, 0, 1 + u8::try_from(position).expect("few machines"))
+    Ipv4Addr::new(127, 0, 0, 1 + u8::try_from(position).expect("fits in integer type"))
 }
 
 fn number(position: usize) -> u32 {
     address(position).to_bits()
 }
 
-impl Ledger {
+impl MockLedger {
     async fn start(leader: usize) -> Arc<Self> {
-        let (port, listeners) = listeners().await;
+        let (port, listeners) = bind_listeners().await;
         let ledger = Arc::new(Self {
             port,
             leader: AtomicUsize::new(leader),
-            seen: Default::default(),
-            searches: AtomicU32::new(0),
-            searched: Notify::new(),
-            answers_after: AtomicU32::new(0),
+            counts: Default::default(),
+            total_searches: AtomicU32::new(0),
+            search_received: Notify::new(),
+            respond_after_searches: AtomicU32::new(0),
             history_bytes: AtomicUsize::new(0),
         });
         for (position, listener) in listeners.into_iter().enumerate() {
@@ -73,15 +73,15 @@
     }
 
     fn client(&self) -> LedgerClient {
-        self.client_that_bears(LONG)
+        self.client_with_max_silence(TEST_TIMEOUT)
     }
 
-    fn client_that_bears(&self, most_silence: Duration) -> LedgerClient {
+    fn client_with_max_silence(&self, max_silence: Duration) -> LedgerClient {
         let timing = ClientTiming {
-            answer_patience: Duration::from_millis(50),
-            vouched_for: Duration::ZERO,
-            most_silence,
-            search_patience: LONG,
+            response_timeout: Duration::from_millis(50),
+            leader_confirmation_ttl: Duration::ZERO,
+            max_silence,
+            find_leader_timeout: TEST_TIMEOUT,
             ..ClientTiming::default()
         };
         let seeds: Vec<Ipv4Addr> = (0..MACHINES).map(address).collect();
@@ -90,7 +90,7 @@
 
     async fn accept(self: Arc<Self>, position: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            self.seen[position].connections.fetch_add(1, Ordering::SeqCst);
+            self.counts[position].connections.fetch_add(1, Ordering::SeqCst);
             tokio::spawn(Arc::clone(&self).serve(position, stream));
         }
     }
@@ -106,27 +106,27 @@
             let ledger = Arc::clone(&self);
             let output = Arc::clone(&output);
             tokio::spawn(async move {
-                let answer = ledger.answer(position, question).await;
-                let frame = encode_frame(&Reply { number, answer }).expect("encodes");
+                let answer = ledger.respond(position, question).await;
+                let frame = encode_frame(&Reply { number, answer }).expect("encode");
                 let mut output = output.lock().await;
-                for (position, piece) in frame.chunks(PIECE_BYTES).enumerate() {
-                    if position > 0 {
-                        tokio::time::sleep(PIECE_PAUSE).await;
+                for (index, chunk) in frame.chunks(CHUNK_BYTES).enumerate() {
+                    if index > 0 {
+                        tokio::time::sleep(CHUNK_INTERVAL).await;
                     }
-                    let _ = output.write_all(piece).await;
+                    let _ = output.write_all(chunk).await;
                 }
             });
         }
     }
 
-    async fn answer(&self, position: usize, question: Question) -> Answer {
+    async fn respond(&self, position: usize, question: Question) -> Answer {
         let leads = self.leader.load(Ordering::SeqCst) == position;
         if matches!(question, Question::FindLeader) {
-            self.seen[position].searches.fetch_add(1, Ordering::SeqCst);
-            self.searches.fetch_add(1, Ordering::SeqCst);
-            self.searched.notify_waiters();
+            self.counts[position].leader_searches.fetch_add(1, Ordering::SeqCst);
+            self.total_searches.fetch_add(1, Ordering::SeqCst);
+            self.search_received.notify_waiters();
         } else if leads {
-            self.seen[position].reservations.fetch_add(1, Ordering::SeqCst);
+            self.counts[position].reservations.fetch_add(1, Ordering::SeqCst);
             self.wait_for_searches().await;
         }
         let machines = (0..MACHINES).map(number).collect();
@@ -149,25 +149,25 @@
 
     async fn wait_for_searches(&self) {
         loop {
-            let searched = self.searched.notified();
-            let wanted = self.answers_after.load(Ordering::SeqCst);
-            if self.searches.load(Ordering::SeqCst) >= wanted {
+            let search_received = self.search_received.notified();
+            let required = self.respond_after_searches.load(Ordering::SeqCst);
+            if self.total_searches.load(Ordering::SeqCst) >= required {
                 return;
             }
-            searched.await;
+            search_received.await;
         }
     }
 }
 
-/// A port that is free at every address.
-async fn listeners() -> (u16, Vec<TcpListener>) {
+/// Binds listeners at all addresses on a common free port.
+async fn bind_listeners() -> (u16, Vec<TcpListener>) {
     loop {
-        let first = TcpListener::bind((address(0), 0)).await.expect("a port");
-        let port = first.local_addr().expect("bound").port();
+        let first = TcpListener::bind((address(0), 0)).await.expect("bind");
+        let port = first.local_addr().expect("local address").port();
         let mut listeners = vec![first];
         for position in 1..MACHINES {
-            let wanted = SocketAddr::from((address(position), port));
-            let Ok(listener) = TcpListener::bind(wanted).await else {
+            let machine = SocketAddr::from((address(position), port));
+            let Ok(listener) = TcpListener::bind(machine).await else {
                 break;
             };
             listeners.push(listener);
@@ -191,8 +191,8 @@
 }
 
 async fn reserve(client: &LedgerClient, turn: usize) -> bool {
-    let answer = client.ask(&reservation(turn), Instant::now() + LONG).await;
-    matches!(answer, Ok(Answer::Reserved { .. }))
+    let response = client.ask(&reservation(turn), Instant::now() + TEST_TIMEOUT).await;
+    matches!(response, Ok(Answer::Reserved { .. }))
 }
 
 async fn reserve_all(client: &LedgerClient, count: usize) {
@@ -201,81 +201,76 @@
         tokio::spawn(async move { reserve(&client, turn).await })
     });
     for turn in turns.collect::<Vec<_>>() {
-        assert!(turn.await.expect("no panic"), "every turn is reserved");
+        assert!(turn.await.expect("task panicked"), "reservation failed");
     }
 }
 
-/// What made a slow leader collapse: whoever had no answer within 250 ms asked again, and
-/// dropped the connection with everything that waited on it.
+/// Regression test: retries after a timeout overloaded a slow leader, and reconnecting discarded
+/// all other requests in flight.
 #[tokio::test]
-async fn a_slow_leader_is_asked_once() {
+async fn requests_to_a_slow_leader_are_not_repeated() {
     const TURNS: usize = 20;
     const LEADER: usize = 1;
-    let ledger = Ledger::start(LEADER).await;
+    let ledger = MockLedger::start(LEADER).await;
     let client = ledger.client();
     assert!(reserve(&client, TURNS).await);
-    // It stays silent until its followers were asked five times whether it leads.
-    let so_far = ledger.searches.load(Ordering::SeqCst);
-    ledger.answers_after.store(so_far + 5, Ordering::SeqCst);
+    // The leader responds after its followers have been asked five times whether it leads.
+    let searches = ledger.total_searches.load(Ordering::SeqCst);
+    ledger.respond_after_searches.store(searches + 5, Ordering::SeqCst);
     reserve_all(&client, TURNS).await;
-    let seen = &ledger.seen[LEADER];
-    assert_eq!(seen.reservations.load(Ordering::SeqCst), TURNS + 1, "each turn was asked once");
-    assert_eq!(seen.connections.load(Ordering::SeqCst), 1, "over one connection");
+    let counts = &ledger.counts[LEADER];
+    assert_eq!(counts.reservations.load(Ordering::SeqCst), TURNS + 1, "requests were repeated");
+    assert_eq!(counts.connections.load(Ordering::SeqCst), 1, "client reconnected");
 }
 
-/// A silent machine that the others no longer take for the leader is left.
 #[tokio::test]
-async fn a_silent_machine_that_leads_no_more_is_left() {
-    const OLD: usize = 0;
-    const NEW: usize = 2;
-    let ledger = Ledger::start(OLD).await;
+async fn an_unresponsive_former_leader_is_abandoned() {
+    const OLD_LEADER: usize = 0;
+    const NEW_LEADER: usize = 2;
+    let ledger = MockLedger::start(OLD_LEADER).await;
     let client = ledger.client();
     assert!(reserve(&client, 0).await);
-    ledger.answers_after.store(u32::MAX, Ordering::SeqCst);
-    let asking = tokio::spawn({
+    ledger.respond_after_searches.store(u32::MAX, Ordering::SeqCst);
+    let request = tokio::spawn({
         let client = client.clone();
         async move { reserve(&client, 1).await }
     });
-    while ledger.seen[OLD].reservations.load(Ordering::SeqCst) < 2 {
+    while ledger.counts[OLD_LEADER].reservations.load(Ordering::SeqCst) < 2 {
         tokio::task::yield_now().await;
     }
-    ledger.leader.store(NEW, Ordering::SeqCst);
-    while ledger.seen[NEW].reservations.load(Ordering::SeqCst) == 0 {
+    ledger.leader.store(NEW_LEADER, Ordering::SeqCst);
+    while ledger.counts[NEW_LEADER].reservations.load(Ordering::SeqCst) == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    ledger.answers_after.store(0, Ordering::SeqCst);
-    ledger.searched.notify_waiters();
-    assert!(asking.await.expect("no panic"));
+    ledger.respond_after_searches.store(0, Ordering::SeqCst);
+    ledger.search_received.notify_waiters();
+    assert!(request.await.expect("task panicked"));
 }
 
-/// However many questions wait, one of them looks for the leader.
 #[tokio::test]
-async fn one_question_looks_for_the_leader_for_all() {
+async fn concurrent_requests_share_one_leader_search() {
     const TURNS: usize = 50;
-    let ledger = Ledger::start(2).await;
+    let ledger = MockLedger::start(2).await;
     let client = ledger.client();
     reserve_all(&client, TURNS).await;
-    let searches = ledger.searches.load(Ordering::SeqCst);
-    let most = u32::try_from(MACHINES).expect("few machines");
-    assert!(searches <= most, "{searches} searches for {TURNS} questions");
+    let searches = ledger.total_searches.load(Ordering::SeqCst);
+    let max_searches = u32::try_from(MACHINES).expect("fits in integer type");
+    assert!(searches <= max_searches, "{searches} searches for {TURNS} requests");
 }
 
-/// Symptom: a configuration that had been acknowledged did not reach gateways in 3 s, while the link
-/// of its sender was full. Sequence: the answer is under way for longer than the longest silence
-/// that a gateway bears; the gateway takes its sender for silent, drops the connection with the half
-/// that has come, and asks for all of it again, over the same full link. Cause: only a whole answer
-/// counted as a sign of life.
+/// Regression test: a response that took longer than `max_silence` to arrive over a congested link
+/// was abandoned and requested again, because only complete responses reset the silence timer.
 #[tokio::test]
-async fn an_answer_that_is_coming_in_is_not_asked_for_again() {
+async fn a_partially_received_response_is_not_requested_again() {
     const LEADER: usize = 1;
-    const PIECES: usize = 40;
-    const MOST_SILENCE: Duration = Duration::from_millis(2_000);
-    assert!(MOST_SILENCE < PIECE_PAUSE * u32::try_from(PIECES).expect("few pieces"));
-    let ledger = Ledger::start(LEADER).await;
-    let client = ledger.client_that_bears(MOST_SILENCE);
-    ledger.history_bytes.store(PIECES * PIECE_BYTES, Ordering::SeqCst);
+    const CHUNKS: usize = 40;
+    const MAX_SILENCE: Duration = Duration::from_millis(2_000);
+    assert!(MAX_SILENCE < CHUNK_INTERVAL * u32::try_from(CHUNKS).expect("fits in u32"));
+    let ledger = MockLedger::start(LEADER).await;
+    let client = ledger.client_with_max_silence(MAX_SILENCE);
+    ledger.history_bytes.store(CHUNKS * CHUNK_BYTES, Ordering::SeqCst);
     assert!(reserve(&client, 0).await);
-    let seen = &ledger.seen[LEADER];
-    assert_eq!(seen.reservations.load(Ordering::SeqCst), 1, "it was asked again");
-    assert_eq!(seen.connections.load(Ordering::SeqCst), 1, "over another connection");
+    let counts = &ledger.counts[LEADER];
+    assert_eq!(counts.reservations.load(Ordering::SeqCst), 1, "request was repeated");
+    assert_eq!(counts.connections.load(Ordering::SeqCst), 1, "client reconnected");
 }
--- a/crates/ledger/tests/cold.rs
+++ b/crates/ledger/tests/cold.rs
@@ -1,4 +1,4 @@
-//! The leader tells every gateway which replicas became cold, once for each change.
+//! Distribution of cold replicas from the leader to gateways.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,27 +8,27 @@
 use calicohoist_routing::{ColdReplicas, Replica, ReplicaState};
 
 #[test]
-fn a_replica_that_became_cold_is_news_until_it_was_seen() {
+fn a_change_of_cold_replicas_is_sent_until_the_gateway_has_it() {
     let now = Instant::now();
     let mut cold = ColdReplicas::none();
     cold.note("i-1", now + Duration::from_millis(3_000));
     cold.note("i-2", now);
     let mark = ChangeMark { term: 4, change: 1 };
     let reading = Reading { cold: Arc::new(cold), cold_mark: mark, ..Reading::default() };
-    let news = reading.cold_news(ChangeMark::default(), now);
-    assert_eq!(news, Some((mark, vec![("i-1".to_owned(), 3_000)])));
+    let update = reading.cold_news(ChangeMark::default(), now);
+    assert_eq!(update, Some((mark, vec![("i-1".to_owned(), 3_000)])));
     let later = now + Duration::from_millis(1_000);
-    assert_eq!(reading.cold_news(mark, later), None, "only the time left has changed");
-    let again = reading.cold_news(ChangeMark { term: 3, change: 9 }, later);
-    assert_eq!(again, Some((mark, vec![("i-1".to_owned(), 2_000)])));
+    assert_eq!(reading.cold_news(mark, later), None, "only the remaining time has changed");
+    let after_new_term = reading.cold_news(ChangeMark { term: 3, change: 9 }, later);
+    assert_eq!(after_new_term, Some((mark, vec![("i-1".to_owned(), 2_000)])));
 }
 
 #[test]
-fn a_gateway_is_told_who_is_cold_before_the_list() {
+fn cold_replicas_are_sent_before_the_replica_list() {
     let replica = Replica {
         id: "i-1".to_owned(),
         service: "models".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: "hall".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
@@ -36,10 +36,10 @@
     let (term, mark) = (4, ListMark::of(&[replica]));
     let cold_mark = ChangeMark { term, change: 1 };
     let reading = Reading { term, mark, cold_mark, ..Reading::default() };
-    let fresh = Seen::default();
-    assert!(!reading.tells_list(term, &fresh), "a gateway that has just started knows no cold one");
-    assert!(reading.tells_list(term, &Seen { cold: cold_mark, ..fresh.clone() }));
-    assert!(!reading.tells_list(term, &Seen { cold: cold_mark, list: mark, ..fresh.clone() }));
-    let without = Reading { cold_mark: ChangeMark { term: 3, change: 2 }, ..reading };
-    assert!(without.tells_list(term, &fresh), "none is cold in this term");
+    let initial = Seen::default();
+    assert!(!reading.tells_list(term, &initial), "the gateway has no cold replicas yet");
+    assert!(reading.tells_list(term, &Seen { cold: cold_mark, ..initial.clone() }));
+    assert!(!reading.tells_list(term, &Seen { cold: cold_mark, list: mark, ..initial.clone() }));
+    let without_cold = Reading { cold_mark: ChangeMark { term: 3, change: 2 }, ..reading };
+    assert!(without_cold.tells_list(term, &initial), "no replica became cold in this term");
 }
--- a/crates/ledger/tests/failures.rs
+++ b/crates/ledger/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The leader tells every gateway which replicas are left alone, once for each change.
+//! Distribution of failing replicas from the leader to gateways.
 
 use calicohoist_ledger::protocol::ChangeMark;
 use calicohoist_ledger::server::failures::FailureDesk;
@@ -8,7 +8,7 @@
     let replica = |number: usize| Replica {
         id: format!("i-{number}"),
         service: "models".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: "hall".to_owned(),
         slots: 8,
         state: ReplicaState::Ready,
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn a_change_is_news_until_it_was_seen() {
+fn a_change_is_sent_until_the_gateway_has_it() {
     let desk = FailureDesk::default();
-    let nothing = ChangeMark::default();
-    assert_eq!(desk.news(nothing), None);
+    let initial = ChangeMark::default();
+    assert_eq!(desk.news(initial), None);
     assert!(desk.note(1, "i-1", &replicas()).is_none());
     assert!(desk.note(1, "i-1", &replicas()).is_none());
-    assert_eq!(desk.news(nothing), None);
+    assert_eq!(desk.news(initial), None);
     assert!(desk.note(1, "i-1", &replicas()).is_some());
-    let (mark, failing) = desk.news(nothing).expect("news");
+    let (mark, failing) = desk.news(initial).expect("update");
     assert_eq!(mark, ChangeMark { term: 1, change: 1 });
     assert_eq!(failing.len(), 1);
     assert_eq!(failing[0].0, "i-1");
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn a_later_term_begins_anew() {
+fn failures_of_earlier_terms_are_not_counted() {
     let desk = FailureDesk::default();
     for _ in 0..2 {
         assert!(desk.note(1, "i-1", &replicas()).is_none());
     }
-    assert!(desk.note(2, "i-1", &replicas()).is_none(), "counted for another leader");
+    assert!(desk.note(2, "i-1", &replicas()).is_none(), "failures of term 1 were counted");
     for _ in 0..2 {
         desk.note(2, "i-1", &replicas());
     }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -1,6 +1,8 @@
-//! What this build writes stays as it is: other builds read it, side by side with this one and after
-//! it. A change of form needs a new version of the protocol, a translation from the one before, and a
-//! file of samples of its own; what is told here of the newest version may grow until that is released.
+//! Stability of the encoding of messages, commands and snapshots, which other builds decode.
+//!
+//! A change of the encoding requires a new protocol version, a conversion from the previous one
+//! and a sample file of its own. The samples of the latest version may be extended until its
+//! release.
 //!
 //! `CALICOHOIST_WRITE_SAMPLES=1 cargo test -p calicohoist-ledger --test formats` writes the file.
 
@@ -26,13 +28,13 @@
 const SAMPLES: &str = include_str!("data/protocol-2.txt");
 const SAMPLES_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/protocol-2.txt");
 
-/// Encoded samples, a line each.
+/// Hex-encoded samples, one per line.
 #[derive(Default)]
 struct Samples(String);
 
 impl Samples {
     fn add<T: Serialize>(&mut self, name: &str, value: &T) {
-        self.add_bytes(name, &encode(value).expect("encodes"));
+        self.add_bytes(name, &encode(value).expect("encode"));
     }
 
     fn add_bytes(&mut self, name: &str, bytes: &[u8]) {
@@ -114,7 +116,7 @@
     Replica {
         id: id.into(),
         service: "lm".into(),
-        address: "10.128.0.9:8080".parse().expect("an address"),
+        address: "10.128.0.9:8080".parse().expect("valid address"),
         zone: "a".into(),
         slots: 12,
         state,
@@ -239,20 +241,20 @@
     ];
     for (name, command) in commands {
         samples.add(&format!("command.{name}"), &command);
-        state.apply(&encode(&command).expect("encodes"));
+        state.apply(&encode(&command).expect("encode"));
     }
     samples.add_bytes("snapshot", &state.snapshot());
     samples.0
 }
 
 #[test]
-fn what_this_build_writes_has_not_changed() {
+fn encodings_match_the_stored_samples() {
     let samples = samples();
     if std::env::var_os("CALICOHOIST_WRITE_SAMPLES").is_some() {
-        return std::fs::write(SAMPLES_FILE, samples).expect("a file");
+        return std::fs::write(SAMPLES_FILE, samples).expect("write samples");
     }
-    for (written, kept) in samples.lines().zip(SAMPLES.lines()) {
-        assert_eq!(written, kept);
+    for (encoded, stored) in samples.lines().zip(SAMPLES.lines()) {
+        assert_eq!(encoded, stored);
     }
     assert_eq!(samples.lines().count(), SAMPLES.lines().count());
 }
--- a/crates/ledger/tests/lines.rs
+++ b/crates/ledger/tests/lines.rs
@@ -1,4 +1,4 @@
-//! How long the turns of a line are kept.
+//! Retention of turns and of the turns that they continue from.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Number of different turns that steps may name.
+/// Number of distinct turns in the generated operations.
 const TURNS: u8 = 12;
 
 #[derive(Clone, Debug)]
@@ -32,15 +32,15 @@
     format!("t{turn}")
 }
 
-/// A model that walks from each turn to its root.
+/// Reference model that extends retention along the whole path to the root.
 #[derive(Default)]
-struct PlainTurns(BTreeMap<u8, (Option<u8>, u64)>);
+struct ReferenceTurns(BTreeMap<u8, (Option<u8>, u64)>);
 
-impl PlainTurns {
+impl ReferenceTurns {
     fn keep(&mut self, turn: u8, until_ms: u64) {
         let mut next = Some(turn);
-        while let Some((previous, kept)) = next.and_then(|turn| self.0.get_mut(&turn)) {
-            *kept = (*kept).max(until_ms);
+        while let Some((previous, expiry_ms)) = next.and_then(|turn| self.0.get_mut(&turn)) {
+            *expiry_ms = (*expiry_ms).max(until_ms);
             next = *previous;
         }
     }
@@ -52,7 +52,7 @@
                 self.keep(turn, until_ms);
             }
             Step::Keep { turn, until_ms } => self.keep(turn, until_ms),
-            Step::Expire { now_ms } => self.0.retain(|_, (_, kept)| *kept > now_ms),
+            Step::Expire { now_ms } => self.0.retain(|_, (_, expiry_ms)| *expiry_ms > now_ms),
         }
     }
 }
@@ -61,8 +61,8 @@
     match *step {
         Step::Insert { turn, previous, until_ms } => {
             let previous = previous.map(name);
-            let kept = RetainedTurn { previous, input: vec![turn], output: Vec::new() };
-            turns.insert(name(turn), kept, until_ms);
+            let retained = RetainedTurn { previous, input: vec![turn], output: Vec::new() };
+            turns.insert(name(turn), retained, until_ms);
         }
         Step::Keep { turn, until_ms } => turns.keep_until(&name(turn), until_ms),
         Step::Expire { now_ms } => turns.expire(now_ms),
@@ -77,24 +77,24 @@
         ..ProptestConfig::default()
     })]
 
-    /// A turn continues from one that exists already, as the ledger makes sure: then walking
-    /// only as far as something changes keeps the same turns as walking to the root.
+    /// `Turns` stops at the first ancestor whose retention does not change, which must be
+    /// equivalent to the reference model if turns continue from existing ones only.
     #[test]
-    fn a_line_is_kept_as_long_as_its_newest_turn(
+    fn ancestors_are_retained_as_long_as_their_newest_descendant(
         steps in proptest::collection::vec(step(), 1..60)
     ) {
-        let mut plain = PlainTurns::default();
+        let mut reference = ReferenceTurns::default();
         let mut turns = Turns::default();
         for step in steps {
             if let Step::Insert { turn, previous: Some(previous), .. } = step
-                && (plain.0.contains_key(&turn) || !plain.0.contains_key(&previous))
+                && (reference.0.contains_key(&turn) || !reference.0.contains_key(&previous))
             {
                 continue;
             }
-            plain.apply(&step);
+            reference.apply(&step);
             apply(&mut turns, &step);
             for turn in 0..TURNS {
-                prop_assert_eq!(turns.contains(&name(turn)), plain.0.contains_key(&turn));
+                prop_assert_eq!(turns.contains(&name(turn)), reference.0.contains_key(&turn));
             }
         }
     }
--- a/crates/ledger/tests/loads.rs
+++ b/crates/ledger/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of replicas as gateways report them, and the marks of lists.
+//! Replica loads reported by gateways, and digests of replica lists.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
     Replica {
         id: id.to_owned(),
         service: "models".to_owned(),
-        address: "127.0.0.1:80".parse().expect("an address"),
+        address: "127.0.0.1:80".parse().expect("valid address"),
         zone: "hall".to_owned(),
         slots: 4,
         state: ReplicaState::Ready,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_gateway_is_told_the_loads_of_all_others() {
+fn a_gateway_receives_the_loads_of_all_others() {
     let now = Instant::now();
     let mut board = LoadBoard::default();
     board.note("front-1", &loads(&[("a", 2), ("b", 1)]), now);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn old_reports_are_dropped() {
+fn expired_reports_are_ignored() {
     let now = Instant::now();
     let later = now + Duration::from_secs(10);
     let mut board = LoadBoard::default();
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn equal_lists_have_equal_marks_whoever_read_them() {
-    let mark = |ids: &[&str]| reading(ids).mark;
-    assert_eq!(mark(&["a", "b"]), mark(&["a", "b"]));
-    assert_ne!(mark(&["a", "b"]), mark(&["b", "a"]));
-    assert_ne!(mark(&["a"]), mark(&["a", "b"]));
-    assert_ne!(mark(&[]), ListMark::default(), "an empty list is a list");
-    let mut leaving = replica("a");
-    leaving.state = ReplicaState::Draining;
-    assert_ne!(ListMark::of(&[leaving]), mark(&["a"]));
+fn equal_lists_have_equal_digests() {
+    let digest = |ids: &[&str]| reading(ids).mark;
+    assert_eq!(digest(&["a", "b"]), digest(&["a", "b"]));
+    assert_ne!(digest(&["a", "b"]), digest(&["b", "a"]));
+    assert_ne!(digest(&["a"]), digest(&["a", "b"]));
+    assert_ne!(digest(&[]), ListMark::default(), "an empty list differs from no list");
+    let mut draining = replica("a");
+    draining.state = ReplicaState::Draining;
+    assert_ne!(ListMark::of(&[draining]), digest(&["a"]));
 }
--- a/crates/ledger/tests/order.rs
+++ b/crates/ledger/tests/order.rs
@@ -1,29 +1,28 @@
-//! The order in which the replica's thread publishes what was applied and answers requests; the
-//! test plays its peer.
+//! Order in which the replica thread publishes state and responds to requests.
 
 mod support;
 
 use calicohoist_ledger::commands::{Command, ReserveTurn};
 use calicohoist_ledger::server::replica::{Request, Response};
 use calicohoist_types::Zone;
-use support::{LONG, OnCommand, Pair};
+use support::{MachineWithPeer, PeerReaction, TEST_TIMEOUT};
 
 #[tokio::test]
-async fn a_drain_is_known_to_all_before_it_is_acknowledged() {
-    let mut pair = Pair::start();
-    pair.follow().await;
+async fn a_drain_is_published_before_it_is_acknowledged() {
+    let mut machine = MachineWithPeer::start();
+    machine.run_peer_until_leader().await;
     let drain = Request::Change(Command::DrainZone { zone: Zone::new("a") });
-    let (response, known) = pair.ask(drain, OnCommand::Acknowledge).await;
+    let (response, published) = machine.request(drain, PeerReaction::Acknowledge).await;
     assert!(matches!(response, Response::Changed(_)), "{response:?}");
-    assert!(known.drained.contains("a"));
+    assert!(published.drained.contains("a"));
 }
 
-/// A placement in the term of another leader would make the desk forget who waits.
+/// Placing a turn in the term of another leader would discard the queued turns.
 #[tokio::test]
 async fn a_reservation_is_answered_in_the_term_that_granted_it() {
-    let mut pair = Pair::start();
-    pair.follow().await;
-    let term = pair.standing.borrow().term;
+    let mut machine = MachineWithPeer::start();
+    machine.run_peer_until_leader().await;
+    let term = machine.standing.borrow().term;
     let reserve = ReserveTurn {
         program: None,
         turn: "t".to_owned(),
@@ -33,9 +32,13 @@
         retention_ms: 1_000,
     };
     let reserve = Request::Reserve(reserve);
-    let (response, known) = pair.ask(reserve, OnCommand::AcknowledgeAndCampaign).await;
+    let (response, published) =
+        machine.request(reserve, PeerReaction::AcknowledgeAndCampaign).await;
     assert!(matches!(response, Response::Reserved { .. }), "{response:?}");
-    assert_eq!((known.is_leader, known.term), (true, term));
-    let lost = pair.standing.wait_for(|standing| !standing.is_leader);
-    tokio::time::timeout(LONG, lost).await.expect("in time").expect("the thread runs");
+    assert_eq!((published.is_leader, published.term), (true, term));
+    let lost_leadership = machine.standing.wait_for(|standing| !standing.is_leader);
+    tokio::time::timeout(TEST_TIMEOUT, lost_leadership)
+        .await
+        .expect("timed out")
+        .expect("replica thread stopped");
 }
--- a/crates/ledger/tests/packed.rs
+++ b/crates/ledger/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Packed documents become what they were, and damage is told.
+//! Round trips of compressed documents, and errors on corrupt data.
 
 use calicohoist_ledger::packed::{PackedBytes, UnpackError};
 use calicohoist_wire::{decode, encode};
@@ -9,37 +9,37 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(36), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_was_packed_comes_out(bytes in vec(any::<u8>(), 0..4_000)) {
-        let sent = encode(&PackedBytes::pack(&bytes)).expect("encodes");
-        let received: PackedBytes = decode(&sent).expect("decodes");
-        prop_assert_eq!(received.unpack().expect("whole"), bytes);
+    fn decompression_restores_the_original(bytes in vec(any::<u8>(), 0..4_000)) {
+        let sent = encode(&PackedBytes::pack(&bytes)).expect("encode");
+        let received: PackedBytes = decode(&sent).expect("decode");
+        prop_assert_eq!(received.unpack().expect("valid data"), bytes);
     }
 
     #[test]
-    fn damaged_bytes_are_refused_or_short(bytes in vec(any::<u8>(), 0..200)) {
-        let packed: PackedBytes = decode(&encode(&bytes).expect("encodes")).expect("decodes");
+    fn corrupt_data_never_exceeds_the_size_limit(bytes in vec(any::<u8>(), 0..200)) {
+        let packed: PackedBytes = decode(&encode(&bytes).expect("encode")).expect("decode");
         if let Ok(unpacked) = packed.unpack() {
             prop_assert!(unpacked.len() <= calicohoist_wire::MAX_FRAME_BYTES);
         }
     }
 }
 
-/// The length comes first: nothing is set aside for one that no frame may have.
+/// The declared size is checked before memory is allocated.
 #[test]
-fn a_length_beyond_a_frame_is_refused() {
-    let forged = encode(&vec![0xff_u8, 0xff, 0xff, 0xff, 0]).expect("encodes");
-    let packed: PackedBytes = decode(&forged).expect("decodes");
+fn a_size_above_the_frame_limit_is_rejected() {
+    let forged = encode(&vec![0xff_u8, 0xff, 0xff, 0xff, 0]).expect("encode");
+    let packed: PackedBytes = decode(&forged).expect("decode");
     assert!(matches!(packed.unpack(), Err(UnpackError::TooLong(_))));
 }
 
 #[test]
-fn routes_that_are_alike_take_less_than_a_fifth() {
+fn similar_routes_are_compressed_to_less_than_a_fifth() {
     let routes = (0..2_000).map(|number| {
         format!(
             "{{\"name\":\"r-{number:x}\",\"kind\":\"stream\",\"timeout_ms\":4000,\"priority\":1}}"
         )
     });
     let document = routes.collect::<String>().into_bytes();
-    let sent = encode(&PackedBytes::pack(&document)).expect("encodes");
+    let sent = encode(&PackedBytes::pack(&document)).expect("encode");
     assert!(sent.len() * 5 < document.len(), "{} of {} bytes", sent.len(), document.len());
 }
--- a/crates/ledger/tests/peers.rs
+++ b/crates/ledger/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Frames between ledger machines: what goes to another region is packed.
+//! Compression of frames between ledger machines in different regions.
 
 use calicohoist_ledger::server::peers::{PACKED_FROM, Parcel, PeerFrame};
 use calicohoist_replication::{Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId};
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn only_what_goes_to_another_region_is_packed_and_comes_out_as_it_was() {
+fn only_frames_to_another_region_are_compressed() {
     let large = parcel(100);
-    let plain = encode(&large).expect("encoded").len();
-    assert!(plain >= PACKED_FROM);
-    for near in [None, Some(Distance::SameZone), Some(Distance::SameRegion)] {
-        assert_eq!(PeerFrame::wrap(large.clone(), near), PeerFrame::Plain(large.clone()));
+    let plain_bytes = encode(&large).expect("encode").len();
+    assert!(plain_bytes >= PACKED_FROM);
+    for distance in [None, Some(Distance::SameZone), Some(Distance::SameRegion)] {
+        assert_eq!(PeerFrame::wrap(large.clone(), distance), PeerFrame::Plain(large.clone()));
     }
     let frame = PeerFrame::wrap(large.clone(), Some(Distance::OtherRegion));
     assert!(matches!(frame, PeerFrame::Packed(_)));
-    assert!(encode(&frame).expect("encoded").len() < plain);
+    assert!(encode(&frame).expect("encode").len() < plain_bytes);
     assert_eq!(frame.open(), Some(large));
 }
 
 #[test]
-fn a_heartbeat_is_not_worth_packing() {
+fn heartbeats_are_not_compressed() {
     let small = parcel(0);
     let frame = PeerFrame::wrap(small.clone(), Some(Distance::OtherRegion));
     assert_eq!(frame, PeerFrame::Plain(small));
--- a/crates/ledger/tests/permits.rs
+++ b/crates/ledger/tests/permits.rs
@@ -1,5 +1,4 @@
-//! What leaders have issued is in the log, in snapshots, and read from those of the version
-//! before.
+//! Persistence of issued permits in the log and in snapshots, including those of older versions.
 
 use std::time::Duration;
 
@@ -14,9 +13,8 @@
 use calicohoist_types::TenantId;
 use calicohoist_wire::encode;
 
-/// Log entries and the snapshot after them, written by the version that noted no permits: a
-/// configuration, a machine, a line of two retained turns (the first one sealed), and a third
-/// that is only reserved.
+/// Log entries and the resulting snapshot, written by a version without permit records: a
+/// configuration, a machine, two retained turns of which the first is sealed, and a reserved turn.
 const OLD_LOG: [&str; 9] = [
     "0007027b7d",
     "040773746f72652d3111",
@@ -33,8 +31,9 @@
     0801010773746f72652d311100";
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digit = |place: usize| u8::from_str_radix(&hex[place..place + 2], 16).expect("hex");
-    (0..hex.len()).step_by(2).map(digit).collect()
+    let byte =
+        |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 fn note(tenant: &str, count: u32, elapsed_ms: u64) -> Command {
@@ -43,7 +42,7 @@
 }
 
 fn apply(state: &mut LedgerState, command: &Command) -> Output {
-    state.apply(&encode(command).expect("encodes"))
+    state.apply(&encode(command).expect("encode"))
 }
 
 fn request(limit: RateLimit) -> PermitRequest {
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn log_and_snapshot_of_the_version_before_are_read() {
+fn logs_and_snapshots_without_permits_are_decoded() {
     let mut replayed = LedgerState::new(GroupId(0));
     for entry in OLD_LOG {
         assert_ne!(replayed.apply(&bytes(entry)), Output::Unreadable, "{entry}");
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn a_snapshot_carries_the_notes() {
+fn snapshots_contain_permit_records() {
     let mut state = LedgerState::new(GroupId(0));
     assert_eq!(apply(&mut state, &note("t", 3, 0)), Output::Done);
     assert_eq!(apply(&mut state, &note("u", 4, 150)), Output::Done);
@@ -80,7 +79,7 @@
 }
 
 #[test]
-fn notes_are_kept_for_a_while_only() {
+fn old_permit_records_are_removed() {
     let mut state = LedgerState::new(GroupId(0));
     for _ in 0..1_000 {
         apply(&mut state, &note("t", 1, 100));
@@ -89,28 +88,28 @@
 }
 
 #[test]
-fn the_next_leader_counts_what_the_one_before_has_issued() {
+fn a_new_leader_counts_permits_issued_by_its_predecessor() {
     let tolerance = LimitTolerance { window: Duration::from_secs(600), overshoot: 0.0, slack: 0.0 };
-    // Less the reserve for changes of leader, ten may be issued.
+    // Allows ten permits in addition to the reserve for leader changes.
     let limit = RateLimit { per_second: 0.0, burst: 13.0 };
     let mut state = LedgerState::new(GroupId(0));
     apply(&mut state, &note("t", 4, 0));
     apply(&mut state, &note("t", 3, 100));
     let desk = LimitDesk::new(tolerance);
     desk.learn(state.permits());
-    // Told again, as after a snapshot.
+    // Repeated updates, as after a snapshot, are not counted twice.
     desk.learn(state.permits());
     let single = || desk.issue(2, &request(limit), Purpose::Single);
     assert!(matches!(single(), Issued::Answer(PermitAnswer::Granted(_))));
     assert_eq!(desk.uses()[0].issued, 8);
-    assert_eq!(single(), Issued::NotNow, "nothing more before a note");
+    assert_eq!(single(), Issued::NotNow, "permits were issued before they were recorded");
 
     apply(&mut state, &note("t", 3, 100));
-    let next = LimitDesk::new(tolerance);
-    next.learn(state.permits());
-    assert!(next.refuse_early(3, &request(limit)).is_some());
+    let successor = LimitDesk::new(tolerance);
+    successor.learn(state.permits());
+    assert!(successor.refuse_early(3, &request(limit)).is_some());
     assert!(matches!(
-        next.issue(3, &request(limit), Purpose::Single),
+        successor.issue(3, &request(limit), Purpose::Single),
         Issued::Answer(PermitAnswer::OverLimit(_))
     ));
 }
--- a/crates/ledger/tests/preference.rs
+++ b/crates/ledger/tests/preference.rs
@@ -1,4 +1,4 @@
-//! Which voter leads: where the way of a turn is shortest, and only for a clear gain.
+//! Leadership transfers to the voter with the lowest expected latency.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
     Topology::new(BTreeMap::from(regions))
 }
 
-/// A voter on machine 1, 2, ... in each of these zones.
+/// Returns voters on machines 1, 2, ... in the given zones.
 fn voters(zones: &[&str]) -> Vec<PlacedVoter> {
     let placed = |(machine, zone): (u32, &&str)| PlacedVoter { machine, zone: (*zone).to_owned() };
     (1..).zip(zones).map(placed).collect()
@@ -28,9 +28,9 @@
     loads
 }
 
-/// Machines that machine 1 hands over to within 100 s, half a second at a time; the machine that
-/// leads then stays 1, as when the other one does not take over.
-fn moves(
+/// Returns the transfers that machine 1 decides on in 200 steps of 500 ms, as (step, target). All
+/// transfers fail, so machine 1 stays the leader.
+fn transfers(
     voters: &[PlacedVoter],
     loads: &ZoneLoads,
     is_calm: impl Fn(u64) -> bool,
@@ -38,7 +38,7 @@
     let topology = topology();
     let begin = Instant::now();
     let mut preference = LeaderPreference::default();
-    let mut moves = Vec::new();
+    let mut transfers = Vec::new();
     for step in 0..200 {
         let view = GroupView {
             topology: &topology,
@@ -49,90 +49,91 @@
             retiring: &BTreeSet::new(),
         };
         let now = begin + Duration::from_millis(500 * step);
-        moves.extend(preference.decide(&view, now).map(|moved| (step, moved.to)));
+        transfers.extend(preference.decide(&view, now).map(|transfer| (step, transfer.to)));
     }
-    moves
+    transfers
 }
 
 #[test]
-fn a_leader_far_from_a_quorum_hands_over_once_that_is_certain() {
+fn a_leader_far_from_a_quorum_transfers_leadership_after_a_delay() {
     let voters = voters(&["west-a", "south-a", "north-a", "north-b", "north-a"]);
-    let moved = moves(&voters, &ZoneLoads::default(), |_| true);
-    assert_eq!(moved.first(), Some(&(10, 3)));
-    // No sooner than half a minute later if the first time was of no use.
-    assert_eq!(moved.get(1), Some(&(70, 3)));
+    let decided = transfers(&voters, &ZoneLoads::default(), |_| true);
+    assert_eq!(decided.first(), Some(&(10, 3)));
+    // After a failed transfer, the next one follows no sooner than 30 s later.
+    assert_eq!(decided.get(1), Some(&(70, 3)));
 }
 
 #[test]
-fn nothing_moves_in_trouble_and_the_time_counts_from_its_end() {
+fn instability_prevents_transfers_and_restarts_the_delay() {
     let voters = voters(&["west-a", "south-a", "north-a", "north-b", "north-a"]);
-    assert_eq!(moves(&voters, &ZoneLoads::default(), |_| false), []);
-    // A moment of trouble every four seconds.
-    assert_eq!(moves(&voters, &ZoneLoads::default(), |step| step % 8 != 0), []);
-    let moved = moves(&voters, &ZoneLoads::default(), |step| step >= 9);
-    assert_eq!(moved.first(), Some(&(19, 3)));
+    assert_eq!(transfers(&voters, &ZoneLoads::default(), |_| false), []);
+    // One unstable step every 4 s.
+    assert_eq!(transfers(&voters, &ZoneLoads::default(), |step| step % 8 != 0), []);
+    let decided = transfers(&voters, &ZoneLoads::default(), |step| step >= 9);
+    assert_eq!(decided.first(), Some(&(19, 3)));
 }
 
 #[test]
-fn the_leader_goes_to_the_load_when_quorums_are_equally_far() {
+fn leadership_follows_the_load_if_quorums_are_equally_distant() {
     let voters = voters(&["north-a", "south-a", "west-a"]);
     let now = Instant::now();
     let from_south = loads(&[("south-b", 90), ("north-a", 10)], now);
-    assert_eq!(moves(&voters, &from_south, |_| true).first(), Some(&(10, 2)));
+    assert_eq!(transfers(&voters, &from_south, |_| true).first(), Some(&(10, 2)));
     let even = loads(&[("south-b", 34), ("north-a", 33), ("west-a", 33)], now);
-    assert_eq!(moves(&voters, &even, |_| true), []);
+    assert_eq!(transfers(&voters, &even, |_| true), []);
 }
 
 #[test]
-fn within_one_region_nothing_moves_whatever_the_load() {
+fn load_causes_no_transfer_within_a_region() {
     let voters = voters(&["north-a", "north-b", "north-b"]);
     let all = loads(&[("north-b", 1_000)], Instant::now());
-    assert_eq!(moves(&voters, &all, |_| true), []);
+    assert_eq!(transfers(&voters, &all, |_| true), []);
 }
 
 #[test]
-fn a_group_of_one_stays_where_it_is() {
+fn a_single_voter_causes_no_transfer() {
     let all = loads(&[("south-a", 100)], Instant::now());
-    assert_eq!(moves(&voters(&["north-a"]), &all, |_| true), []);
+    assert_eq!(transfers(&voters(&["north-a"]), &all, |_| true), []);
 }
 
 #[test]
-fn load_of_long_ago_counts_for_nothing() {
+fn old_load_is_ignored() {
     let voters = voters(&["north-a", "south-a", "west-a"]);
     let now = Instant::now();
     let mut shifted = loads(&[("south-b", 100)], now);
     for step in 1..=20 {
         shifted.note("north-a", now + Duration::from_secs(10 * step));
     }
-    assert_eq!(moves(&voters, &shifted, |_| true), []);
+    assert_eq!(transfers(&voters, &shifted, |_| true), []);
 }
 
 #[test]
-fn load_that_ended_long_ago_is_outweighed_by_a_few_turns() {
+fn a_few_recent_turns_outweigh_old_load() {
     let voters = voters(&["north-a", "south-a", "west-a"]);
     let now = Instant::now();
     let mut shifted = loads(&[("south-b", 1_000)], now);
     let later = now + Duration::from_secs(600);
     (0..10).for_each(|_| shifted.note("north-a", later));
-    assert_eq!(moves(&voters, &shifted, |_| true), []);
+    assert_eq!(transfers(&voters, &shifted, |_| true), []);
 }
 
 #[test]
-fn load_that_swings_does_not_drag_the_leadership_along() {
+fn oscillating_load_causes_few_transfers() {
     let voters = voters(&["north-a", "south-a", "west-a"]);
     let topology = topology();
     let begin = Instant::now();
-    let swings = [loads(&[("south-b", 100)], begin), loads(&[("north-b", 100)], begin)];
-    let mut preferences = BTreeMap::from([1, 2, 3].map(|one| (one, LeaderPreference::default())));
+    let oscillating_loads = [loads(&[("south-b", 100)], begin), loads(&[("north-b", 100)], begin)];
+    let mut preferences =
+        BTreeMap::from([1, 2, 3].map(|machine| (machine, LeaderPreference::default())));
     let mut leader = 1;
-    let mut moved_at = Vec::new();
+    let mut transfer_steps = Vec::new();
     for step in 0..400_usize {
-        // Each side is the better one for 8 s: longer than what counts as lasting.
+        // The load alternates every 8 s, which exceeds the delay before a transfer.
         let view = GroupView {
             topology: &topology,
             leader,
             voters: &voters,
-            loads: &swings[step / 16 % 2],
+            loads: &oscillating_loads[step / 16 % 2],
             is_calm: true,
             retiring: &BTreeSet::new(),
         };
@@ -140,22 +141,22 @@
         for (machine, preference) in &mut preferences {
             if *machine != view.leader {
                 preference.follow(true);
-            } else if let Some(moved) = preference.decide(&view, now) {
-                leader = moved.to;
-                moved_at.push(step);
+            } else if let Some(transfer) = preference.decide(&view, now) {
+                leader = transfer.to;
+                transfer_steps.push(step);
             }
         }
     }
-    assert!(moved_at.len() > 1, "{moved_at:?}");
-    assert!(moved_at.windows(2).all(|pair| pair[1] - pair[0] >= 60), "{moved_at:?}");
+    assert!(transfer_steps.len() > 1, "{transfer_steps:?}");
+    assert!(transfer_steps.windows(2).all(|pair| pair[1] - pair[0] >= 60), "{transfer_steps:?}");
 }
 
 #[test]
-fn only_a_retiring_machine_that_still_votes_holds_the_leadership_up() {
+fn only_a_retiring_voter_prevents_transfers() {
     let voters = voters(&["west-a", "south-a", "north-a", "north-b", "north-a"]);
     let topology = topology();
     let begin = Instant::now();
-    let moves = |retiring: u32| -> Vec<u32> {
+    let transfers_while_retiring = |retiring: u32| -> Vec<u32> {
         let mut preference = LeaderPreference::default();
         let view = GroupView {
             topology: &topology,
@@ -165,24 +166,24 @@
             is_calm: true,
             retiring: &BTreeSet::from([retiring]),
         };
-        let mut moved = Vec::new();
+        let mut targets = Vec::new();
         for step in 0..200 {
             let now = begin + Duration::from_millis(500 * step);
-            moved.extend(preference.decide(&view, now).map(|better| better.to));
+            targets.extend(preference.decide(&view, now).map(|transfer| transfer.to));
         }
-        moved
+        targets
     };
-    assert!(moves(2).is_empty());
-    assert_eq!(moves(9).first(), Some(&3));
+    assert!(transfers_while_retiring(2).is_empty());
+    assert_eq!(transfers_while_retiring(9).first(), Some(&3));
 }
 
 #[test]
-fn a_hand_over_that_cost_an_election_is_not_tried_again_at_once() {
+fn a_failed_transfer_is_not_retried_immediately() {
     let voters = voters(&["west-a", "south-a", "north-a", "north-b", "north-a"]);
     let topology = topology();
     let begin = Instant::now();
     let mut preference = LeaderPreference::default();
-    let mut moved_at = Vec::new();
+    let mut transfer_steps = Vec::new();
     for step in 0..100 {
         let view = GroupView {
             topology: &topology,
@@ -193,10 +194,10 @@
             retiring: &BTreeSet::new(),
         };
         if preference.decide(&view, begin + Duration::from_millis(500 * step)).is_some() {
-            moved_at.push(step);
-            // The other one reaches too few voters; this one is elected again.
+            transfer_steps.push(step);
+            // The target does not win the election and machine 1 is elected again.
             preference.follow(false);
         }
     }
-    assert_eq!(moved_at, [10, 70]);
+    assert_eq!(transfer_steps, [10, 70]);
 }
--- a/crates/ledger/tests/slowness.rs
+++ b/crates/ledger/tests/slowness.rs
@@ -1,4 +1,4 @@
-//! A leader with a slow disk gives the leadership away, and not for a single pause.
+//! A leader steps down because of a slow disk only after several slow flushes in a row.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 const FAST: Duration = Duration::from_millis(5);
 
 #[test]
-fn slow_flushes_in_a_row_end_the_leadership() {
+fn consecutive_slow_flushes_end_the_leadership() {
     let mut slowness = Slowness::default();
-    let told: Vec<bool> = (0..6).map(|_| slowness.note(SLOW)).collect();
-    assert_eq!(told, [false, false, true, false, false, true]);
+    let steps_down: Vec<bool> = (0..6).map(|_| slowness.note(SLOW)).collect();
+    assert_eq!(steps_down, [false, false, true, false, false, true]);
 }
 
 #[test]
-fn single_pauses_do_not() {
+fn isolated_slow_flushes_do_not_end_the_leadership() {
     let mut slowness = Slowness::default();
     for _ in 0..10 {
         assert!(!slowness.note(SLOW));
--- a/crates/ledger/tests/state.rs
+++ b/crates/ledger/tests/state.rs
@@ -1,4 +1,4 @@
-//! The ledger's state machine: budgets, retained turns, configurations, machines.
+//! Tests of the state machine: budgets, retained turns, configurations and machines.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 }
 
 fn apply(state: &mut LedgerState, command: &Command) -> Output {
-    state.apply(&encode(command).expect("encodes"))
+    state.apply(&encode(command).expect("encode"))
 }
 
 fn reserve(turn: &str, most_tokens: u64, budget: u64) -> Command {
@@ -72,29 +72,29 @@
     for piece in queries::history(state, Some(&turn.to_owned()))? {
         match piece {
             HistoryPiece::Held(bytes) => history.extend_from_slice(bytes),
-            HistoryPiece::Stored(stored) => panic!("{stored:?} was never sealed"),
+            HistoryPiece::Stored(stored) => panic!("unexpected sealed piece: {stored:?}"),
         }
     }
     String::from_utf8(history).ok()
 }
 
-/// In a burst those who were turned away come back; they are as new as before.
+/// Programs that retry after a refusal must not count as started.
 #[test]
-fn a_program_whose_only_turn_was_turned_away_has_not_begun() {
+fn a_program_whose_only_turn_was_refused_has_not_started() {
     let mut state = state();
     apply(&mut state, &reserve("first", 40, 100));
     assert!(!state.accounts().has_begun_before("p", "first"));
     apply(&mut state, &settle("first", 0));
     apply(&mut state, &reserve("again", 40, 100));
-    assert!(!state.accounts().has_begun_before("p", "again"), "nothing of it ever ran");
-    assert!(state.accounts().has_begun_before("p", "second"), "one of its turns may be running");
+    assert!(!state.accounts().has_begun_before("p", "again"), "no turn has run");
+    assert!(state.accounts().has_begun_before("p", "second"), "another turn may be running");
     apply(&mut state, &settle("again", 12));
     apply(&mut state, &reserve("second", 40, 100));
     assert!(state.accounts().has_begun_before("p", "second"));
 }
 
 #[test]
-fn the_highest_version_wins_and_an_equal_one_changes_nothing() {
+fn only_a_higher_configuration_version_is_stored() {
     let mut state = state();
     let put = |version, text: &str| Command::PutConfiguration {
         version,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_repeated_reservation_is_charged_once_and_a_late_one_not_at_all() {
+fn repeated_reservations_are_charged_once_and_late_ones_rejected() {
     let mut state = state();
     let granted = Output::Reservation(Reservation::Granted);
     assert_eq!(apply(&mut state, &reserve("t1", 40, 100)), granted);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_is_used_again_is_kept_with_all_that_came_before() {
+fn continuing_a_turn_extends_the_retention_of_its_history() {
     let mut state = state();
     apply(&mut state, &retain("a", None, "1", "2\n"));
     apply(&mut state, &Command::Advance { elapsed_ms: 900 });
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_machine_is_retired_only_when_known_and_enough_are_left() {
+fn a_machine_is_retired_only_if_registered_and_enough_members_remain() {
     let mut state = state();
     apply(&mut state, &Command::Enroll { name: "m1".to_owned(), machine: 1 });
     let retire = |name: &str, remaining| Command::Retire {
@@ -164,19 +164,19 @@
     assert_eq!(outcome(&mut state, retire("m9", 5)), RetiringOutcome::Unknown);
     assert_eq!(outcome(&mut state, retire("m1", 2)), RetiringOutcome::TooFewLeft);
     assert_eq!(outcome(&mut state, retire("m1", 3)), RetiringOutcome::Accepted);
-    // Repeated: it is under way, whatever is left by now.
+    // A repeated command succeeds because retirement has already started.
     assert_eq!(outcome(&mut state, retire("m1", 2)), RetiringOutcome::Accepted);
     assert_eq!(state.machines().retiring_numbers().into_iter().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
-fn damaged_commands_change_nothing() {
+fn malformed_commands_do_not_change_the_state() {
     let mut state = state();
     assert_eq!(state.apply(b"\xff\xff\xff"), Output::Unreadable);
     assert_eq!(state, LedgerState::new(GroupId(0)));
 }
 
-/// A step of a program's turns: which turn, and what happens to it.
+/// An operation on a turn, with the number of the turn and an amount of tokens.
 #[derive(Clone, Debug)]
 enum Step {
     Reserve(u8, u64),
@@ -194,10 +194,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// In whatever order reservations and ends come, and come again, what was granted
-    /// and may have been used never exceeds the budget.
+    /// Reservations and settlements may arrive in any order and repeatedly; reserved and used
+    /// tokens together never exceed the budget.
     #[test]
-    fn granted_turns_never_exceed_the_budget(steps in steps(), budget in 50u64..300) {
+    fn charged_tokens_never_exceed_the_budget(steps in steps(), budget in 50u64..300) {
         let mut state = state();
         let mut running: BTreeMap<u8, u64> = BTreeMap::new();
         let mut used: BTreeMap<u8, u64> = BTreeMap::new();
@@ -224,10 +224,9 @@
         }
     }
 
-    /// Whatever the shape of the tree, each turn's history is the path from its root,
-    /// and a snapshot carries it over.
+    /// The history of each turn is the path from its root, also after restoring a snapshot.
     #[test]
-    fn histories_are_the_paths_of_the_tree(parents in prop::collection::vec(any::<u16>(), 1..40)) {
+    fn turn_history_is_the_path_from_the_root(parents in prop::collection::vec(any::<u16>(), 1..40)) {
         let mut state = state();
         let mut expected: Vec<String> = Vec::new();
         for (number, parent) in parents.iter().enumerate() {
@@ -251,12 +250,12 @@
 }
 
 #[test]
-fn bytes_are_written_as_when_they_were_written_one_by_one() {
+fn byte_strings_and_sequences_of_bytes_have_the_same_encoding() {
     let turn = RetainedTurn {
         previous: Some("t0".to_owned()),
         input: vec![0, 250, 251, 255],
         output: vec![7; 300],
     };
-    let one_by_one = (turn.previous.clone(), turn.input.clone(), turn.output.clone());
-    assert_eq!(encode(&turn).expect("encodes"), encode(&one_by_one).expect("encodes"));
+    let byte_sequences = (turn.previous.clone(), turn.input.clone(), turn.output.clone());
+    assert_eq!(encode(&turn).expect("encode"), encode(&byte_sequences).expect("encode"));
 }
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A ledger machine whose peer the test plays.
+//! Test harness that runs one ledger machine and emulates a peer and gateways.
 
 #![allow(dead_code)]
 
@@ -34,15 +34,15 @@
 
 pub const LOCAL: Ipv4Addr = Ipv4Addr::LOCALHOST;
 pub const PEER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
-const AWAY: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
-/// Only a test that fails takes so long.
-pub const LONG: Duration = Duration::from_secs(60);
-/// What was sent has been taken then. A leader without its peer goes on for longer.
-pub const SHORT: Duration = Duration::from_millis(50);
+const ABSENT_PEER: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
+/// Time limit of operations that are expected to complete.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time in which sent messages are processed; a leader without its peer keeps leading for longer.
+pub const PROCESSING_TIME: Duration = Duration::from_millis(50);
 
-struct NoOperator;
+struct NoControlApi;
 
-impl ControlCodec for NoOperator {
+impl ControlCodec for NoControlApi {
     fn parse(&self, _: &Method, _: &str, _: &[u8]) -> Result<ControlCall, CallError> {
         Err(CallError::Unknown)
     }
@@ -56,7 +56,7 @@
     LedgerSettings {
         name: "store-1".to_owned(),
         ip: LOCAL,
-        seeds: vec![LOCAL, PEER, AWAY],
+        seeds: vec![LOCAL, PEER, ABSENT_PEER],
         bootstrap: true,
         data_folder: folder.path().to_owned(),
         ports: Ports { peers: 0, gateways: 0, control: 0 },
@@ -64,7 +64,7 @@
         tolerated_losses: 1,
         list: None,
         list_interval: LedgerSettings::LIST_INTERVAL,
-        control: Arc::new(NoOperator),
+        control: Arc::new(NoControlApi),
         limit_tolerance: Default::default(),
         zone: "a".to_owned(),
         topology: Arc::default(),
@@ -72,33 +72,32 @@
     }
 }
 
-/// How the peer answers an entry that carries a command.
-pub enum OnCommand {
+/// Reaction of the peer to the log entry of a command.
+pub enum PeerReaction {
     Acknowledge,
-    /// The follower acknowledges, and stands for election in the next term with it.
+    /// Acknowledges the entry and starts an election for the next term.
     AcknowledgeAndCampaign,
 }
 
-/// A command that the test has asked for. A leader proposes others by itself.
-struct AwaitedCommand {
+/// A command requested by the test, as opposed to those that a leader proposes by itself.
+struct ExpectedCommand {
     command: Command,
     encoded: Vec<u8>,
-    then: OnCommand,
+    reaction: PeerReaction,
 }
 
-impl AwaitedCommand {
-    fn new(request: &Request, then: OnCommand) -> Self {
+impl ExpectedCommand {
+    fn new(request: &Request, reaction: PeerReaction) -> Self {
         let command = match request {
             Request::Change(command) => command.clone(),
             Request::Reserve(reserve) => Command::Reserve(reserve.clone()),
-            other => panic!("no command: {other:?}"),
+            other => panic!("request without a command: {other:?}"),
         };
-        let encoded = encode(&command).expect("encodes");
-        Self { command, encoded, then }
+        let encoded = encode(&command).expect("encode command");
+        Self { command, encoded, reaction }
     }
 
-    /// The request that asks for it.
-    fn request(&self) -> Request {
+    fn to_request(&self) -> Request {
         match self.command.clone() {
             Command::Reserve(reserve) => Request::Reserve(reserve),
             command => Request::Change(command),
@@ -106,16 +105,16 @@
     }
 
     fn is_among(&self, entries: &[Entry]) -> bool {
-        let is_it = |entry: &Entry| match &entry.kind {
+        let matches = |entry: &Entry| match &entry.kind {
             EntryKind::Command(command) => command[..] == self.encoded[..],
             _ => false,
         };
-        entries.iter().any(is_it)
+        entries.iter().any(matches)
     }
 }
 
-/// The machine under test with one peer; the third one is away.
-pub struct Pair {
+/// The machine under test in a group of three, with one emulated and one absent peer.
+pub struct MachineWithPeer {
     pub handle: ReplicaHandle,
     pub standing: watch::Receiver<Standing>,
     turns: Arc<TurnDesk>,
@@ -125,40 +124,43 @@
     folder: TempDir,
 }
 
-impl Pair {
+impl MachineWithPeer {
     pub fn start() -> Self {
-        Self::open(tempfile::tempdir().expect("a folder"), LimitTolerance::default())
+        Self::open(
+            tempfile::tempdir().expect("create temporary directory"),
+            LimitTolerance::default(),
+        )
     }
 
-    /// Starts the machine with what its folder holds.
+    /// Starts the machine with the data in `folder`.
     pub fn open(folder: TempDir, tolerance: LimitTolerance) -> Self {
         let (out, frames) = mpsc::channel(1_024);
         let (turns, limits) = (Arc::default(), Arc::new(LimitDesk::new(tolerance)));
         let desks =
             Desks { turns: Arc::clone(&turns), limits: Arc::clone(&limits), loads: Arc::default() };
-        let thread = ReplicaThread::open(&settings(&folder), out, desks).expect("opens");
-        let (handle, standing, ended) = thread.start().expect("starts");
+        let thread = ReplicaThread::open(&settings(&folder), out, desks).expect("open replica");
+        let (handle, standing, ended) = thread.start().expect("start replica thread");
         Self { handle, standing, turns, limits, frames, ended, folder }
     }
 
-    /// Ends the machine; returns its folder.
+    /// Stops the machine and returns its data folder.
     pub async fn stop(self) -> TempDir {
         let Self { handle, ended, folder, .. } = self;
         drop(handle);
-        let end = tokio::time::timeout(LONG, ended).await.expect("in time");
+        let end = tokio::time::timeout(TEST_TIMEOUT, ended).await.expect("timed out");
         assert!(end.is_err(), "{end:?}");
         folder
     }
 
-    /// Serves gateways; returns the address.
+    /// Starts accepting gateways and returns the address.
     pub async fn serve_gateways(&self) -> SocketAddr {
         self.serve_gateways_with(Reading::default()).await
     }
 
-    /// The same with a list of replicas.
+    /// Starts accepting gateways with the given replica list and returns the address.
     pub async fn serve_gateways_with(&self, reading: Reading) -> SocketAddr {
-        let listener = TcpListener::bind((LOCAL, 0)).await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind((LOCAL, 0)).await.expect("bind listener");
+        let address = listener.local_addr().expect("local address");
         let (_, list) = watch::channel(reading);
         let place =
             HubPlace { zone: "a".to_owned(), topology: Arc::default(), loads: Arc::default() };
@@ -178,42 +180,42 @@
         self.handle.frame(Self::peer(), messages.into_iter().map(in_group).collect());
     }
 
-    /// The next messages to the peer.
-    async fn messages(&mut self) -> Vec<Message> {
+    /// Returns the next messages sent to the peer.
+    async fn next_messages(&mut self) -> Vec<Message> {
         loop {
-            let frame = tokio::time::timeout(LONG, self.frames.recv()).await;
-            let frame = frame.expect("in time").expect("the thread runs");
+            let frame = tokio::time::timeout(TEST_TIMEOUT, self.frames.recv()).await;
+            let frame = frame.expect("timed out").expect("replica thread stopped");
             if frame.to == Self::peer() {
                 return frame.messages.into_iter().map(|message| message.message).collect();
             }
         }
     }
 
-    /// Plays the peer until the machine leads.
-    pub async fn follow(&mut self) {
+    /// Emulates the peer until the machine leads.
+    pub async fn run_peer_until_leader(&mut self) {
         let mut standing = self.standing.clone();
-        let leads = standing.wait_for(|standing| standing.is_leader);
-        self.follow_while(leads).await.expect("the thread runs");
+        let becomes_leader = standing.wait_for(|standing| standing.is_leader);
+        self.run_peer_while(becomes_leader).await.expect("replica thread stopped");
     }
 
-    /// Plays a peer that votes for the machine, and acknowledges no entry of its term. None of
-    /// what is in its log is known to be committed then.
-    pub async fn elect(&mut self) {
+    /// Emulates a peer that votes for the machine but acknowledges no entry of its term, so that
+    /// the machine does not know which entries of its log are committed.
+    pub async fn elect_without_acknowledgement(&mut self) {
         loop {
-            for message in self.messages().await {
+            for message in self.next_messages().await {
                 if matches!(message, Message::Append { .. }) {
-                    tokio::time::sleep(SHORT).await;
+                    tokio::time::sleep(PROCESSING_TIME).await;
                     return;
                 }
-                self.answer(message, None);
+                self.respond(message, None);
             }
         }
     }
 
-    /// The peer's answer to the next entries or heartbeat, which is still to be sent.
-    pub async fn acknowledgement(&mut self) -> Message {
+    /// Returns the peer's response to the next entries or heartbeat without sending it.
+    pub async fn next_acknowledgement(&mut self) -> Message {
         loop {
-            for message in self.messages().await {
+            for message in self.next_messages().await {
                 if let Some(reply) = reply_to(&message) {
                     return reply;
                 }
@@ -221,23 +223,23 @@
         }
     }
 
-    /// Plays the peer for as long as somebody waits for something.
-    pub async fn follow_while<T>(&mut self, waits: impl Future<Output = T>) -> T {
-        let mut waits = std::pin::pin!(waits);
+    /// Emulates the peer until `future` completes.
+    pub async fn run_peer_while<T>(&mut self, future: impl Future<Output = T>) -> T {
+        let mut future = std::pin::pin!(future);
         loop {
             tokio::select! {
-                done = &mut waits => return done,
-                messages = self.messages() => {
+                output = &mut future => return output,
+                messages = self.next_messages() => {
                     for message in messages {
-                        self.answer(message, None);
+                        self.respond(message, None);
                     }
                 }
             }
         }
     }
 
-    /// Returns whether it acknowledged the command that is awaited.
-    fn answer(&self, message: Message, awaited: Option<&AwaitedCommand>) -> bool {
+    /// Responds to a message as the peer. Returns whether it acknowledged the expected command.
+    fn respond(&self, message: Message, expected: Option<&ExpectedCommand>) -> bool {
         let reply = reply_to(&message);
         match (message, reply) {
             (Message::Vote { term, pre, .. }, _) => {
@@ -252,63 +254,67 @@
                     pre: false,
                     transfer: true,
                 };
-                let came = awaited.filter(|awaited| awaited.is_among(&entries));
-                match came.map(|awaited| &awaited.then) {
-                    Some(OnCommand::AcknowledgeAndCampaign) => self.send(vec![reply, campaign]),
-                    Some(OnCommand::Acknowledge) | None => self.send(vec![reply]),
+                let acknowledged = expected.filter(|expected| expected.is_among(&entries));
+                match acknowledged.map(|expected| &expected.reaction) {
+                    Some(PeerReaction::AcknowledgeAndCampaign) => self.send(vec![reply, campaign]),
+                    Some(PeerReaction::Acknowledge) | None => self.send(vec![reply]),
                 }
-                came.is_some()
+                acknowledged.is_some()
             }
             _ => false,
         }
     }
 
-    /// Plays the peer until it has acknowledged the command that is awaited, or until somebody knows
-    /// that it never comes.
-    async fn follow_up_to(&mut self, awaited: &AwaitedCommand, never_comes: impl Fn() -> bool) {
-        while !never_comes() {
-            for message in self.messages().await {
-                if self.answer(message, Some(awaited)) {
+    /// Emulates the peer until it has acknowledged the expected command or `is_refused` returns
+    /// true.
+    async fn run_peer_until(&mut self, expected: &ExpectedCommand, is_refused: impl Fn() -> bool) {
+        while !is_refused() {
+            for message in self.next_messages().await {
+                if self.respond(message, Some(expected)) {
                     return;
                 }
             }
         }
     }
 
-    /// Asks, and returns the response with what was known to all as it was given. Asks again when the
-    /// machine has given the leadership away, as one does whose disk is slow for a moment.
-    pub async fn ask(&mut self, request: Request, on_command: OnCommand) -> (Response, Standing) {
-        let awaited = AwaitedCommand::new(&request, on_command);
+    /// Sends a request and returns the response with the standing that was published at that time.
+    /// Retries if the machine has lost the leadership, for example because of a slow disk.
+    pub async fn request(
+        &mut self,
+        request: Request,
+        reaction: PeerReaction,
+    ) -> (Response, Standing) {
+        let expected = ExpectedCommand::new(&request, reaction);
         loop {
-            let (answered, answer) = std_mpsc::channel();
+            let (sender, receiver) = std_mpsc::channel();
             let standing = self.standing.clone();
             let respond = move |response| {
-                let known = standing.borrow().clone();
-                let _ = answered.send((response, known));
+                let published = standing.borrow().clone();
+                let _ = sender.send((response, published));
             };
-            self.handle.ask(awaited.request(), Box::new(respond));
-            let early = std::cell::RefCell::new(None);
+            self.handle.ask(expected.to_request(), Box::new(respond));
+            let early_response = std::cell::RefCell::new(None);
             let is_refused = || {
-                let mut early = early.borrow_mut();
-                if early.is_none() {
-                    *early = answer.try_recv().ok();
+                let mut early_response = early_response.borrow_mut();
+                if early_response.is_none() {
+                    *early_response = receiver.try_recv().ok();
                 }
-                matches!(*early, Some((Response::NotLeader(_), _)))
+                matches!(*early_response, Some((Response::NotLeader(_), _)))
             };
-            self.follow_up_to(&awaited, is_refused).await;
-            match early.into_inner() {
-                Some((Response::NotLeader(_), _)) => self.follow().await,
-                Some(given) => return given,
+            self.run_peer_until(&expected, is_refused).await;
+            match early_response.into_inner() {
+                Some((Response::NotLeader(_), _)) => self.run_peer_until_leader().await,
+                Some(response) => return response,
                 None => {
-                    let given = move || answer.recv_timeout(LONG).expect("answered");
-                    return tokio::task::spawn_blocking(given).await.expect("no panic");
+                    let receive = move || receiver.recv_timeout(TEST_TIMEOUT).expect("no response");
+                    return tokio::task::spawn_blocking(receive).await.expect("task panicked");
                 }
             }
         }
     }
 }
 
-/// A follower's answer to entries or a heartbeat, all of which it holds.
+/// Returns the response of a follower that has stored all entries of `message`.
 pub fn reply_to(message: &Message) -> Option<Message> {
     let Message::Append { term, previous_index, entries, round, .. } = message else {
         return None;
@@ -317,32 +323,33 @@
     Some(Message::AppendReply { term: *term, matched, refused: None, round: *round })
 }
 
-/// A gateway's connection.
-pub struct Asker {
+/// Connection of an emulated gateway.
+pub struct GatewayConnection {
     frames: FrameReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
     number: u64,
 }
 
-impl Asker {
+impl GatewayConnection {
     pub async fn connect(address: SocketAddr) -> Self {
-        let mut stream = TcpStream::connect(address).await.expect("listens");
-        offer(&mut stream, SPOKEN).await.expect("speaks the newest version");
+        let mut stream = TcpStream::connect(address).await.expect("connect");
+        offer(&mut stream, SPOKEN).await.expect("negotiate version");
         let (input, output) = stream.into_split();
         Self { frames: FrameReader::new(input), output, number: 0 }
     }
 
     pub async fn send(&mut self, question: Question) {
         self.number += 1;
-        let ask = Ask { number: self.number, question };
-        let frame = encode_frame(&ask).expect("encodes");
-        self.output.write_all(&frame).await.expect("written");
+        let message = Ask { number: self.number, question };
+        let frame = encode_frame(&message).expect("encode request");
+        self.output.write_all(&frame).await.expect("send request");
     }
 
-    /// The answer to the question that was asked last.
-    pub async fn answer(&mut self) -> Answer {
-        let reply = tokio::time::timeout(LONG, self.frames.next()).await.expect("in time");
-        let Reply { number, answer } = reply.expect("answered");
+    /// Receives the response to the latest request.
+    pub async fn receive(&mut self) -> Answer {
+        let reply =
+            tokio::time::timeout(TEST_TIMEOUT, self.frames.next()).await.expect("timed out");
+        let Reply { number, answer } = reply.expect("no response");
         assert_eq!(number, self.number);
         answer
     }
--- a/crates/ledger/tests/support/older.rs
+++ b/crates/ledger/tests/support/older.rs
@@ -1,5 +1,5 @@
-//! Processes of the build that named no protocol, played by the test: what they write is kept as
-//! bytes that this build wrote, and what they cannot read they answer by closing the connection.
+//! Emulated processes that use protocol version 1. Their messages are stored samples; on messages
+//! that they cannot decode, they close the connection.
 
 use std::net::SocketAddr;
 
@@ -9,29 +9,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::{LONG, reply_to};
+use super::{TEST_TIMEOUT, reply_to};
 
-const CORPUS: &str = include_str!("../data/protocol-1.txt");
+const SAMPLES: &str = include_str!("../data/protocol-1.txt");
 const HEADER_BYTES: usize = 8;
-/// Bytes of the number in the sample of a search; those of the others are of one byte.
-const NUMBER_OF_SEARCH: usize = 3;
+/// Length of the request number in the sample `ask.find_leader`; it is 1 in the other samples.
+const FIND_LEADER_NUMBER_BYTES: usize = 3;
 
-/// What that build writes for one of its messages.
+/// Returns the encoding of the message sample `name`.
 pub fn sample(name: &str) -> Vec<u8> {
-    let line = CORPUS.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-    let hex = line.unwrap_or_else(|| panic!("no sample {name}"));
+    let line = SAMPLES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let hex = line.unwrap_or_else(|| panic!("sample {name} not found"));
     let digits = hex.as_bytes().chunks(2);
-    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16);
-    digits.map(|pair| byte(pair).expect("hex")).collect()
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII text"), 16);
+    digits.map(|pair| byte(pair).expect("hex digits")).collect()
 }
 
-/// Names of all samples.
-pub fn names() -> impl Iterator<Item = &'static str> {
-    CORPUS.lines().filter_map(|line| line.split(' ').next())
+/// Returns the names of all samples.
+pub fn sample_names() -> impl Iterator<Item = &'static str> {
+    SAMPLES.lines().filter_map(|line| line.split(' ').next())
 }
 
-/// The next frame's payload; `None` once the other side has closed.
-async fn payload(stream: &mut TcpStream) -> Option<Vec<u8>> {
+/// Reads the payload of the next frame; returns `None` if the connection is closed.
+async fn read_payload(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut header = [0; HEADER_BYTES];
     stream.read_exact(&mut header).await.ok()?;
     let [a, b, c, d, ..] = header;
@@ -40,55 +40,57 @@
     Some(payload)
 }
 
-/// A gateway of that build.
-pub struct OlderGateway(TcpStream);
+/// A gateway that uses protocol version 1.
+pub struct V1Gateway(TcpStream);
 
-impl OlderGateway {
+impl V1Gateway {
     pub async fn connect(address: SocketAddr) -> Self {
-        Self(TcpStream::connect(address).await.expect("listens"))
+        Self(TcpStream::connect(address).await.expect("connect"))
     }
 
-    /// Asks a question; the answer's bytes, or `None` when the connection was closed instead.
-    pub async fn ask(&mut self, question: &[u8]) -> Option<Vec<u8>> {
-        self.0.write_all(&frame_of(question)).await.ok()?;
-        tokio::time::timeout(LONG, payload(&mut self.0)).await.expect("in time")
+    /// Sends an encoded request and returns the encoded response, or `None` if the connection is
+    /// closed.
+    pub async fn request(&mut self, request: &[u8]) -> Option<Vec<u8>> {
+        self.0.write_all(&frame_of(request)).await.ok()?;
+        tokio::time::timeout(TEST_TIMEOUT, read_payload(&mut self.0)).await.expect("timed out")
     }
 }
 
-/// A ledger machine of that build which leads, for gateways. It answers each question that is
-/// among its samples, whatever its number, and closes the connection at any other.
-pub struct OlderLeader {
+/// A leader that uses protocol version 1. It responds to the registered requests, whatever their
+/// number, and closes the connection on any other.
+pub struct V1Leader {
     listener: TcpListener,
-    answers: Vec<(Vec<u8>, Vec<u8>)>,
+    responses: Vec<(Vec<u8>, Vec<u8>)>,
 }
 
-impl OlderLeader {
+impl V1Leader {
     pub async fn bind() -> Self {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-        let search = sample("ask.find_leader")[NUMBER_OF_SEARCH..].to_vec();
-        let answers = vec![(search, sample("reply.leads")[1..].to_vec())];
-        Self { listener, answers }
+        let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("bind listener");
+        let find_leader = sample("ask.find_leader")[FIND_LEADER_NUMBER_BYTES..].to_vec();
+        let responses = vec![(find_leader, sample("reply.leads")[1..].to_vec())];
+        Self { listener, responses }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("local address")
     }
 
-    /// Answers the question of one sample with the answer of another. Both have short numbers.
-    pub fn answer(&mut self, question: &str, answer: &str) {
-        self.answers.push((sample(question)[1..].to_vec(), sample(answer)[1..].to_vec()));
+    /// Registers sample `response` as the response to sample `request`. The numbers of both
+    /// samples must be encoded as one byte.
+    pub fn respond_to(&mut self, request: &str, response: &str) {
+        self.responses.push((sample(request)[1..].to_vec(), sample(response)[1..].to_vec()));
     }
 
     pub async fn serve(self) {
         loop {
-            let (mut stream, _) = self.listener.accept().await.expect("accepts");
-            let answers = self.answers.clone();
+            let (mut stream, _) = self.listener.accept().await.expect("accept");
+            let responses = self.responses.clone();
             tokio::spawn(async move {
-                while let Some(asked) = payload(&mut stream).await {
-                    let [number, question @ ..] = asked.as_slice() else { return };
-                    let known = answers.iter().find(|(known, _)| known == question);
-                    let Some((_, answer)) = known else { return };
-                    let reply = [&[*number], answer.as_slice()].concat();
+                while let Some(message) = read_payload(&mut stream).await {
+                    let [number, request @ ..] = message.as_slice() else { return };
+                    let registered = responses.iter().find(|(known, _)| known == request);
+                    let Some((_, response)) = registered else { return };
+                    let reply = [&[*number], response.as_slice()].concat();
                     if stream.write_all(&frame_of(&reply)).await.is_err() {
                         return;
                     }
@@ -98,29 +100,29 @@
     }
 }
 
-/// A ledger machine of that build which follows.
-pub struct OlderMachine {
+/// A follower that uses protocol version 1.
+pub struct V1Follower {
     messages: mpsc::Receiver<Vec<GroupMessage>>,
     leader: TcpStream,
     leader_id: ReplicaId,
 }
 
-impl OlderMachine {
-    /// Takes connections on `listener`, and opens one to the peer under test.
+impl V1Follower {
+    /// Accepts connections on `listener` and connects to the machine under test.
     pub async fn start(listener: TcpListener, peer: SocketAddr, peer_id: ReplicaId) -> Self {
         let (sender, messages) = mpsc::channel(1_024);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(read(stream, sender.clone()));
+                tokio::spawn(read_messages(stream, sender.clone()));
             }
         });
-        let mut leader = TcpStream::connect(peer).await.expect("listens");
-        leader.write_all(&frame_of(&sample("peer.greeting"))).await.expect("written");
+        let mut leader = TcpStream::connect(peer).await.expect("connect");
+        leader.write_all(&frame_of(&sample("peer.greeting"))).await.expect("send greeting");
         Self { messages, leader, leader_id: peer_id }
     }
 
-    /// Votes for the peer and takes its entries, for as long as it is polled.
-    pub async fn follow(mut self) {
+    /// Votes for the machine under test and acknowledges its entries until disconnected.
+    pub async fn run(mut self) {
         while let Some(messages) = self.messages.recv().await {
             for GroupMessage { group, message } in messages {
                 let reply = match &message {
@@ -131,7 +133,7 @@
                 };
                 let Some(message) = reply else { continue };
                 let frame = (self.leader_id, vec![GroupMessage { group, message }]);
-                let frame = encode_frame(&frame).expect("encodes");
+                let frame = encode_frame(&frame).expect("encode reply");
                 if self.leader.write_all(&frame).await.is_err() {
                     return;
                 }
@@ -140,13 +142,13 @@
     }
 }
 
-async fn read(stream: TcpStream, messages: mpsc::Sender<Vec<GroupMessage>>) {
+async fn read_messages(stream: TcpStream, messages: mpsc::Sender<Vec<GroupMessage>>) {
     let mut frames = FrameReader::new(stream);
     if frames.next::<(ReplicaId, String)>().await.is_err() {
         return;
     }
-    while let Ok((_, of_frame)) = frames.next::<(ReplicaId, Vec<GroupMessage>)>().await {
-        if messages.send(of_frame).await.is_err() {
+    while let Ok((_, frame_messages)) = frames.next::<(ReplicaId, Vec<GroupMessage>)>().await {
+        if messages.send(frame_messages).await.is_err() {
             return;
         }
     }
--- a/crates/ledger/tests/turns.rs
+++ b/crates/ledger/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Turns that wait at a machine which may lead, in paused time.
+//! Queued turns on a leader and on a former leader, with paused time.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use calicohoist_scheduler::{Decision, PlacementRequest};
 
 const TERM: u64 = 7;
-const LONG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn request() -> PlacementRequest {
     PlacementRequest {
@@ -26,22 +26,22 @@
     }
 }
 
-/// A desk at which one turn waits: a new term decides nothing at first.
-fn desk_with_a_waiting_turn() -> TurnDesk {
+/// Returns a desk with one queued turn; no turn is placed at the start of a term.
+fn desk_with_a_queued_turn() -> TurnDesk {
     let desk = TurnDesk::default();
     assert_eq!(desk.arrive(TERM, "t", request(), &FleetSnapshot::default()), Decision::Wait);
     desk
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_waiting_turn_is_work() {
-    let desk = desk_with_a_waiting_turn();
-    assert!(tokio::time::timeout(LONG, desk.wait_for_work()).await.is_ok());
+async fn a_queued_turn_is_work() {
+    let desk = desk_with_a_queued_turn();
+    assert!(tokio::time::timeout(TEST_TIMEOUT, desk.wait_for_work()).await.is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_leads_no_more_has_no_work_left() {
-    let desk = desk_with_a_waiting_turn();
+async fn a_former_leader_has_no_work() {
+    let desk = desk_with_a_queued_turn();
     desk.dismiss(&Answer::Unavailable);
-    assert!(tokio::time::timeout(LONG, desk.wait_for_work()).await.is_err());
+    assert!(tokio::time::timeout(TEST_TIMEOUT, desk.wait_for_work()).await.is_err());
 }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -1,5 +1,4 @@
-//! Drained zones: what the log makes of orders, in whatever order they come, and which calls of
-//! operators are not begun.
+//! Drained zones: idempotence and ordering of drain commands, and rejected calls of operators.
 
 use std::io::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -27,7 +26,7 @@
 use tokio::sync::watch;
 
 const LOCAL: Ipv4Addr = Ipv4Addr::LOCALHOST;
-/// A snapshot of the version that drained no zones: a configuration, a machine and permits.
+/// Snapshot of a version without drained zones: a configuration, a machine and permits.
 const OLD_SNAPSHOT: &str = "0002027b7d000000000000010773746f72652d311100280101012801046465736b03";
 
 fn state() -> LedgerState {
@@ -35,7 +34,7 @@
 }
 
 fn apply(state: &mut LedgerState, command: &Command) -> Output {
-    state.apply(&encode(command).expect("encodes"))
+    state.apply(&encode(command).expect("encode"))
 }
 
 fn drain(zone: &str) -> Command {
@@ -51,9 +50,9 @@
 }
 
 #[test]
-fn an_order_that_comes_again_changes_nothing_and_keeps_its_version() {
+fn repeated_commands_do_not_change_zones_or_version() {
     let mut state = state();
-    let orders = [
+    let commands = [
         (restore("a"), 0, vec![]),
         (drain("a"), 1, vec!["a"]),
         (drain("a"), 1, vec!["a"]),
@@ -62,14 +61,14 @@
         (restore("a"), 3, vec!["b"]),
         (drain("a"), 4, vec!["a", "b"]),
     ];
-    for (order, version, drained) in orders {
-        assert_eq!(apply(&mut state, &order), Output::DrainedZones { version });
-        assert_eq!(zones(&state), drained, "{order:?}");
+    for (command, version, drained) in commands {
+        assert_eq!(apply(&mut state, &command), Output::DrainedZones { version });
+        assert_eq!(zones(&state), drained, "{command:?}");
     }
 }
 
 #[test]
-fn a_snapshot_carries_the_drained_zones_over() {
+fn snapshots_contain_the_drained_zones() {
     let mut state = state();
     apply(&mut state, &drain("a"));
     apply(&mut state, &drain("b"));
@@ -81,10 +80,12 @@
 }
 
 #[test]
-fn a_snapshot_of_the_version_before_is_read_with_its_permits() {
-    let digit = |place: usize| u8::from_str_radix(&OLD_SNAPSHOT[place..place + 2], 16);
-    let old: Vec<u8> =
-        (0..OLD_SNAPSHOT.len()).step_by(2).map(|place| digit(place).expect("hex")).collect();
+fn snapshots_without_drained_zones_are_decoded() {
+    let byte = |offset: usize| u8::from_str_radix(&OLD_SNAPSHOT[offset..offset + 2], 16);
+    let old: Vec<u8> = (0..OLD_SNAPSHOT.len())
+        .step_by(2)
+        .map(|offset| byte(offset).expect("hex digits"))
+        .collect();
     let mut restored = state();
     assert!(restored.restore(&old));
     assert_eq!(restored.configuration().version, 2);
@@ -96,92 +97,93 @@
     assert_eq!(again, restored);
 }
 
-/// What happens next in the life of one operator's orders for one zone.
+/// An event in the processing of one operator's commands for one zone.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The operator sends a copy of its order to the leader.
+    /// The operator sends its current command to the leader, possibly again.
     Send,
-    /// The copy of this number, of those on their way, arrives at the leader.
-    Arrive(usize),
-    /// The copy of this number arrives at a former leader that does not know it yet.
-    ArriveAtFormer(usize),
-    /// The oldest entries of the leader's log are committed.
+    /// The leader receives the message with this index, of those in flight.
+    Deliver(usize),
+    /// A former leader, unaware of its successor, receives the message with this index.
+    DeliverToFormerLeader(usize),
+    /// This many of the oldest uncommitted log entries are committed.
     Commit(usize),
-    /// Another leader follows, which has the first so many of the entries that are not committed.
+    /// A new leader is elected whose log has this many of the uncommitted entries.
     ElectWith(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         3 => Just(Step::Send),
-        3 => any::<usize>().prop_map(Step::Arrive),
-        1 => any::<usize>().prop_map(Step::ArriveAtFormer),
+        3 => any::<usize>().prop_map(Step::Deliver),
+        1 => any::<usize>().prop_map(Step::DeliverToFormerLeader),
         3 => (1usize..4).prop_map(Step::Commit),
         1 => (0usize..4).prop_map(Step::ElectWith),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// A copy of an order, on its way or in the log.
+/// A message or log entry with a command of the operator.
 #[derive(Clone, Copy, Debug)]
-struct OrderCopy {
-    order: usize,
+struct OperatorCommand {
+    sequence: usize,
     is_drain: bool,
 }
 
-/// One operator, whose orders follow each other: it turns to the next one when the last is
-/// acknowledged, and closes the connections of the copies that had no answer.
+/// Model of an operator that issues commands one after the other: once a command is acknowledged,
+/// it closes the connections of all other messages with that command and issues the next one.
 #[derive(Default)]
-struct OrderedCalls {
+struct SequentialOperator {
     state: LedgerState,
-    order: usize,
-    on_the_way: Vec<OrderCopy>,
-    uncommitted: Vec<OrderCopy>,
+    sequence: usize,
+    in_flight: Vec<OperatorCommand>,
+    uncommitted: Vec<OperatorCommand>,
 }
 
-impl OrderedCalls {
-    fn current(&self) -> OrderCopy {
-        OrderCopy { order: self.order, is_drain: self.order.is_multiple_of(2) }
+impl SequentialOperator {
+    fn current(&self) -> OperatorCommand {
+        OperatorCommand { sequence: self.sequence, is_drain: self.sequence.is_multiple_of(2) }
     }
 
-    fn take(&mut self, number: usize) -> Option<OrderCopy> {
-        let count = self.on_the_way.len();
-        (count > 0).then(|| self.on_the_way.remove(number % count))
+    fn take_in_flight(&mut self, index: usize) -> Option<OperatorCommand> {
+        let count = self.in_flight.len();
+        (count > 0).then(|| self.in_flight.remove(index % count))
     }
 
-    fn play(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Send => {
-                let copy = self.current();
-                self.on_the_way.push(copy);
+                let command = self.current();
+                self.in_flight.push(command);
             }
-            Step::Arrive(number) => {
-                // A call whose caller has closed its connection is not begun.
-                let open = self.take(number).filter(|copy| copy.order == self.order);
+            Step::Deliver(index) => {
+                // Calls whose connection has been closed are not executed.
+                let open =
+                    self.take_in_flight(index).filter(|command| command.sequence == self.sequence);
                 self.uncommitted.extend(open);
             }
-            // Its entry is never committed: the group has gone on in a later term.
-            Step::ArriveAtFormer(number) => drop(self.take(number)),
+            // The entry is never committed, since the term of the former leader is over.
+            Step::DeliverToFormerLeader(index) => drop(self.take_in_flight(index)),
             Step::Commit(count) => {
                 let count = count.min(self.uncommitted.len());
-                let committed: Vec<OrderCopy> = self.uncommitted.drain(..count).collect();
-                committed.into_iter().for_each(|copy| self.commit(copy));
+                let committed: Vec<OperatorCommand> = self.uncommitted.drain(..count).collect();
+                committed.into_iter().for_each(|command| self.commit(command));
             }
             Step::ElectWith(count) => self.uncommitted.truncate(count),
         }
     }
 
-    fn commit(&mut self, copy: OrderCopy) {
-        let order = if copy.is_drain { drain("a") } else { restore("a") };
-        apply(&mut self.state, &order);
-        if copy.order == self.order {
-            self.order += 1;
+    fn commit(&mut self, command: OperatorCommand) {
+        let entry = if command.is_drain { drain("a") } else { restore("a") };
+        apply(&mut self.state, &entry);
+        if command.sequence == self.sequence {
+            self.sequence += 1;
         }
     }
 
-    /// Whether the zone is drained, as the last acknowledged order wants it.
-    fn is_wanted(&self) -> bool {
-        !self.order.is_multiple_of(2)
+    /// Returns whether the last acknowledged command drained the zone.
+    fn expects_drained(&self) -> bool {
+        !self.sequence.is_multiple_of(2)
     }
 }
 
@@ -193,22 +195,22 @@
         ..ProptestConfig::default()
     })]
 
-    /// However copies of orders are delayed, doubled, lost with a leader, or committed late: what
-    /// was acknowledged last is what holds.
+    /// Messages may be delayed, duplicated, lost with a leader or committed late; the state always
+    /// matches the last acknowledged command.
     #[test]
-    fn the_last_acknowledged_order_holds(steps in steps()) {
-        let mut calls = OrderedCalls::default();
+    fn the_last_acknowledged_command_determines_the_state(steps in steps()) {
+        let mut operator = SequentialOperator::default();
         for step in steps {
-            calls.play(step);
-            prop_assert_eq!(calls.state.drained().contains("a"), calls.is_wanted());
+            operator.execute(step);
+            prop_assert_eq!(operator.state.drained().contains("a"), operator.expects_drained());
         }
     }
 }
 
-/// The zone is the path, without its slash.
-struct PathIsZone;
+/// Uses the path without its slash as the name of the zone.
+struct ZoneFromPath;
 
-impl ControlCodec for PathIsZone {
+impl ControlCodec for ZoneFromPath {
     fn parse(&self, method: &Method, path: &str, _: &[u8]) -> Result<ControlCall, CallError> {
         let zone = Zone::new(path.trim_start_matches('/'));
         match *method {
@@ -228,7 +230,7 @@
     }
 }
 
-/// A machine of a ledger, in the runtime of its test.
+/// A ledger machine that runs in the runtime of the test.
 struct Ledger {
     gateways: SocketAddr,
     control: SocketAddr,
@@ -237,11 +239,11 @@
 }
 
 impl Ledger {
-    /// One that founds the ledger with these; `losses` are to be borne.
+    /// Starts a machine that bootstraps a ledger tolerating `losses` failed machines.
     fn start(seeds: &[Ipv4Addr], losses: usize) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("create temporary directory");
         let ports = Ports { peers: 0, gateways: 0, control: 0 };
-        let listeners = Listeners::bind(LOCAL, ports).expect("ports");
+        let listeners = Listeners::bind(LOCAL, ports).expect("bind listeners");
         let zone = |name: &str| (Zone::new(name), Region::new("r"));
         let settings = LedgerSettings {
             name: "alone".to_owned(),
@@ -254,21 +256,21 @@
             tolerated_losses: losses,
             list: None,
             list_interval: LedgerSettings::LIST_INTERVAL,
-            control: Arc::new(PathIsZone),
+            control: Arc::new(ZoneFromPath),
             limit_tolerance: Default::default(),
             zone: "a".to_owned(),
             topology: Arc::new(Topology::new([zone("a"), zone("b")].into())),
             cold_tolerance: Default::default(),
         };
-        let gateways = listeners.gateways.local_addr().expect("bound");
-        let control = listeners.control.local_addr().expect("bound");
+        let gateways = listeners.gateways.local_addr().expect("local address");
+        let control = listeners.control.local_addr().expect("local address");
         let (stop, stopped) = watch::channel(false);
         tokio::spawn(async move { server::run(settings, listeners, stopped).await });
         Self { gateways, control, _folder: folder, _stop: stop }
     }
 
-    /// One that leads by itself.
-    async fn leading() -> Self {
+    /// Starts a ledger with a single machine and waits until it leads.
+    async fn start_leader() -> Self {
         let ledger = Self::start(&[LOCAL], 0);
         while ledger.call("DELETE", "a").await != 200 {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -276,26 +278,26 @@
         ledger
     }
 
-    /// Sends a call without letting the ledger run meanwhile: it finds what is left of it.
+    /// Sends a call with blocking I/O, so that the ledger does not run in the meantime.
     fn send(&self, method: &str, zone: &str) -> std::net::TcpStream {
-        let mut stream = std::net::TcpStream::connect(self.control).expect("listens");
-        stream.write_all(head(method, zone).as_bytes()).expect("written");
+        let mut stream = std::net::TcpStream::connect(self.control).expect("connect");
+        stream.write_all(head(method, zone).as_bytes()).expect("write");
         stream
     }
 
     async fn call(&self, method: &str, zone: &str) -> u16 {
-        let mut stream = TcpStream::connect(self.control).await.expect("listens");
-        stream.write_all(head(method, zone).as_bytes()).await.expect("written");
+        let mut stream = TcpStream::connect(self.control).await.expect("connect");
+        stream.write_all(head(method, zone).as_bytes()).await.expect("write");
         status(stream).await
     }
 
-    /// The drained zones, as a gateway is told that knows nothing yet.
+    /// Returns the drained zones as sent to a new gateway.
     async fn drained(&self) -> DrainedZones {
-        let mut stream = TcpStream::connect(self.gateways).await.expect("listens");
-        offer(&mut stream, SPOKEN).await.expect("speaks the newest version");
+        let mut stream = TcpStream::connect(self.gateways).await.expect("connect");
+        offer(&mut stream, SPOKEN).await.expect("negotiate version");
         let ask = Ask { number: 1, question: Question::Watch(Seen::default()) };
-        stream.write_all(&encode_frame(&ask).expect("encodes")).await.expect("written");
-        let reply: Reply = FrameReader::new(stream).next().await.expect("answered");
+        stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
+        let reply: Reply = FrameReader::new(stream).next().await.expect("no response");
         match reply.answer {
             Answer::DrainedZones(drained) => drained,
             other => panic!("{other:?}"),
@@ -309,12 +311,12 @@
 
 async fn status(mut stream: TcpStream) -> u16 {
     let mut reply = String::new();
-    stream.read_to_string(&mut reply).await.expect("answered");
-    reply.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+    stream.read_to_string(&mut reply).await.expect("no response");
+    reply.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("status code")
 }
 
 #[test]
-fn a_zone_is_drained_only_once_every_machine_was_heard_to_know_of_it() {
+fn draining_requires_all_machines_to_support_it() {
     const NEWER: u32 = 2;
     const OTHER: u32 = 3;
     let ip = Ipv4Addr::from_bits(OTHER);
@@ -332,18 +334,18 @@
     note(OTHER, NEWEST);
     assert_eq!(lag(), None);
     note(OTHER, ProtocolVersion::UNNAMED);
-    assert_eq!(lag(), Some(FleetLag::Machine(ip)), "it went back");
+    assert_eq!(lag(), Some(FleetLag::Machine(ip)), "the machine was downgraded");
 }
 
 #[tokio::test]
-async fn a_call_whose_caller_has_left_is_not_begun() {
-    let ledger = Ledger::leading().await;
+async fn calls_on_closed_connections_are_not_executed() {
+    let ledger = Ledger::start_leader().await;
     drop(ledger.send("POST", "a"));
-    // Calls are taken in the order of their connections.
+    // Calls are executed in the order of their connections.
     assert_eq!(ledger.call("POST", "b").await, 200);
     let expected = DrainedZones { version: 1, zones: [Zone::new("b")].into() };
     assert_eq!(ledger.drained().await, expected);
-    // The same call is begun while its caller is there, whether or not it reads the answer.
+    // The call is executed while its connection is open, even if the caller reads no response.
     let waiting = ledger.send("POST", "a");
     assert_eq!(ledger.call("POST", "b").await, 200);
     assert_eq!(ledger.drained().await.version, 2);
@@ -351,13 +353,13 @@
 }
 
 #[tokio::test]
-async fn orders_under_way_at_the_same_time_are_not_taken_for_each_other() {
-    let ledger = Ledger::leading().await;
+async fn concurrent_commands_are_not_confused() {
+    let ledger = Ledger::start_leader().await;
     for round in 0..20 {
         let calls = ["POST", "DELETE", "POST"].map(|method| ledger.send(method, "a"));
         for call in calls {
-            call.set_nonblocking(true).expect("a mode");
-            assert_eq!(status(TcpStream::from_std(call).expect("a stream")).await, 200);
+            call.set_nonblocking(true).expect("set non-blocking mode");
+            assert_eq!(status(TcpStream::from_std(call).expect("convert stream")).await, 200);
         }
         assert!(ledger.drained().await.contains("a"), "round {round}");
         assert_eq!(ledger.call("DELETE", "a").await, 200);
@@ -365,16 +367,16 @@
 }
 
 #[tokio::test]
-async fn without_a_leader_nothing_is_acknowledged() {
+async fn calls_without_a_leader_are_rejected() {
     let ledger =
         Ledger::start(&[LOCAL, Ipv4Addr::new(127, 0, 0, 2), Ipv4Addr::new(127, 0, 0, 3)], 1);
     assert_eq!(ledger.call("POST", "a").await, 503);
 }
 
-/// Whether a zone of that name exists cannot be told without a list of replicas.
+/// Without a replica list, the machine cannot tell whether a zone exists.
 #[tokio::test]
-async fn a_zone_that_may_exist_is_not_called_unknown() {
-    let ledger = Ledger::leading().await;
+async fn a_possibly_existing_zone_is_not_reported_as_unknown() {
+    let ledger = Ledger::start_leader().await;
     assert_eq!(ledger.call("POST", "c").await, 503);
     assert_eq!(ledger.drained().await, DrainedZones::none());
 }
