--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -14,7 +14,7 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::sync::oneshot;
 
-use crate::protocol::{Answer, Ask, Question, Reply, SPOKEN};
+use crate::protocol::{LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN};
 
 static REFUSALS: RefusalLog = RefusalLog::new("ledger");
 
@@ -33,7 +33,7 @@
 struct ConnectionState {
     is_open: AtomicBool,
     /// Response channels of the requests in flight, by number.
-    pending: Mutex<HashMap<u64, oneshot::Sender<Answer>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<LedgerResponse>>>,
     /// When bytes were last received, even of an incomplete response. A large response may take
     /// longer than the response timeout to arrive and must not be requested again meanwhile.
     last_received: Mutex<Instant>,
@@ -74,7 +74,7 @@
     }
 
     /// Sends a request; returns `None` if the connection is closed or its queue is full.
-    pub(super) fn send(&self, number: u64, request: &Question) -> Option<PendingResponse> {
+    pub(super) fn send(&self, number: u64, request: &LedgerRequest) -> Option<PendingResponse> {
         let (sender, receiver) = oneshot::channel();
         if self.version == ProtocolVersion::UNNAMED
             && let Some(response) = request.local_response_for_v1()
@@ -82,7 +82,8 @@
             let _ = sender.send(response);
             return Some(PendingResponse { number, receiver, state: Arc::clone(&self.state) });
         }
-        let frame = Ask { number, question: request.clone() }.encode(self.version).ok()?;
+        let frame =
+            RequestEnvelope { number, question: request.clone() }.encode(self.version).ok()?;
         self.state.pending.lock().insert(number, sender);
         let pending = PendingResponse { number, receiver, state: Arc::clone(&self.state) };
         if !self.is_open() {
@@ -95,13 +96,13 @@
 /// A request in flight; dropping it discards the response.
 pub(super) struct PendingResponse {
     number: u64,
-    receiver: oneshot::Receiver<Answer>,
+    receiver: oneshot::Receiver<LedgerResponse>,
     state: Arc<ConnectionState>,
 }
 
 impl PendingResponse {
     /// Waits for the response; returns `None` if the connection is closed first.
-    pub(super) async fn receive(&mut self) -> Option<Answer> {
+    pub(super) async fn receive(&mut self) -> Option<LedgerResponse> {
         (&mut self.receiver).await.ok()
     }
 }
@@ -120,8 +121,8 @@
 ) {
     let record_received = || *state.last_received.lock() = Instant::now();
     let error = loop {
-        let read = Reply::read(&mut frames, version, record_received).await;
-        let Reply { number, answer } = match read {
+        let read = ResponseEnvelope::read(&mut frames, version, record_received).await;
+        let ResponseEnvelope { number, answer } = match read {
             Ok(reply) => reply,
             Err(error) => break error,
         };
--- a/crates/ledger/src/client/mod.rs
+++ b/crates/ledger/src/client/mod.rs
@@ -23,7 +23,7 @@
 use rand::RngExt;
 use tokio::time::timeout;
 
-use crate::protocol::{Answer, Question};
+use crate::protocol::{LedgerRequest, LedgerResponse};
 use crate::server::{machine_address, machine_number};
 use connection::Connection;
 pub use targets::LeaderTracker;
@@ -63,7 +63,7 @@
 
 /// Outcome of a single attempt to send a request.
 enum Attempt {
-    Answered(Answer),
+    Answered(LedgerResponse),
     /// The leader cannot answer at present; retried after a backoff.
     Unavailable,
     /// The machine does not lead, is unreachable or timed out.
@@ -100,13 +100,17 @@
     ///
     /// # Errors
     /// Returns [`AskError::Deadline`] if no leader responds before `deadline`.
-    pub async fn ask(&self, request: &Question, deadline: Instant) -> Result<Answer, AskError> {
+    pub async fn ask(
+        &self,
+        request: &LedgerRequest,
+        deadline: Instant,
+    ) -> Result<LedgerResponse, AskError> {
         let until_deadline = deadline.saturating_duration_since(Instant::now());
         let result = timeout(until_deadline, self.retry_until_answered(request)).await;
         result.map_err(|_| AskError::Deadline)
     }
 
-    async fn retry_until_answered(&self, request: &Question) -> Answer {
+    async fn retry_until_answered(&self, request: &LedgerRequest) -> LedgerResponse {
         let mut backoff = self.shared.timing.initial_backoff;
         loop {
             let leader = self.leader().await;
@@ -144,13 +148,13 @@
     async fn probe_target(&self) -> bool {
         let target = self.shared.state.lock().tracker.current();
         match self.find_leader_via(target).await {
-            Some(Answer::Leads { machines }) => {
+            Some(LedgerResponse::Leads { machines }) => {
                 let mut state = self.shared.state.lock();
                 state.tracker.update_members(machines);
                 state.tracker.confirm_leader(target);
                 true
             }
-            Some(Answer::NotLeader { leader, machines }) => {
+            Some(LedgerResponse::NotLeader { leader, machines }) => {
                 self.learn_machines(machines);
                 self.record_refusal(target, leader)
             }
@@ -161,16 +165,16 @@
         }
     }
 
-    async fn find_leader_via(&self, machine: u32) -> Option<Answer> {
+    async fn find_leader_via(&self, machine: u32) -> Option<LedgerResponse> {
         let response = async {
             let connection = self.connection(machine).await?;
-            connection.send(self.next_number(), &Question::FindLeader)?.receive().await
+            connection.send(self.next_number(), &LedgerRequest::FindLeader)?.receive().await
         };
         timeout(self.shared.timing.find_leader_timeout, response).await.ok().flatten()
     }
 
     /// Sends the request to `leader` once and waits while its leadership is confirmed.
-    async fn attempt(&self, leader: u32, request: &Question) -> Attempt {
+    async fn attempt(&self, leader: u32, request: &LedgerRequest) -> Attempt {
         let Some(connection) = self.connection(leader).await else {
             return self.abandon(leader);
         };
@@ -191,12 +195,12 @@
             }
             let wait = silence_limit.saturating_sub(silent_for);
             match timeout(wait, pending.receive()).await {
-                Ok(Some(Answer::NotLeader { leader: hint, machines })) => {
+                Ok(Some(LedgerResponse::NotLeader { leader: hint, machines })) => {
                     self.learn_machines(machines);
                     self.record_refusal(leader, hint);
                     return Attempt::Abandoned;
                 }
-                Ok(Some(Answer::Unavailable)) => return Attempt::Unavailable,
+                Ok(Some(LedgerResponse::Unavailable)) => return Attempt::Unavailable,
                 Ok(Some(response)) => return Attempt::Answered(response),
                 Ok(None) => return self.abandon(leader),
                 Err(_) => {}
@@ -222,8 +226,8 @@
         };
         let response = self.find_leader_via(other).await;
         let named = match response {
-            Some(Answer::NotLeader { leader: named, .. }) => named,
-            Some(Answer::Leads { .. }) => Some(other),
+            Some(LedgerResponse::NotLeader { leader: named, .. }) => named,
+            Some(LedgerResponse::Leads { .. }) => Some(other),
             _ => None,
         };
         let is_named = named == Some(leader);
--- a/crates/ledger/src/client/timing.rs
+++ b/crates/ledger/src/client/timing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::protocol::Question;
+use crate::protocol::LedgerRequest;
 
 /// Timeouts and retry backoff of a [`LedgerClient`](super::LedgerClient).
 #[derive(Clone, Copy, Debug)]
@@ -47,15 +47,15 @@
 
 impl ClientTiming {
     /// Returns how long to wait for data from the leader before its leadership is checked.
-    pub(super) fn timeout_for(&self, request: &Question) -> Duration {
+    pub(super) fn timeout_for(&self, request: &LedgerRequest) -> Duration {
         match request {
-            Question::Watch(_) => self.watch_timeout,
-            Question::Place { .. } => self.place_timeout,
-            Question::Reserve { .. }
-            | Question::Permit(_)
-            | Question::Settle { .. }
-            | Question::ReportFailure { .. }
-            | Question::FindLeader => self.response_timeout,
+            LedgerRequest::Watch(_) => self.watch_timeout,
+            LedgerRequest::Place { .. } => self.place_timeout,
+            LedgerRequest::Reserve { .. }
+            | LedgerRequest::Permit(_)
+            | LedgerRequest::Settle { .. }
+            | LedgerRequest::ReportFailure { .. }
+            | LedgerRequest::FindLeader => self.response_timeout,
         }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -18,5 +18,5 @@
 pub mod state;
 
 pub use commands::{Command, Output, Reservation, RetiringOutcome};
-pub use protocol::{Answer, Question};
+pub use protocol::{LedgerRequest, LedgerResponse};
 pub use state::{HistoryPiece, LedgerState, StoredBytes};
--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -20,25 +20,25 @@
 
 /// A request with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct RequestEnvelope {
     /// Number that the response repeats; unique within the connection.
     pub number: u64,
     /// The request.
-    pub question: Question,
+    pub question: LedgerRequest,
 }
 
 /// A response with the number of its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Reply {
+pub struct ResponseEnvelope {
     /// Number of the request.
     pub number: u64,
     /// The response.
-    pub answer: Answer,
+    pub answer: LedgerResponse,
 }
 
 /// A request from a gateway to a ledger machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Question {
+pub enum LedgerRequest {
     /// Reserves tokens for a turn and returns the history before it.
     Reserve {
         /// Reservation of tokens.
@@ -139,8 +139,8 @@
 
 /// A response of a ledger machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Answer {
-    /// Response to [`Question::Reserve`].
+pub enum LedgerResponse {
+    /// Response to [`LedgerRequest::Reserve`].
     Reserved {
         /// Result of the reservation.
         reservation: Reservation,
@@ -154,13 +154,13 @@
         /// Rate limit decision; `None` if the tenant has no rate limit.
         permit: Option<PermitAnswer>,
     },
-    /// Response to [`Question::Permit`].
+    /// Response to [`LedgerRequest::Permit`].
     Permit(PermitAnswer),
-    /// Response to [`Question::Place`].
+    /// Response to [`LedgerRequest::Place`].
     Placed(Decision),
-    /// Response to [`Question::Settle`]: the end of the turn is durable.
+    /// Response to [`LedgerRequest::Settle`]: the end of the turn is durable.
     Settled,
-    /// Response to [`Question::ReportFailure`].
+    /// Response to [`LedgerRequest::ReportFailure`].
     Noted,
     /// A configuration newer than the one that the gateway has.
     Configuration {
@@ -176,7 +176,7 @@
         /// Replica list.
         list: ReplicaList,
     },
-    /// Response to [`Question::Watch`] if configuration, replica list and drained zones are
+    /// Response to [`LedgerRequest::Watch`] if configuration, replica list and drained zones are
     /// unchanged.
     News(News),
     /// The contacted machine is the leader.
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -11,19 +11,22 @@
 use calicohoist_scheduler::{Decision, PlacementRequest, PromptPart};
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, Ask, ChangeMark, ListMark, News, Question, Reply, Seen};
+use super::{
+    ChangeMark, LedgerRequest, LedgerResponse, ListMark, News, RequestEnvelope, ResponseEnvelope,
+    Seen,
+};
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
 use crate::packed::PackedBytes;
 
 /// A request of version 1 with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct AskV1 {
+pub struct RequestEnvelopeV1 {
     number: u64,
-    question: QuestionV1,
+    question: RequestV1,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum QuestionV1 {
+enum RequestV1 {
     Reserve {
         reserve: ReserveTurn,
         placement: Option<PlacementRequestV1>,
@@ -68,13 +71,13 @@
 
 /// A response of version 1 with the number of its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReplyV1 {
+pub struct ResponseEnvelopeV1 {
     number: u64,
-    answer: AnswerV1,
+    answer: ResponseV1,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum AnswerV1 {
+enum ResponseV1 {
     Reserved {
         reservation: Reservation,
         #[serde(with = "serde_bytes")]
@@ -124,48 +127,48 @@
     failing: Option<(ChangeMark, Vec<(String, u32)>)>,
 }
 
-impl From<AskV1> for Ask {
-    fn from(AskV1 { number, question }: AskV1) -> Self {
+impl From<RequestEnvelopeV1> for RequestEnvelope {
+    fn from(RequestEnvelopeV1 { number, question }: RequestEnvelopeV1) -> Self {
         let question = match question {
-            QuestionV1::Reserve { reserve, placement, permit } => {
-                Question::Reserve { reserve, placement: placement.map(Into::into), permit }
+            RequestV1::Reserve { reserve, placement, permit } => {
+                LedgerRequest::Reserve { reserve, placement: placement.map(Into::into), permit }
             }
-            QuestionV1::Permit(permit) => Question::Permit(permit),
-            QuestionV1::Place { turn, placement } => {
-                Question::Place { turn, placement: placement.into() }
+            RequestV1::Permit(permit) => LedgerRequest::Permit(permit),
+            RequestV1::Place { turn, placement } => {
+                LedgerRequest::Place { turn, placement: placement.into() }
             }
-            QuestionV1::Settle(settle) => Question::Settle(settle),
-            QuestionV1::Watch(seen) => Question::Watch(seen.into()),
-            QuestionV1::ReportFailure { replica } => Question::ReportFailure { replica },
-            QuestionV1::FindLeader => Question::FindLeader,
+            RequestV1::Settle(settle) => LedgerRequest::Settle(settle),
+            RequestV1::Watch(seen) => LedgerRequest::Watch(seen.into()),
+            RequestV1::ReportFailure { replica } => LedgerRequest::ReportFailure { replica },
+            RequestV1::FindLeader => LedgerRequest::FindLeader,
         };
         Self { number, question }
     }
 }
 
 /// Replica IDs are reduced to the identity, since version 1 has no incarnations.
-impl From<Ask> for AskV1 {
-    fn from(Ask { number, question }: Ask) -> Self {
+impl From<RequestEnvelope> for RequestEnvelopeV1 {
+    fn from(RequestEnvelope { number, question }: RequestEnvelope) -> Self {
         let question = match question {
-            Question::Reserve { reserve, placement, permit } => {
-                QuestionV1::Reserve { reserve, placement: placement.map(Into::into), permit }
+            LedgerRequest::Reserve { reserve, placement, permit } => {
+                RequestV1::Reserve { reserve, placement: placement.map(Into::into), permit }
             }
-            Question::Permit(permit) => QuestionV1::Permit(permit),
-            Question::Place { turn, placement } => {
-                QuestionV1::Place { turn, placement: placement.into() }
+            LedgerRequest::Permit(permit) => RequestV1::Permit(permit),
+            LedgerRequest::Place { turn, placement } => {
+                RequestV1::Place { turn, placement: placement.into() }
             }
-            Question::Settle(mut settle) => {
+            LedgerRequest::Settle(mut settle) => {
                 if let Some(run) = &mut settle.run {
                     strip_incarnation(&mut run.replica);
                 }
-                QuestionV1::Settle(settle)
+                RequestV1::Settle(settle)
             }
-            Question::Watch(seen) => QuestionV1::Watch(seen.into()),
-            Question::ReportFailure { mut replica } => {
+            LedgerRequest::Watch(seen) => RequestV1::Watch(seen.into()),
+            LedgerRequest::ReportFailure { mut replica } => {
                 strip_incarnation(&mut replica);
-                QuestionV1::ReportFailure { replica }
+                RequestV1::ReportFailure { replica }
             }
-            Question::FindLeader => QuestionV1::FindLeader,
+            LedgerRequest::FindLeader => RequestV1::FindLeader,
         };
         Self { number, question }
     }
@@ -249,50 +252,56 @@
     }
 }
 
-impl From<ReplyV1> for Reply {
-    fn from(ReplyV1 { number, answer }: ReplyV1) -> Self {
+impl From<ResponseEnvelopeV1> for ResponseEnvelope {
+    fn from(ResponseEnvelopeV1 { number, answer }: ResponseEnvelopeV1) -> Self {
         let answer = match answer {
-            AnswerV1::Reserved { reservation, history, decision, is_under_way, permit } => {
+            ResponseV1::Reserved { reservation, history, decision, is_under_way, permit } => {
                 let decision = decision.map(Into::into);
-                Answer::Reserved { reservation, history, decision, is_under_way, permit }
+                LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit }
             }
-            AnswerV1::Permit(permit) => Answer::Permit(permit),
-            AnswerV1::Placed(decision) => Answer::Placed(decision.into()),
-            AnswerV1::Settled => Answer::Settled,
-            AnswerV1::Noted => Answer::Noted,
-            AnswerV1::Configuration { version, document } => {
-                Answer::Configuration { version, document }
+            ResponseV1::Permit(permit) => LedgerResponse::Permit(permit),
+            ResponseV1::Placed(decision) => LedgerResponse::Placed(decision.into()),
+            ResponseV1::Settled => LedgerResponse::Settled,
+            ResponseV1::Noted => LedgerResponse::Noted,
+            ResponseV1::Configuration { version, document } => {
+                LedgerResponse::Configuration { version, document }
             }
-            AnswerV1::List { mark, list } => Answer::List { mark, list },
-            AnswerV1::News(news) => Answer::News(news.into()),
-            AnswerV1::Leads { machines } => Answer::Leads { machines },
-            AnswerV1::NotLeader { leader, machines } => Answer::NotLeader { leader, machines },
-            AnswerV1::Unavailable => Answer::Unavailable,
+            ResponseV1::List { mark, list } => LedgerResponse::List { mark, list },
+            ResponseV1::News(news) => LedgerResponse::News(news.into()),
+            ResponseV1::Leads { machines } => LedgerResponse::Leads { machines },
+            ResponseV1::NotLeader { leader, machines } => {
+                LedgerResponse::NotLeader { leader, machines }
+            }
+            ResponseV1::Unavailable => LedgerResponse::Unavailable,
         };
         Self { number, answer }
     }
 }
 
-impl From<Reply> for ReplyV1 {
-    fn from(Reply { number, answer }: Reply) -> Self {
+impl From<ResponseEnvelope> for ResponseEnvelopeV1 {
+    fn from(ResponseEnvelope { number, answer }: ResponseEnvelope) -> Self {
         let answer = match answer {
-            Answer::Reserved { reservation, history, decision, is_under_way, permit } => {
+            LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit } => {
                 let decision = decision.map(Into::into);
-                AnswerV1::Reserved { reservation, history, decision, is_under_way, permit }
+                ResponseV1::Reserved { reservation, history, decision, is_under_way, permit }
+            }
+            LedgerResponse::Permit(permit) => ResponseV1::Permit(permit),
+            LedgerResponse::Placed(decision) => ResponseV1::Placed(decision.into()),
+            LedgerResponse::Settled => ResponseV1::Settled,
+            LedgerResponse::Noted => ResponseV1::Noted,
+            LedgerResponse::Configuration { version, document } => {
+                ResponseV1::Configuration { version, document }
             }
-            Answer::Permit(permit) => AnswerV1::Permit(permit),
-            Answer::Placed(decision) => AnswerV1::Placed(decision.into()),
-            Answer::Settled => AnswerV1::Settled,
-            Answer::Noted => AnswerV1::Noted,
-            Answer::Configuration { version, document } => {
-                AnswerV1::Configuration { version, document }
+            LedgerResponse::List { mark, list } => ResponseV1::List { mark, list },
+            LedgerResponse::News(news) => ResponseV1::News(news.into()),
+            LedgerResponse::Leads { machines } => ResponseV1::Leads { machines },
+            LedgerResponse::NotLeader { leader, machines } => {
+                ResponseV1::NotLeader { leader, machines }
             }
-            Answer::List { mark, list } => AnswerV1::List { mark, list },
-            Answer::News(news) => AnswerV1::News(news.into()),
-            Answer::Leads { machines } => AnswerV1::Leads { machines },
-            Answer::NotLeader { leader, machines } => AnswerV1::NotLeader { leader, machines },
             // Version 1 gateways retry and then receive drained zones as part of the replica list.
-            Answer::Unavailable | Answer::DrainedZones(_) => AnswerV1::Unavailable,
+            LedgerResponse::Unavailable | LedgerResponse::DrainedZones(_) => {
+                ResponseV1::Unavailable
+            }
         };
         Self { number, answer }
     }
@@ -338,13 +347,13 @@
     }
 }
 
-impl Question {
+impl LedgerRequest {
     /// Returns the response to a request that a leader of version 1 does not support. No zone can
     /// be drained while the leader runs version 1.
-    pub fn local_response_for_v1(&self) -> Option<Answer> {
+    pub fn local_response_for_v1(&self) -> Option<LedgerResponse> {
         match self {
             Self::Watch(Seen { drained: None, .. }) => {
-                Some(Answer::DrainedZones(DrainedZones::none()))
+                Some(LedgerResponse::DrainedZones(DrainedZones::none()))
             }
             _ => None,
         }
--- a/crates/ledger/src/protocol/version.rs
+++ b/crates/ledger/src/protocol/version.rs
@@ -11,8 +11,8 @@
 use calicohoist_transport::{Frame, FrameError, FrameReader, ProtocolVersion, VersionRange};
 use tokio::io::AsyncRead;
 
-use super::v1::{AskV1, ReplyV1};
-use super::{Ask, Reply};
+use super::v1::{RequestEnvelopeV1, ResponseEnvelopeV1};
+use super::{RequestEnvelope, ResponseEnvelope};
 
 /// Latest protocol version.
 pub const NEWEST: ProtocolVersion = ProtocolVersion::new(2);
@@ -20,14 +20,14 @@
 /// build run alongside it.
 pub const SPOKEN: VersionRange = VersionRange { oldest: ProtocolVersion::UNNAMED, newest: NEWEST };
 
-impl Ask {
+impl RequestEnvelope {
     /// Encodes the message as a frame of the given protocol version.
     ///
     /// # Errors
     /// Returns [`FrameError`] if the message cannot be encoded or exceeds the frame size limit.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => Frame::encode(&AskV1::from(self)),
+            ProtocolVersion::UNNAMED => Frame::encode(&RequestEnvelopeV1::from(self)),
             _ => Frame::encode(&self),
         }
     }
@@ -41,20 +41,20 @@
         version: ProtocolVersion,
     ) -> Result<Self, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => frames.next::<AskV1>().await.map(Self::from),
+            ProtocolVersion::UNNAMED => frames.next::<RequestEnvelopeV1>().await.map(Self::from),
             _ => frames.next().await,
         }
     }
 }
 
-impl Reply {
+impl ResponseEnvelope {
     /// Encodes the message as a frame of the given protocol version.
     ///
     /// # Errors
     /// Returns [`FrameError`] if the message cannot be encoded or exceeds the frame size limit.
     pub fn encode(self, version: ProtocolVersion) -> Result<Frame, FrameError> {
         match version {
-            ProtocolVersion::UNNAMED => Frame::encode(&ReplyV1::from(self)),
+            ProtocolVersion::UNNAMED => Frame::encode(&ResponseEnvelopeV1::from(self)),
             _ => Frame::encode(&self),
         }
     }
@@ -71,7 +71,7 @@
     ) -> Result<Self, FrameError> {
         match version {
             ProtocolVersion::UNNAMED => {
-                frames.next_noting::<ReplyV1>(on_bytes).await.map(Self::from)
+                frames.next_noting::<ResponseEnvelopeV1>(on_bytes).await.map(Self::from)
             }
             _ => frames.next_noting(on_bytes).await,
         }
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -35,7 +35,9 @@
 use super::replica::{ReplicaHandle, Standing};
 use super::traffic::{self, Peer};
 use super::turns::TurnDesk;
-use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
+use crate::protocol::{
+    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN,
+};
 use older::OlderGateways;
 use shared::{SharedAnswer, SharedAnswers};
 
@@ -116,20 +118,20 @@
         }
     }
 
-    fn not_leader(&self, leader: Option<u32>) -> Answer {
-        Answer::NotLeader { leader, machines: self.standing.borrow().machines.clone() }
+    fn not_leader(&self, leader: Option<u32>) -> LedgerResponse {
+        LedgerResponse::NotLeader { leader, machines: self.standing.borrow().machines.clone() }
     }
 
     /// Who leads, as soon as somebody does.
-    async fn find_leader(&self) -> Answer {
+    async fn find_leader(&self) -> LedgerResponse {
         let mut standing = self.standing.clone();
         let known = standing.wait_for(|standing| standing.leader.is_some());
         let _ = tokio::time::timeout(FIND_HOLD, known).await;
         let standing = self.standing.borrow().clone();
         if standing.is_leader {
-            return Answer::Leads { machines: standing.machines };
+            return LedgerResponse::Leads { machines: standing.machines };
         }
-        Answer::NotLeader { leader: standing.leader, machines: standing.machines }
+        LedgerResponse::NotLeader { leader: standing.leader, machines: standing.machines }
     }
 }
 
@@ -157,7 +159,8 @@
     let replies = spawn_writer(output, hub.waiting.clone());
     let mut distance = None;
     loop {
-        let Ask { number, question } = Ask::read(&mut frames, version).await?;
+        let RequestEnvelope { number, question } =
+            RequestEnvelope::read(&mut frames, version).await?;
         let question = match &older {
             Some(hub) => hub.older.read(question, &hub.fleet()),
             None => question,
@@ -170,18 +173,18 @@
         let (replies, waiting) = (replies.clone(), hub.waiting.clone());
         let back = Back { number, replies, waiting, distance, version, older: older.clone() };
         match question {
-            Question::Reserve { reserve, placement, permit } => {
+            LedgerRequest::Reserve { reserve, placement, permit } => {
                 hub.reserve(reserve, placement, permit, back);
             }
-            Question::Permit(permit) => hub.permit(permit, back),
-            Question::Place { turn, placement } => hub.place(turn, placement, back),
-            Question::Settle(settle) => hub.settle(settle, back),
-            Question::ReportFailure { replica } => hub.note_failure(&replica, back),
-            Question::FindLeader => {
+            LedgerRequest::Permit(permit) => hub.permit(permit, back),
+            LedgerRequest::Place { turn, placement } => hub.place(turn, placement, back),
+            LedgerRequest::Settle(settle) => hub.settle(settle, back),
+            LedgerRequest::ReportFailure { replica } => hub.note_failure(&replica, back),
+            LedgerRequest::FindLeader => {
                 let hub = hub.clone();
                 tokio::spawn(async move { back.send(hub.find_leader().await) });
             }
-            Question::Watch(seen) => {
+            LedgerRequest::Watch(seen) => {
                 let hub = hub.clone();
                 tokio::spawn(async move { hub.watch(seen, back).await });
             }
@@ -190,23 +193,23 @@
 }
 
 /// The placement that a question asks for, which names the asker's zone.
-fn placement_in(question: &Question) -> Option<&PlacementRequest> {
+fn placement_in(question: &LedgerRequest) -> Option<&PlacementRequest> {
     match question {
-        Question::Reserve { placement, .. } => placement.as_ref(),
-        Question::Place { placement, .. } => Some(placement),
+        LedgerRequest::Reserve { placement, .. } => placement.as_ref(),
+        LedgerRequest::Place { placement, .. } => Some(placement),
         _ => None,
     }
 }
 
-fn word_of(question: &Question) -> &'static str {
+fn word_of(question: &LedgerRequest) -> &'static str {
     match question {
-        Question::Reserve { .. } => "reserve",
-        Question::Permit(_) => "permit",
-        Question::Place { .. } => "place",
-        Question::Settle(_) => "settle",
-        Question::Watch(_) => "watch",
-        Question::ReportFailure { .. } => "failure",
-        Question::FindLeader => "find_leader",
+        LedgerRequest::Reserve { .. } => "reserve",
+        LedgerRequest::Permit(_) => "permit",
+        LedgerRequest::Place { .. } => "place",
+        LedgerRequest::Settle(_) => "settle",
+        LedgerRequest::Watch(_) => "watch",
+        LedgerRequest::ReportFailure { .. } => "failure",
+        LedgerRequest::FindLeader => "find_leader",
     }
 }
 
@@ -224,13 +227,13 @@
 
 impl Back {
     /// A connection that does not take its answers is closed; its owner asks again.
-    pub(super) fn send(self, answer: Answer) {
+    pub(super) fn send(self, answer: LedgerResponse) {
         let answer = match &self.older {
             Some(hub) => hub.older.tell(answer, &hub.fleet()),
             None => answer,
         };
         let bulk = bulk_of(&answer);
-        let frame = Reply { number: self.number, answer }.encode(self.version);
+        let frame = ResponseEnvelope { number: self.number, answer }.encode(self.version);
         self.send_frame(bulk, frame);
     }
 
@@ -250,7 +253,7 @@
             Ok(answer) => self.send_shared(&answer),
             Err(error) => {
                 emit!(Event::AnswerTooLong; error = error);
-                self.send(Answer::Unavailable);
+                self.send(LedgerResponse::Unavailable);
             }
         }
     }
@@ -273,19 +276,19 @@
 }
 
 /// What takes most of an answer's bytes.
-fn bulk_of(answer: &Answer) -> &'static str {
+fn bulk_of(answer: &LedgerResponse) -> &'static str {
     match answer {
-        Answer::Configuration { .. } => "configuration",
-        Answer::List { .. } => "list",
-        Answer::News(_) => "loads",
-        Answer::Reserved { .. } => "history",
-        Answer::Permit(_)
-        | Answer::Placed(_)
-        | Answer::Settled
-        | Answer::Noted
-        | Answer::Leads { .. }
-        | Answer::NotLeader { .. }
-        | Answer::Unavailable
-        | Answer::DrainedZones(_) => "short",
+        LedgerResponse::Configuration { .. } => "configuration",
+        LedgerResponse::List { .. } => "list",
+        LedgerResponse::News(_) => "loads",
+        LedgerResponse::Reserved { .. } => "history",
+        LedgerResponse::Permit(_)
+        | LedgerResponse::Placed(_)
+        | LedgerResponse::Settled
+        | LedgerResponse::Noted
+        | LedgerResponse::Leads { .. }
+        | LedgerResponse::NotLeader { .. }
+        | LedgerResponse::Unavailable
+        | LedgerResponse::DrainedZones(_) => "short",
     }
 }
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -7,7 +7,7 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::{Back, Hub};
-use crate::protocol::{Answer, News, Seen};
+use crate::protocol::{LedgerResponse, News, Seen};
 use crate::server::list::Reading;
 use crate::server::replica::{Request, Response, Standing};
 
@@ -55,12 +55,12 @@
         let held = match self.replica.call(read).await {
             Response::Configuration(held) => held,
             Response::NotLeader(leader) => return back.send(self.not_leader(leader)),
-            _ => return back.send(Answer::Unavailable),
+            _ => return back.send(LedgerResponse::Unavailable),
         };
         // All drains that were applied before the read was answered are published by now.
         let drained = Arc::clone(&self.standing.borrow().drained);
         if Some(drained.version) != seen.drained {
-            return back.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
+            return back.send(LedgerResponse::DrainedZones(DrainedZones::clone(&drained)));
         }
         if let Some(held) = held {
             let answer = self.shared.lock().configuration(&held);
@@ -71,12 +71,12 @@
         if reading.tells_list(standing.term, seen) {
             if back.is_older() {
                 let list = reading.list.as_ref().clone();
-                return back.send(Answer::List { mark: reading.mark, list });
+                return back.send(LedgerResponse::List { mark: reading.mark, list });
             }
             let answer = self.shared.lock().list(&reading);
             return back.send_if_encoded(answer);
         }
-        back.send(Answer::News(self.news(seen, &standing, &reading)));
+        back.send(LedgerResponse::News(self.news(seen, &standing, &reading)));
     }
 
     fn news(&self, seen: &Seen, standing: &Standing, reading: &Reading) -> News {
@@ -105,7 +105,7 @@
             emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = rest.as_millis());
             self.turns.note_failing(replica, Instant::now() + rest);
         }
-        back.send(Answer::Noted);
+        back.send(LedgerResponse::Noted);
     }
 
     fn note_load(&self, seen: &Seen) {
--- a/crates/ledger/src/server/gateways/older.rs
+++ b/crates/ledger/src/server/gateways/older.rs
@@ -10,7 +10,7 @@
 use calicohoist_routing::{Incarnation, Replica, ReplicaList, ReplicaState};
 use parking_lot::Mutex;
 
-use crate::protocol::{Answer, ListMark, Question};
+use crate::protocol::{LedgerRequest, LedgerResponse, ListMark};
 use crate::server::list::FleetSnapshot;
 
 /// The list as these gateways are told it, made once for each state of the fleet.
@@ -71,20 +71,20 @@
     }
 
     /// A question with the names that are used here.
-    pub(super) fn read(&self, mut question: Question, fleet: &FleetSnapshot) -> Question {
+    pub(super) fn read(&self, mut question: LedgerRequest, fleet: &FleetSnapshot) -> LedgerRequest {
         let told = self.list(fleet);
         match &mut question {
-            Question::Reserve { placement: Some(placement), .. }
-            | Question::Place { placement, .. } => {
+            LedgerRequest::Reserve { placement: Some(placement), .. }
+            | LedgerRequest::Place { placement, .. } => {
                 placement.connected.iter_mut().for_each(|replica| told.name_start(replica));
             }
-            Question::Settle(settle) => {
+            LedgerRequest::Settle(settle) => {
                 if let Some(run) = &mut settle.run {
                     told.name_start(&mut run.replica);
                 }
             }
-            Question::ReportFailure { replica } => told.name_start(replica),
-            Question::Watch(seen) => {
+            LedgerRequest::ReportFailure { replica } => told.name_start(replica),
+            LedgerRequest::Watch(seen) => {
                 if seen.list == told.mark {
                     seen.list = told.of;
                 }
@@ -94,22 +94,22 @@
                 seen.drained = Some(fleet.drained.version);
                 seen.loads.iter_mut().for_each(|(replica, _)| told.name_start(replica));
             }
-            Question::Reserve { placement: None, .. }
-            | Question::Permit(_)
-            | Question::FindLeader => {}
+            LedgerRequest::Reserve { placement: None, .. }
+            | LedgerRequest::Permit(_)
+            | LedgerRequest::FindLeader => {}
         }
         question
     }
 
     /// An answer with the list that these gateways are told.
-    pub(super) fn tell(&self, mut answer: Answer, fleet: &FleetSnapshot) -> Answer {
+    pub(super) fn tell(&self, mut answer: LedgerResponse, fleet: &FleetSnapshot) -> LedgerResponse {
         match &mut answer {
-            Answer::List { mark, list } => {
+            LedgerResponse::List { mark, list } => {
                 let told = self.list(fleet);
                 *mark = told.mark;
                 *list = told.list.as_ref().clone();
             }
-            Answer::News(news) => {
+            LedgerResponse::News(news) => {
                 let told = self.list(fleet);
                 if news.loads_of == told.of {
                     news.loads_of = told.mark;
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -4,7 +4,7 @@
 
 use super::bulk_of;
 use crate::packed::PackedBytes;
-use crate::protocol::{Answer, ListMark};
+use crate::protocol::{LedgerResponse, ListMark};
 use crate::server::list::Reading;
 use crate::state::HeldConfiguration;
 
@@ -16,7 +16,7 @@
 }
 
 impl SharedAnswer {
-    fn encode(answer: &Answer) -> Result<Self, FrameError> {
+    fn encode(answer: &LedgerResponse) -> Result<Self, FrameError> {
         Ok(Self { encoded: SharedField::encode(answer)?, bulk: bulk_of(answer) })
     }
 }
@@ -42,8 +42,10 @@
             return Ok(answer.clone());
         }
         let document = PackedBytes::pack(&held.document);
-        let answer =
-            SharedAnswer::encode(&Answer::Configuration { version: held.version, document })?;
+        let answer = SharedAnswer::encode(&LedgerResponse::Configuration {
+            version: held.version,
+            document,
+        })?;
         self.configuration = Some((held.version, answer.clone()));
         Ok(answer)
     }
@@ -56,7 +58,7 @@
             return Ok(answer.clone());
         }
         let list = reading.list.as_ref().clone();
-        let answer = SharedAnswer::encode(&Answer::List { mark: reading.mark, list })?;
+        let answer = SharedAnswer::encode(&LedgerResponse::List { mark: reading.mark, list })?;
         self.list = Some((reading.mark, answer.clone()));
         Ok(answer)
     }
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -9,7 +9,7 @@
 
 use super::{Back, Hub};
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
-use crate::protocol::Answer;
+use crate::protocol::LedgerResponse;
 use crate::server::list::{FleetSnapshot, Reading};
 use crate::server::replica::{Request, Response};
 
@@ -33,7 +33,8 @@
         let program = reserve.program.clone();
         let respond = Box::new(move |response| {
             let mut answer = hub.answer(response);
-            let Answer::Reserved { reservation, is_under_way, permit: permitted, .. } = &mut answer
+            let LedgerResponse::Reserved { reservation, is_under_way, permit: permitted, .. } =
+                &mut answer
             else {
                 return back.send(answer);
             };
@@ -59,7 +60,7 @@
                     *permitted = Some(PermitAnswer::Granted(grant));
                     hold
                 }
-                Some(Issued::NotNow) => return back.send(Answer::Unavailable),
+                Some(Issued::NotNow) => return back.send(LedgerResponse::Unavailable),
             };
             let runtime = hub.runtime.clone();
             act_after(&runtime, hold, move || back.send(hub.placed(answer, &turn, placement)));
@@ -70,11 +71,11 @@
     /// The answer to a reservation that was granted, with the place of its turn.
     fn placed(
         &self,
-        mut answer: Answer,
+        mut answer: LedgerResponse,
         turn: &str,
         placement: Option<PlacementRequest>,
-    ) -> Answer {
-        if let Answer::Reserved { decision, is_under_way, .. } = &mut answer
+    ) -> LedgerResponse {
+        if let LedgerResponse::Reserved { decision, is_under_way, .. } = &mut answer
             && let Some(placement) = placement
         {
             let placement = PlacementRequest { is_under_way: *is_under_way, ..placement };
@@ -84,10 +85,10 @@
     }
 
     /// The answer to a turn whose tenant has nothing left, without a reservation.
-    fn refuse_early(&self, permit: &PermitRequest) -> Option<Answer> {
+    fn refuse_early(&self, permit: &PermitRequest) -> Option<LedgerResponse> {
         let standing = self.standing.borrow();
         let term = standing.is_leader.then_some(standing.term)?;
-        self.limits.refuse_early(term, permit).map(Answer::Permit)
+        self.limits.refuse_early(term, permit).map(LedgerResponse::Permit)
     }
 
     /// Issues a permit once a quorum is known to stand behind this machine: one that was
@@ -101,9 +102,9 @@
             let (known, hold) = match hub.limits.issue(term, &permit, Purpose::Single) {
                 Issued::Answer(known) => (known, Duration::ZERO),
                 Issued::Later(grant, hold) => (PermitAnswer::Granted(grant), hold),
-                Issued::NotNow => return back.send(Answer::Unavailable),
+                Issued::NotNow => return back.send(LedgerResponse::Unavailable),
             };
-            act_after(&hub.runtime, hold, move || back.send(Answer::Permit(known)));
+            act_after(&hub.runtime, hold, move || back.send(LedgerResponse::Permit(known)));
         });
         self.replica.ask(Request::ConfirmLeadership, respond);
     }
@@ -143,15 +144,15 @@
         self.replica.ask(Request::Change(Command::Settle(settle)), respond);
     }
 
-    fn answer(&self, response: Response) -> Answer {
+    fn answer(&self, response: Response) -> LedgerResponse {
         match response {
             Response::Reserved { reservation, history, is_under_way } => {
                 let (decision, permit) = (None, None);
-                Answer::Reserved { reservation, history, decision, is_under_way, permit }
+                LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit }
             }
-            Response::Changed(Output::Done) => Answer::Settled,
+            Response::Changed(Output::Done) => LedgerResponse::Settled,
             Response::NotLeader(leader) => self.not_leader(leader),
-            _ => Answer::Unavailable,
+            _ => LedgerResponse::Unavailable,
         }
     }
 
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -12,7 +12,7 @@
 use super::gateways::Back;
 use super::list::{FleetSnapshot, Reading};
 use crate::commands::SettleTurn;
-use crate::protocol::{Answer, ListMark};
+use crate::protocol::{LedgerResponse, ListMark};
 
 /// Time between two log lines on the learned rates.
 const SPEEDS_INTERVAL: Duration = Duration::from_secs(1);
@@ -95,7 +95,7 @@
         }
         for (turn, decision) in self.scheduler.decide(&fleet.view(), Instant::now()) {
             if let Some(back) = self.backs.remove(&turn) {
-                back.send(Answer::Placed(decision));
+                back.send(LedgerResponse::Placed(decision));
             }
         }
     }
@@ -161,7 +161,7 @@
                 state.backs.insert(turn, back);
                 self.work.notify_one();
             }
-            decision => back.send(Answer::Placed(decision)),
+            decision => back.send(LedgerResponse::Placed(decision)),
         }
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Tells everybody who waits that another machine decides.
-    pub fn dismiss(&self, answer: &Answer) {
+    pub fn dismiss(&self, answer: &LedgerResponse) {
         let mut state = self.state.lock();
         state.scheduler.dismiss();
         for (_, back) in state.backs.drain() {
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -10,11 +10,11 @@
 
 use calicohoist_ledger::client::LedgerClient;
 use calicohoist_ledger::commands::{Command, Output};
-use calicohoist_ledger::protocol::{Ask, ChangeMark, ListMark, Reply, Seen};
+use calicohoist_ledger::protocol::{ChangeMark, ListMark, RequestEnvelope, ResponseEnvelope, Seen};
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::replica::Request;
 use calicohoist_ledger::server::{self, Listeners, Ports, machine_address, machine_number};
-use calicohoist_ledger::{Answer, LedgerState, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse, LedgerState};
 use calicohoist_replication::{GroupId, ReplicaId, StateMachine};
 use calicohoist_routing::{DrainedZones, Replica, ReplicaList, ReplicaState};
 use calicohoist_scheduler::Decision;
@@ -86,9 +86,10 @@
 
     let framed = frame_of(&list_response);
     let mut frames = FrameReader::new(framed.as_slice());
-    let reply =
-        Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await.expect("read reply");
-    let Answer::List { mark, list } = reply.answer else { panic!("{reply:?}") };
+    let reply = ResponseEnvelope::read(&mut frames, ProtocolVersion::UNNAMED, || {})
+        .await
+        .expect("read reply");
+    let LedgerResponse::List { mark, list } = reply.answer else { panic!("{reply:?}") };
     let listed: Vec<_> =
         list.replicas.iter().map(|replica| (replica.id.as_str(), replica.state)).collect();
     assert_eq!(listed, [("r1", ReplicaState::Ready), ("r2", ReplicaState::Draining)]);
@@ -116,15 +117,15 @@
     };
     let deadline = Instant::now() + TEST_TIMEOUT;
     let update = loop {
-        let response = client.ask(&Question::Watch(seen.clone()), deadline).await;
+        let response = client.ask(&LedgerRequest::Watch(seen.clone()), deadline).await;
         match response.expect("no response in time") {
             // Drained zones are sent before any other update.
-            Answer::DrainedZones(drained) => seen.drained = Some(drained.version),
+            LedgerResponse::DrainedZones(drained) => seen.drained = Some(drained.version),
             update => break update,
         }
     };
 
-    assert!(matches!(update, Answer::Configuration { version: 74, .. }), "{update:?}");
+    assert!(matches!(update, LedgerResponse::Configuration { version: 74, .. }), "{update:?}");
     assert_eq!(seen.drained, Some(0));
 }
 
@@ -199,12 +200,13 @@
         let mut frames = FrameReader::new(framed.as_slice());
         let frame = match name.split('.').next() {
             Some("ask") => {
-                let ask = Ask::read(&mut frames, ProtocolVersion::UNNAMED).await;
+                let ask = RequestEnvelope::read(&mut frames, ProtocolVersion::UNNAMED).await;
                 ask.unwrap_or_else(|error| panic!("{name}: {error}"))
                     .encode(ProtocolVersion::UNNAMED)
             }
             Some("reply") => {
-                let reply = Reply::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await;
+                let reply =
+                    ResponseEnvelope::read(&mut frames, ProtocolVersion::UNNAMED, || {}).await;
                 let reply = reply.unwrap_or_else(|error| panic!("{name}: {error}"));
                 reply.encode(ProtocolVersion::UNNAMED)
             }
@@ -218,11 +220,11 @@
 async fn responses_unknown_to_v1_are_mapped_to_known_ones() {
     let cold = Decision::RunCold { replica: "r1".to_owned(), waited_ms: 7 };
     for (answer, expected) in [
-        (Answer::Placed(cold), "reply.placed.run"),
-        (Answer::DrainedZones(DrainedZones::none()), "reply.unavailable"),
+        (LedgerResponse::Placed(cold), "reply.placed.run"),
+        (LedgerResponse::DrainedZones(DrainedZones::none()), "reply.unavailable"),
     ] {
         let expected = sample(expected);
-        let reply = Reply { number: expected[0].into(), answer };
+        let reply = ResponseEnvelope { number: expected[0].into(), answer };
         let frame = reply.encode(ProtocolVersion::UNNAMED).expect("encode");
         assert_eq!(payload_of(frame).await, expected);
     }
--- a/crates/ledger/tests/client.rs
+++ b/crates/ledger/tests/client.rs
@@ -10,7 +10,9 @@
 
 use calicohoist_ledger::client::{ClientTiming, LedgerClient};
 use calicohoist_ledger::commands::{Reservation, ReserveTurn};
-use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
+use calicohoist_ledger::protocol::{
+    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN,
+};
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{FrameReader, encode_frame};
 use tokio::io::AsyncWriteExt;
@@ -102,12 +104,12 @@
             return;
         }
         let output = Arc::new(tokio::sync::Mutex::new(output));
-        while let Ok(Ask { number, question }) = frames.next().await {
+        while let Ok(RequestEnvelope { number, question }) = frames.next().await {
             let ledger = Arc::clone(&self);
             let output = Arc::clone(&output);
             tokio::spawn(async move {
                 let answer = ledger.respond(position, question).await;
-                let frame = encode_frame(&Reply { number, answer }).expect("encode");
+                let frame = encode_frame(&ResponseEnvelope { number, answer }).expect("encode");
                 let mut output = output.lock().await;
                 for (index, chunk) in frame.chunks(CHUNK_BYTES).enumerate() {
                     if index > 0 {
@@ -119,9 +121,9 @@
         }
     }
 
-    async fn respond(&self, position: usize, question: Question) -> Answer {
+    async fn respond(&self, position: usize, question: LedgerRequest) -> LedgerResponse {
         let leads = self.leader.load(Ordering::SeqCst) == position;
-        if matches!(question, Question::FindLeader) {
+        if matches!(question, LedgerRequest::FindLeader) {
             self.counts[position].leader_searches.fetch_add(1, Ordering::SeqCst);
             self.total_searches.fetch_add(1, Ordering::SeqCst);
             self.search_received.notify_waiters();
@@ -131,8 +133,8 @@
         }
         let machines = (0..MACHINES).map(number).collect();
         match question {
-            Question::FindLeader if leads => Answer::Leads { machines },
-            Question::Reserve { .. } if leads => Answer::Reserved {
+            LedgerRequest::FindLeader if leads => LedgerResponse::Leads { machines },
+            LedgerRequest::Reserve { .. } if leads => LedgerResponse::Reserved {
                 reservation: Reservation::Granted,
                 history: vec![7; self.history_bytes.load(Ordering::SeqCst)],
                 decision: None,
@@ -142,7 +144,7 @@
             _ => {
                 let leader = self.leader.load(Ordering::SeqCst);
                 let leader = (leader < MACHINES).then(|| number(leader));
-                Answer::NotLeader { leader, machines }
+                LedgerResponse::NotLeader { leader, machines }
             }
         }
     }
@@ -178,7 +180,7 @@
     }
 }
 
-fn reservation(turn: usize) -> Question {
+fn reservation(turn: usize) -> LedgerRequest {
     let reserve = ReserveTurn {
         program: None,
         turn: format!("turn-{turn}"),
@@ -187,12 +189,12 @@
         previous: None,
         retention_ms: 1_000,
     };
-    Question::Reserve { reserve, placement: None, permit: None }
+    LedgerRequest::Reserve { reserve, placement: None, permit: None }
 }
 
 async fn reserve(client: &LedgerClient, turn: usize) -> bool {
     let response = client.ask(&reservation(turn), Instant::now() + TEST_TIMEOUT).await;
-    matches!(response, Ok(Answer::Reserved { .. }))
+    matches!(response, Ok(LedgerResponse::Reserved { .. }))
 }
 
 async fn reserve_all(client: &LedgerClient, count: usize) {
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -10,9 +10,11 @@
 
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
 use calicohoist_ledger::packed::PackedBytes;
-use calicohoist_ledger::protocol::{Ask, ChangeMark, ListMark, News, Reply, Seen};
+use calicohoist_ledger::protocol::{
+    ChangeMark, ListMark, News, RequestEnvelope, ResponseEnvelope, Seen,
+};
 use calicohoist_ledger::server::peers::{Parcel, PeerFrame};
-use calicohoist_ledger::{Answer, LedgerState, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse, LedgerState};
 use calicohoist_limiter::{IssuedPermits, PermitAnswer, PermitGrant, PermitRequest};
 use calicohoist_replication::{
     Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId, StateMachine,
@@ -104,12 +106,12 @@
     }
 }
 
-fn ask(number: u64, question: Question) -> Ask {
-    Ask { number, question }
+fn request(number: u64, question: LedgerRequest) -> RequestEnvelope {
+    RequestEnvelope { number, question }
 }
 
-fn reply(number: u64, answer: Answer) -> Reply {
-    Reply { number, answer }
+fn response(number: u64, answer: LedgerResponse) -> ResponseEnvelope {
+    ResponseEnvelope { number, answer }
 }
 
 fn replica(id: &str, state: ReplicaState) -> Replica {
@@ -125,16 +127,18 @@
 
 fn samples() -> String {
     let mut samples = Samples::default();
-    let reserve_all = Question::Reserve {
+    let reserve_all = LedgerRequest::Reserve {
         reserve: reserve(),
         placement: Some(placement()),
         permit: Some(permit()),
     };
-    samples.add("ask.reserve", &ask(1, reserve_all));
-    samples.add("ask.permit", &ask(2, Question::Permit(permit())));
-    samples
-        .add("ask.place", &ask(3, Question::Place { turn: "t1".into(), placement: placement() }));
-    samples.add("ask.settle", &ask(4, Question::Settle(settle("t1", None))));
+    samples.add("ask.reserve", &request(1, reserve_all));
+    samples.add("ask.permit", &request(2, LedgerRequest::Permit(permit())));
+    samples.add(
+        "ask.place",
+        &request(3, LedgerRequest::Place { turn: "t1".into(), placement: placement() }),
+    );
+    samples.add("ask.settle", &request(4, LedgerRequest::Settle(settle("t1", None))));
     let seen = Seen {
         gateway: "front-1".into(),
         configuration: 73,
@@ -144,9 +148,12 @@
         cold: ChangeMark { term: 3, change: 2 },
         drained: Some(4),
     };
-    samples.add("ask.watch", &ask(5, Question::Watch(seen)));
-    samples.add("ask.report_failure", &ask(6, Question::ReportFailure { replica: "r1".into() }));
-    samples.add("ask.find_leader", &ask(300, Question::FindLeader));
+    samples.add("ask.watch", &request(5, LedgerRequest::Watch(seen)));
+    samples.add(
+        "ask.report_failure",
+        &request(6, LedgerRequest::ReportFailure { replica: "r1".into() }),
+    );
+    samples.add("ask.find_leader", &request(300, LedgerRequest::FindLeader));
 
     let grant = PermitAnswer::Granted(PermitGrant { permits: 4, life: Duration::from_millis(500) });
     for (name, decision) in [
@@ -156,29 +163,33 @@
         ("wait", Decision::Wait),
         ("refuse", Decision::Refuse(Duration::from_millis(700))),
     ] {
-        samples.add(&format!("reply.placed.{name}"), &reply(3, Answer::Placed(decision)));
+        samples
+            .add(&format!("reply.placed.{name}"), &response(3, LedgerResponse::Placed(decision)));
     }
-    let reserved = Answer::Reserved {
+    let reserved = LedgerResponse::Reserved {
         reservation: Reservation::Granted,
         history: b"hello".to_vec(),
         decision: Some(Decision::Run("r1".into())),
         is_under_way: true,
         permit: Some(grant),
     };
-    samples.add("reply.reserved", &reply(1, reserved));
+    samples.add("reply.reserved", &response(1, reserved));
     samples.add(
         "reply.permit",
-        &reply(2, Answer::Permit(PermitAnswer::OverLimit(Duration::from_millis(250)))),
+        &response(2, LedgerResponse::Permit(PermitAnswer::OverLimit(Duration::from_millis(250)))),
     );
-    samples.add("reply.settled", &reply(4, Answer::Settled));
-    samples.add("reply.noted", &reply(6, Answer::Noted));
+    samples.add("reply.settled", &response(4, LedgerResponse::Settled));
+    samples.add("reply.noted", &response(6, LedgerResponse::Noted));
     let document = PackedBytes::pack(b"{\"version\":74}");
-    samples.add("reply.configuration", &reply(5, Answer::Configuration { version: 74, document }));
+    samples.add(
+        "reply.configuration",
+        &response(5, LedgerResponse::Configuration { version: 74, document }),
+    );
     let replicas = vec![replica("r1", ReplicaState::Ready), replica("r2", ReplicaState::Draining)];
     let mark = ListMark::of(&replicas);
     samples.add(
         "reply.list",
-        &reply(5, Answer::List { mark, list: ReplicaList { version: 5, replicas } }),
+        &response(5, LedgerResponse::List { mark, list: ReplicaList { version: 5, replicas } }),
     );
     let news = News {
         list_age_ms: Some(120),
@@ -188,15 +199,15 @@
         failing: Some((ChangeMark { term: 3, change: 2 }, vec![("r1".into(), 900)])),
         cold: Some((ChangeMark { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
     };
-    samples.add("reply.news", &reply(5, Answer::News(news)));
-    samples.add("reply.leads", &reply(7, Answer::Leads { machines: vec![1, 2, 3] }));
+    samples.add("reply.news", &response(5, LedgerResponse::News(news)));
+    samples.add("reply.leads", &response(7, LedgerResponse::Leads { machines: vec![1, 2, 3] }));
     samples.add(
         "reply.not_leader",
-        &reply(7, Answer::NotLeader { leader: Some(2), machines: vec![1, 2, 3] }),
+        &response(7, LedgerResponse::NotLeader { leader: Some(2), machines: vec![1, 2, 3] }),
     );
-    samples.add("reply.unavailable", &reply(7, Answer::Unavailable));
+    samples.add("reply.unavailable", &response(7, LedgerResponse::Unavailable));
     let drained = DrainedZones { version: 4, zones: [Zone::new("a")].into() };
-    samples.add("reply.drained_zones", &reply(8, Answer::DrainedZones(drained)));
+    samples.add("reply.drained_zones", &response(8, LedgerResponse::DrainedZones(drained)));
 
     let id = ReplicaId { machine: 2_130_706_434, disk: 0 };
     let entries = vec![
--- a/crates/ledger/tests/new_leader.rs
+++ b/crates/ledger/tests/new_leader.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::{Command, ReserveTurn, RetiringOutcome};
-use calicohoist_ledger::protocol::{Answer, Question};
+use calicohoist_ledger::protocol::{LedgerRequest, LedgerResponse};
 use calicohoist_ledger::server::replica::{Request, Response};
 use calicohoist_limiter::{IssuedPermits, LimitTolerance, PermitAnswer, PermitRequest};
 use calicohoist_routing::RateLimit;
@@ -28,7 +28,7 @@
     PermitRequest { tenant: TenantId::new("t"), limit: LIMIT, configuration: 1, spare: 0 }
 }
 
-fn reservation(turn: &str) -> Question {
+fn reservation(turn: &str) -> LedgerRequest {
     let reserve = ReserveTurn {
         program: None,
         turn: turn.to_owned(),
@@ -37,7 +37,7 @@
         previous: None,
         retention_ms: 1_000,
     };
-    Question::Reserve { reserve, placement: None, permit: Some(permit()) }
+    LedgerRequest::Reserve { reserve, placement: None, permit: Some(permit()) }
 }
 
 /// Returns a machine that was restarted after `command` was committed.
@@ -70,7 +70,7 @@
     let second = loop {
         gateway.send(reservation("second")).await;
         match machine.run_peer_while(gateway.receive()).await {
-            Answer::NotLeader { .. } | Answer::Unavailable => {
+            LedgerResponse::NotLeader { .. } | LedgerResponse::Unavailable => {
                 machine.run_peer_while(tokio::time::sleep(PROCESSING_TIME)).await;
             }
             response => break response,
@@ -118,13 +118,15 @@
 
 /// Returns whether the rate limit refuses a turn, either before its reservation or, while the
 /// machine has not published its leadership, along with it.
-fn is_over_limit(response: &Answer) -> bool {
-    let (Answer::Permit(permit) | Answer::Reserved { permit: Some(permit), .. }) = response else {
+fn is_over_limit(response: &LedgerResponse) -> bool {
+    let (LedgerResponse::Permit(permit) | LedgerResponse::Reserved { permit: Some(permit), .. }) =
+        response
+    else {
         return false;
     };
     matches!(permit, PermitAnswer::OverLimit(_))
 }
 
-fn is_permitted(response: &Answer) -> bool {
-    matches!(response, Answer::Reserved { permit: Some(PermitAnswer::Granted(_)), .. })
+fn is_permitted(response: &LedgerResponse) -> bool {
+    matches!(response, LedgerResponse::Reserved { permit: Some(PermitAnswer::Granted(_)), .. })
 }
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::Command;
-use calicohoist_ledger::protocol::{Answer, Ask, Question, Reply, SPOKEN};
+use calicohoist_ledger::protocol::{
+    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN,
+};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::gateways::{self, Hub, HubPlace};
 use calicohoist_ledger::server::limits::LimitDesk;
@@ -338,18 +340,18 @@
         Self { frames: FrameReader::new(input), output, number: 0 }
     }
 
-    pub async fn send(&mut self, question: Question) {
+    pub async fn send(&mut self, question: LedgerRequest) {
         self.number += 1;
-        let message = Ask { number: self.number, question };
+        let message = RequestEnvelope { number: self.number, question };
         let frame = encode_frame(&message).expect("encode request");
         self.output.write_all(&frame).await.expect("send request");
     }
 
     /// Receives the response to the latest request.
-    pub async fn receive(&mut self) -> Answer {
+    pub async fn receive(&mut self) -> LedgerResponse {
         let reply =
             tokio::time::timeout(TEST_TIMEOUT, self.frames.next()).await.expect("timed out");
-        let Reply { number, answer } = reply.expect("no response");
+        let ResponseEnvelope { number, answer } = reply.expect("no response");
         assert_eq!(number, self.number);
         answer
     }
--- a/crates/ledger/tests/turns.rs
+++ b/crates/ledger/tests/turns.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use calicohoist_ledger::Answer;
+use calicohoist_ledger::LedgerResponse;
 use calicohoist_ledger::server::list::FleetSnapshot;
 use calicohoist_ledger::server::turns::TurnDesk;
 use calicohoist_scheduler::{Decision, PlacementRequest};
@@ -42,6 +42,6 @@
 #[tokio::test(start_paused = true)]
 async fn a_former_leader_has_no_work() {
     let desk = desk_with_a_queued_turn();
-    desk.dismiss(&Answer::Unavailable);
+    desk.dismiss(&LedgerResponse::Unavailable);
     assert!(tokio::time::timeout(TEST_TIMEOUT, desk.wait_for_work()).await.is_err());
 }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::Command;
-use calicohoist_ledger::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN, Seen};
+use calicohoist_ledger::protocol::{
+    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN, Seen,
+};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::peers::{FleetLag, KnownPeers, PeerCard};
 use calicohoist_ledger::server::{self, LedgerSettings, Listeners, Ports};
@@ -295,11 +297,11 @@
     async fn drained(&self) -> DrainedZones {
         let mut stream = TcpStream::connect(self.gateways).await.expect("connect");
         offer(&mut stream, SPOKEN).await.expect("negotiate version");
-        let ask = Ask { number: 1, question: Question::Watch(Seen::default()) };
+        let ask = RequestEnvelope { number: 1, question: LedgerRequest::Watch(Seen::default()) };
         stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
-        let reply: Reply = FrameReader::new(stream).next().await.expect("no response");
+        let reply: ResponseEnvelope = FrameReader::new(stream).next().await.expect("no response");
         match reply.answer {
-            Answer::DrainedZones(drained) => drained,
+            LedgerResponse::DrainedZones(drained) => drained,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/proxy/src/flow/failure.rs
+++ b/crates/proxy/src/flow/failure.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use calicohoist_ledger::Question;
+use calicohoist_ledger::LedgerRequest;
 use calicohoist_telemetry::metrics::Counter;
 
 use crate::app::App;
@@ -25,7 +25,7 @@
     let app = Arc::clone(app);
     let replica = replica.to_owned();
     tokio::spawn(async move {
-        let question = Question::ReportFailure { replica: replica.clone() };
+        let question = LedgerRequest::ReportFailure { replica: replica.clone() };
         let told = app.ledger.ask(&question, Instant::now() + PATIENCE).await;
         REPORTS.count(if told.is_ok() { "told" } else { "no answer" });
         app.fleet.end_report(&replica);
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use calicohoist_ledger::{Answer, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_limiter::{PermitAnswer, PermitRequest};
 use calicohoist_scheduler::untried_wait;
 use calicohoist_telemetry::metrics::{Counter, Times};
@@ -91,9 +91,9 @@
     }
     PERMITS.count("asked");
     let deadline = now + untried_wait(call.left(), ASK_PATIENCE);
-    let answer = app.ledger.ask(&Question::Permit(request.clone()), deadline).await;
+    let answer = app.ledger.ask(&LedgerRequest::Permit(request.clone()), deadline).await;
     match answer {
-        Ok(Answer::Permit(answer)) => {
+        Ok(LedgerResponse::Permit(answer)) => {
             PERMIT_TIMES.note("answered", now.elapsed());
             accept(app, &request, answer, now)
         }
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use calicohoist_ledger::client::AskError;
 use calicohoist_ledger::commands::{Reservation, ReserveTurn, RetainedTurn, SettleTurn};
-use calicohoist_ledger::{Answer, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::PlacedReplica;
 use calicohoist_scheduler::{Decision, PlacementRequest, RunSample, TurnRun, untried_wait};
 use calicohoist_telemetry::metrics::Times;
@@ -88,7 +88,7 @@
             return Ok(turn);
         }
         let permit = permit::request_for_turn(app, call);
-        let question = Question::Reserve {
+        let question = LedgerRequest::Reserve {
             reserve: reserve_of(call),
             placement: placement_of(app, call),
             permit: permit.clone(),
@@ -100,7 +100,7 @@
         log_reserved(call, &answer, began);
         // From here on the drop of `turn` settles what may have been reserved.
         match answer {
-            Ok(Answer::Reserved {
+            Ok(LedgerResponse::Reserved {
                 reservation,
                 history,
                 decision,
@@ -115,7 +115,7 @@
                 turn.place(decision, began, is_under_way).await?;
                 Ok(turn)
             }
-            Ok(Answer::Permit(answer)) => {
+            Ok(LedgerResponse::Permit(answer)) => {
                 // Refused before anything was reserved.
                 turn.is_settled = true;
                 if let Some(request) = &permit {
@@ -166,11 +166,11 @@
         let placement = placement_of(&self.app, &self.call)?;
         let placement = PlacementRequest { is_under_way, ..placement };
         let question =
-            Question::Place { turn: self.call.scoped(&self.call.head.request_id), placement };
+            LedgerRequest::Place { turn: self.call.scoped(&self.call.head.request_id), placement };
         let began = Instant::now();
         let deadline = self.call.deadline.min(began + PLACE_PATIENCE);
         let decision = match self.app.ledger.ask(&question, deadline).await {
-            Ok(Answer::Placed(decision)) => Some(decision),
+            Ok(LedgerResponse::Placed(decision)) => Some(decision),
             _ => None,
         };
         LEDGER_TIMES.note("place", began.elapsed());
@@ -257,12 +257,12 @@
             input: self.call.body.to_vec(),
             output: std::mem::take(&mut self.output),
         };
-        let question = Question::Settle(self.settlement(Some(retained)));
+        let question = LedgerRequest::Settle(self.settlement(Some(retained)));
         let began = Instant::now();
         let answer = self.app.ledger.ask(&question, self.call.deadline).await;
         LEDGER_TIMES.note("settle", began.elapsed());
         match answer {
-            Ok(Answer::Settled) => {
+            Ok(LedgerResponse::Settled) => {
                 self.is_settled = true;
                 emit!(
                     Event::TurnSettled;
@@ -285,7 +285,7 @@
         }
         let app = Arc::clone(&self.app);
         let id = self.call.head.request_id.clone();
-        let question = Question::Settle(self.settlement(None));
+        let question = LedgerRequest::Settle(self.settlement(None));
         // A planned stop waits for it.
         let guard = app.begin_request();
         tokio::spawn(async move {
@@ -309,12 +309,12 @@
     );
 }
 
-fn log_reserved(call: &Call, answer: &Result<Answer, AskError>, began: Instant) {
+fn log_reserved(call: &Call, answer: &Result<LedgerResponse, AskError>, began: Instant) {
     let (outcome, history, decision) = match answer {
-        Ok(Answer::Reserved { reservation, history, decision, .. }) => {
+        Ok(LedgerResponse::Reserved { reservation, history, decision, .. }) => {
             (format!("{reservation:?}"), history.len(), decision.as_ref())
         }
-        Ok(Answer::Permit(answer)) => (format!("{answer:?}"), 0, None),
+        Ok(LedgerResponse::Permit(answer)) => (format!("{answer:?}"), 0, None),
         Ok(_) => ("unexpected answer".to_owned(), 0, None),
         Err(error) => (error.to_string(), 0, None),
     };
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -7,7 +7,7 @@
 use calicohoist_ledger::client::AskError;
 use calicohoist_ledger::packed::PackedBytes;
 use calicohoist_ledger::protocol::{ChangeMark, ListMark, News, Seen};
-use calicohoist_ledger::{Answer, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::{
     ColdWatch, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, question_homes,
 };
@@ -72,19 +72,19 @@
             };
             RUNNING_IN_DRAINED.show(u64::from(self.app.fleet.running_in_drained()));
             let deadline = Instant::now() + WATCH_PATIENCE;
-            let answer = self.app.ledger.ask(&Question::Watch(seen), deadline).await;
+            let answer = self.app.ledger.ask(&LedgerRequest::Watch(seen), deadline).await;
             if answer.is_ok() {
                 self.app.note_followed(Instant::now());
             }
             match answer {
-                Ok(Answer::Configuration { version, document }) => {
+                Ok(LedgerResponse::Configuration { version, document }) => {
                     if !self.apply(version, &document) {
                         tokio::time::sleep(REFUSED_PAUSE).await;
                     }
                 }
-                Ok(Answer::List { mark, list }) => self.take_list(mark, list),
-                Ok(Answer::DrainedZones(drained)) => self.take_drained(drained),
-                Ok(Answer::News(news)) => self.take(news),
+                Ok(LedgerResponse::List { mark, list }) => self.take_list(mark, list),
+                Ok(LedgerResponse::DrainedZones(drained)) => self.take_drained(drained),
+                Ok(LedgerResponse::News(news)) => self.take(news),
                 Ok(_) | Err(AskError::Deadline) => {}
             }
         }
