--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -61,7 +61,7 @@
     /// Records the end of a turn.
     Settle(SettleTurn),
     /// Long poll for changes since the given versions.
-    Watch(Seen),
+    Watch(WatchRequest),
     /// Reports that a replica did not respond to a request.
     ReportFailure {
         /// ID of the replica.
@@ -74,19 +74,19 @@
 
 /// Versions that a gateway has seen so far, and its report of load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct WatchRequest {
     /// Name of the gateway that the load report belongs to.
     pub gateway: String,
     /// Configuration version.
     pub configuration: u64,
     /// Digest of the replica list.
-    pub list: ListMark,
+    pub list: ListDigest,
     /// Number of requests in flight from this gateway, by replica.
     pub loads: Vec<(String, u32)>,
     /// Version of the set of failing replicas.
-    pub failing: ChangeMark,
+    pub failing: TermVersion,
     /// Version of the set of cold replicas.
-    pub cold: ChangeMark,
+    pub cold: TermVersion,
     /// Version of the set of drained zones; `None` if not yet received. Independent of the term
     /// because it counts committed changes.
     pub drained: Option<u64>,
@@ -95,14 +95,14 @@
 /// Version of state that a leader keeps in memory only and distributes to gateways, such as the
 /// set of failing replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeMark {
+pub struct TermVersion {
     /// Term of the leader.
     pub term: u64,
     /// Number of changes within the term.
     pub change: u64,
 }
 
-impl ChangeMark {
+impl TermVersion {
     /// Returns the version that follows a change by the leader of `term`.
     pub fn next(self, term: u64) -> Self {
         let change = if self.term == term { self.change + 1 } else { 1 };
@@ -114,9 +114,9 @@
 /// of leader does not cause the list to be sent to every gateway again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ListMark(u64);
+pub struct ListDigest(u64);
 
-impl ListMark {
+impl ListDigest {
     /// Computes the digest of a list, which depends on the order of the replicas.
     pub fn of(replicas: &[Replica]) -> Self {
         let mut digest = blake3::Hasher::new();
@@ -131,7 +131,7 @@
     }
 }
 
-impl fmt::Display for ListMark {
+impl fmt::Display for ListDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
@@ -172,13 +172,13 @@
     /// A replica list that differs from the one that the gateway has.
     List {
         /// Digest of the list.
-        mark: ListMark,
+        mark: ListDigest,
         /// Replica list.
         list: ReplicaList,
     },
     /// Response to [`LedgerRequest::Watch`] if configuration, replica list and drained zones are
     /// unchanged.
-    News(News),
+    News(WatchUpdate),
     /// The contacted machine is the leader.
     Leads {
         /// All members of the group.
@@ -200,19 +200,19 @@
 
 /// Update that a leader with a confirmed quorum sends to a gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchUpdate {
     /// Age of the latest replica list from discovery, in ms; `None` before the first.
     pub list_age_ms: Option<u64>,
     /// Number of requests in flight from all other gateways, for each replica in the order of the
     /// latest list.
     pub loads: Vec<u32>,
     /// Digest of the list that `loads` refers to.
-    pub loads_of: ListMark,
+    pub loads_of: ListDigest,
     /// All known members of the group.
     pub machines: Vec<u32>,
     /// Failing replicas that receive no requests, each with the remaining time in ms, if the set
     /// has changed.
-    pub failing: Option<(ChangeMark, Vec<(String, u32)>)>,
+    pub failing: Option<(TermVersion, Vec<(String, u32)>)>,
     /// Cold replicas, each with the remaining time in ms, if a replica has become cold.
-    pub cold: Option<(ChangeMark, Vec<(String, u32)>)>,
+    pub cold: Option<(TermVersion, Vec<(String, u32)>)>,
 }
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    ChangeMark, LedgerRequest, LedgerResponse, ListMark, News, RequestEnvelope, ResponseEnvelope,
-    Seen,
+    LedgerRequest, LedgerResponse, ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion,
+    WatchRequest, WatchUpdate,
 };
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
 use crate::packed::PackedBytes;
@@ -38,7 +38,7 @@
         placement: PlacementRequestV1,
     },
     Settle(SettleTurn),
-    Watch(SeenV1),
+    Watch(WatchRequestV1),
     ReportFailure {
         replica: String,
     },
@@ -61,12 +61,12 @@
 
 /// Watch request without cold replicas and drained zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct SeenV1 {
+struct WatchRequestV1 {
     gateway: String,
     configuration: u64,
-    list: ListMark,
+    list: ListDigest,
     loads: Vec<(String, u32)>,
-    failing: ChangeMark,
+    failing: TermVersion,
 }
 
 /// A response of version 1 with the number of its request.
@@ -95,10 +95,10 @@
         document: PackedBytes,
     },
     List {
-        mark: ListMark,
+        mark: ListDigest,
         list: ReplicaList,
     },
-    News(NewsV1),
+    News(WatchUpdateV1),
     Leads {
         machines: Vec<u32>,
     },
@@ -119,12 +119,12 @@
 
 /// Watch update without cold replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct NewsV1 {
+struct WatchUpdateV1 {
     list_age_ms: Option<u64>,
     loads: Vec<u32>,
-    loads_of: ListMark,
+    loads_of: ListDigest,
     machines: Vec<u32>,
-    failing: Option<(ChangeMark, Vec<(String, u32)>)>,
+    failing: Option<(TermVersion, Vec<(String, u32)>)>,
 }
 
 impl From<RequestEnvelopeV1> for RequestEnvelope {
@@ -237,16 +237,19 @@
 }
 
 /// Gateways of version 1 have no version of cold replicas and drained zones.
-impl From<SeenV1> for Seen {
-    fn from(SeenV1 { gateway, configuration, list, loads, failing }: SeenV1) -> Self {
-        let (cold, drained) = (ChangeMark::default(), None);
+impl From<WatchRequestV1> for WatchRequest {
+    fn from(
+        WatchRequestV1 { gateway, configuration, list, loads, failing }: WatchRequestV1,
+    ) -> Self {
+        let (cold, drained) = (TermVersion::default(), None);
         Self { gateway, configuration, list, loads, failing, cold, drained }
     }
 }
 
-impl From<Seen> for SeenV1 {
-    fn from(seen: Seen) -> Self {
-        let Seen { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } = seen;
+impl From<WatchRequest> for WatchRequestV1 {
+    fn from(seen: WatchRequest) -> Self {
+        let WatchRequest { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } =
+            seen;
         loads.iter_mut().for_each(|(replica, _)| strip_incarnation(replica));
         Self { gateway, configuration, list, loads, failing }
     }
@@ -332,15 +335,17 @@
     }
 }
 
-impl From<NewsV1> for News {
-    fn from(NewsV1 { list_age_ms, loads, loads_of, machines, failing }: NewsV1) -> Self {
+impl From<WatchUpdateV1> for WatchUpdate {
+    fn from(
+        WatchUpdateV1 { list_age_ms, loads, loads_of, machines, failing }: WatchUpdateV1,
+    ) -> Self {
         Self { list_age_ms, loads, loads_of, machines, failing, cold: None }
     }
 }
 
-impl From<News> for NewsV1 {
-    fn from(news: News) -> Self {
-        let News { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
+impl From<WatchUpdate> for WatchUpdateV1 {
+    fn from(news: WatchUpdate) -> Self {
+        let WatchUpdate { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
         let replicas = failing.iter_mut().flat_map(|(_, replicas)| replicas);
         replicas.for_each(|(replica, _)| strip_incarnation(replica));
         Self { list_age_ms, loads, loads_of, machines, failing }
@@ -352,7 +357,7 @@
     /// be drained while the leader runs version 1.
     pub fn local_response_for_v1(&self) -> Option<LedgerResponse> {
         match self {
-            Self::Watch(Seen { drained: None, .. }) => {
+            Self::Watch(WatchRequest { drained: None, .. }) => {
                 Some(LedgerResponse::DrainedZones(DrainedZones::none()))
             }
             _ => None,
--- a/crates/ledger/src/server/failures.rs
+++ b/crates/ledger/src/server/failures.rs
@@ -7,13 +7,13 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::protocol::ChangeMark;
+use crate::protocol::TermVersion;
 
 /// Counts what gateways report in one term after the other.
 pub struct FailureDesk {
     state: Mutex<DeskState>,
     /// The newest change, for those who wait for one.
-    mark: watch::Sender<ChangeMark>,
+    mark: watch::Sender<TermVersion>,
 }
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
 
 impl Default for FailureDesk {
     fn default() -> Self {
-        Self { state: Mutex::default(), mark: watch::Sender::new(ChangeMark::default()) }
+        Self { state: Mutex::default(), mark: watch::Sender::new(TermVersion::default()) }
     }
 }
 
@@ -42,13 +42,13 @@
     }
 
     /// Follows the changes.
-    pub fn subscribe(&self) -> watch::Receiver<ChangeMark> {
+    pub fn subscribe(&self) -> watch::Receiver<TermVersion> {
         self.mark.subscribe()
     }
 
     /// What has changed since `seen`: the replicas that are to be left alone, each for so many
     /// ms.
-    pub fn news(&self, seen: ChangeMark) -> Option<(ChangeMark, Vec<(String, u32)>)> {
+    pub fn news(&self, seen: TermVersion) -> Option<(TermVersion, Vec<(String, u32)>)> {
         let mark = *self.mark.borrow();
         if mark == seen {
             return None;
--- a/crates/ledger/src/server/gateways/news.rs
+++ b/crates/ledger/src/server/gateways/news.rs
@@ -7,7 +7,7 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::{Back, Hub};
-use crate::protocol::{LedgerResponse, News, Seen};
+use crate::protocol::{LedgerResponse, WatchRequest, WatchUpdate};
 use crate::server::list::Reading;
 use crate::server::replica::{Request, Response, Standing};
 
@@ -16,7 +16,7 @@
 
 impl Hub {
     /// Answers once something is newer than what was seen, or after a while.
-    pub(super) async fn watch(&self, seen: Seen, back: Back) {
+    pub(super) async fn watch(&self, seen: WatchRequest, back: Back) {
         self.note_load(&seen);
         let mut standing = self.standing.clone();
         let mut list = self.list.clone();
@@ -50,7 +50,7 @@
 
     /// Tells what is newer, with a quorum behind it, one thing at a time: first the drained zones,
     /// where nothing may be sent; then the configuration, the list, and all small news together.
-    async fn tell_news(&self, seen: &Seen, back: Back) {
+    async fn tell_news(&self, seen: &WatchRequest, back: Back) {
         let read = Request::ReadConfiguration { newer_than: seen.configuration };
         let held = match self.replica.call(read).await {
             Response::Configuration(held) => held,
@@ -79,12 +79,12 @@
         back.send(LedgerResponse::News(self.news(seen, &standing, &reading)));
     }
 
-    fn news(&self, seen: &Seen, standing: &Standing, reading: &Reading) -> News {
+    fn news(&self, seen: &WatchRequest, standing: &Standing, reading: &Reading) -> WatchUpdate {
         let is_current = reading.term == standing.term;
         let age = reading.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
         let failing = self.failures.news(seen.failing);
         let cold = reading.cold_news(seen.cold, Instant::now());
-        News {
+        WatchUpdate {
             list_age_ms: age.and_then(|age| u64::try_from(age).ok()),
             loads: self.loads.lock().of_others(&seen.gateway, reading, Instant::now()),
             loads_of: reading.mark,
@@ -108,7 +108,7 @@
         back.send(LedgerResponse::Noted);
     }
 
-    fn note_load(&self, seen: &Seen) {
+    fn note_load(&self, seen: &WatchRequest) {
         self.loads.lock().note(&seen.gateway, &seen.loads, Instant::now());
         let standing = self.standing.borrow();
         if standing.is_leader {
--- a/crates/ledger/src/server/gateways/older.rs
+++ b/crates/ledger/src/server/gateways/older.rs
@@ -10,17 +10,17 @@
 use calicohoist_routing::{Incarnation, Replica, ReplicaList, ReplicaState};
 use parking_lot::Mutex;
 
-use crate::protocol::{LedgerRequest, LedgerResponse, ListMark};
+use crate::protocol::{LedgerRequest, LedgerResponse, ListDigest};
 use crate::server::list::FleetSnapshot;
 
 /// The list as these gateways are told it, made once for each state of the fleet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OlderList {
     /// Mark of the list it was made of.
-    of: ListMark,
+    of: ListDigest,
     /// Version of the drained zones it was made with.
     drained: u64,
-    mark: ListMark,
+    mark: ListDigest,
     list: Arc<ReplicaList>,
     /// What is used here for each identity that stands for more.
     starts: Arc<HashMap<String, String>>,
@@ -43,7 +43,7 @@
         Self {
             of: fleet.reading.mark,
             drained: fleet.drained.version,
-            mark: ListMark::of(&replicas),
+            mark: ListDigest::of(&replicas),
             list: Arc::new(ReplicaList { version: fleet.reading.list.version, replicas }),
             starts: Arc::new(starts),
         }
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -4,7 +4,7 @@
 
 use super::bulk_of;
 use crate::packed::PackedBytes;
-use crate::protocol::{LedgerResponse, ListMark};
+use crate::protocol::{LedgerResponse, ListDigest};
 use crate::server::list::Reading;
 use crate::state::HeldConfiguration;
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SharedAnswers {
     configuration: Option<(u64, SharedAnswer)>,
-    list: Option<(ListMark, SharedAnswer)>,
+    list: Option<(ListDigest, SharedAnswer)>,
 }
 
 impl SharedAnswers {
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -15,7 +15,7 @@
 
 use super::LedgerSettings;
 use super::replica::Standing;
-use crate::protocol::{ChangeMark, ListMark, Seen};
+use crate::protocol::{ListDigest, TermVersion, WatchRequest};
 
 static COLD_REPLICAS: Gauge = Gauge::new(
     "calicohoist_ledger_cold_replicas",
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
     /// Tells it from others.
-    pub mark: ListMark,
+    pub mark: ListDigest,
     /// Term in which this machine led when it read it.
     pub term: u64,
     /// What was read.
@@ -47,14 +47,14 @@
     pub cold: Arc<ColdReplicas>,
     /// Changes when a replica becomes cold. It does not when one becomes warm: gateways are told
     /// how long each stays cold.
-    pub cold_mark: ChangeMark,
+    pub cold_mark: TermVersion,
 }
 
 impl Reading {
     /// Whether the leader of `term` tells a gateway the list itself. The gateway hears first which
     /// replicas are cold: with the list alone it would send to all of them alike.
-    pub fn tells_list(&self, term: u64, seen: &Seen) -> bool {
-        let is_new = self.mark != seen.list && self.mark != ListMark::default();
+    pub fn tells_list(&self, term: u64, seen: &WatchRequest) -> bool {
+        let is_new = self.mark != seen.list && self.mark != ListDigest::default();
         let knows_cold = self.cold_mark.term != term || self.cold_mark == seen.cold;
         self.term == term && is_new && knows_cold
     }
@@ -62,9 +62,9 @@
     /// The cold replicas, each with the ms left, unless a gateway has `seen` them.
     pub fn cold_news(
         &self,
-        seen: ChangeMark,
+        seen: TermVersion,
         now: Instant,
-    ) -> Option<(ChangeMark, Vec<(String, u32)>)> {
+    ) -> Option<(TermVersion, Vec<(String, u32)>)> {
         if self.cold_mark == seen {
             return None;
         }
@@ -161,7 +161,7 @@
     let change = watch.take(times, read_at);
     log_cold(&change, watch.cold().left(read_at).count());
     let replicas: Vec<_> = listed.into_iter().map(|listed| listed.replica).collect();
-    let mark = ListMark::of(&replicas);
+    let mark = ListDigest::of(&replicas);
     out.send_if_modified(|reading| {
         reading.read_at = Some(read_at);
         reading.cold = Arc::new(watch.cold().clone());
--- a/crates/ledger/src/server/loads.rs
+++ b/crates/ledger/src/server/loads.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::list::Reading;
-use crate::protocol::ListMark;
+use crate::protocol::ListDigest;
 
 /// Reports older than this are dropped: three watches have passed without one.
 const LOAD_AGE: Duration = Duration::from_millis(2_000);
@@ -31,7 +31,7 @@
 /// The loads of all gateways, in the order of one list of replicas.
 #[derive(Debug, Default)]
 struct LoadSum {
-    list: ListMark,
+    list: ListDigest,
     made: Option<Instant>,
     loads: Vec<u32>,
     /// Where each replica stands in the list.
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -12,7 +12,7 @@
 use super::gateways::Back;
 use super::list::{FleetSnapshot, Reading};
 use crate::commands::SettleTurn;
-use crate::protocol::{LedgerResponse, ListMark};
+use crate::protocol::{LedgerResponse, ListDigest};
 
 /// Time between two log lines on the learned rates.
 const SPEEDS_INTERVAL: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
     /// Who is to be told of a waiting turn.
     backs: HashMap<String, Back>,
     /// The list whose replicas the scheduler was told last.
-    list: ListMark,
+    list: ListDigest,
     /// The term in which it decides.
     term: u64,
     /// Gateways that have told of their load in this term.
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -10,7 +10,9 @@
 
 use calicohoist_ledger::client::LedgerClient;
 use calicohoist_ledger::commands::{Command, Output};
-use calicohoist_ledger::protocol::{ChangeMark, ListMark, RequestEnvelope, ResponseEnvelope, Seen};
+use calicohoist_ledger::protocol::{
+    ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion, WatchRequest,
+};
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::replica::Request;
 use calicohoist_ledger::server::{self, Listeners, Ports, machine_address, machine_number};
@@ -70,7 +72,7 @@
     };
     let replicas = vec![replica("r1@1790000000000", "a"), replica("r2", "b")];
     let reading = Reading {
-        mark: ListMark::of(&replicas),
+        mark: ListDigest::of(&replicas),
         term: machine.standing.borrow().term,
         list: Arc::new(ReplicaList { version: 1, replicas }),
         ..Reading::default()
@@ -93,7 +95,7 @@
     let listed: Vec<_> =
         list.replicas.iter().map(|replica| (replica.id.as_str(), replica.state)).collect();
     assert_eq!(listed, [("r1", ReplicaState::Ready), ("r2", ReplicaState::Draining)]);
-    assert_eq!(mark, ListMark::of(&list.replicas), "digest does not match the list");
+    assert_eq!(mark, ListDigest::of(&list.replicas), "digest does not match the list");
     let has_incarnation = placed.windows(2).any(|bytes| bytes == b"1@");
     assert!(!has_incarnation, "placement contains an incarnation: {placed:?}");
 }
@@ -106,13 +108,13 @@
     tokio::spawn(leader.serve());
 
     let client = LedgerClient::new(&[LOCAL], port);
-    let mut seen = Seen {
+    let mut seen = WatchRequest {
         gateway: "front-1".to_owned(),
         configuration: 73,
-        list: ListMark::default(),
+        list: ListDigest::default(),
         loads: vec![("r1".to_owned(), 2)],
-        failing: ChangeMark { term: 3, change: 1 },
-        cold: ChangeMark::default(),
+        failing: TermVersion { term: 3, change: 1 },
+        cold: TermVersion::default(),
         drained: None,
     };
     let deadline = Instant::now() + TEST_TIMEOUT;
--- a/crates/ledger/tests/cold.rs
+++ b/crates/ledger/tests/cold.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use calicohoist_ledger::protocol::{ChangeMark, ListMark, Seen};
+use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest};
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_routing::{ColdReplicas, Replica, ReplicaState};
 
@@ -13,13 +13,13 @@
     let mut cold = ColdReplicas::none();
     cold.note("i-1", now + Duration::from_millis(3_000));
     cold.note("i-2", now);
-    let mark = ChangeMark { term: 4, change: 1 };
+    let mark = TermVersion { term: 4, change: 1 };
     let reading = Reading { cold: Arc::new(cold), cold_mark: mark, ..Reading::default() };
-    let update = reading.cold_news(ChangeMark::default(), now);
+    let update = reading.cold_news(TermVersion::default(), now);
     assert_eq!(update, Some((mark, vec![("i-1".to_owned(), 3_000)])));
     let later = now + Duration::from_millis(1_000);
     assert_eq!(reading.cold_news(mark, later), None, "only the remaining time has changed");
-    let after_new_term = reading.cold_news(ChangeMark { term: 3, change: 9 }, later);
+    let after_new_term = reading.cold_news(TermVersion { term: 3, change: 9 }, later);
     assert_eq!(after_new_term, Some((mark, vec![("i-1".to_owned(), 2_000)])));
 }
 
@@ -33,13 +33,15 @@
         slots: 4,
         state: ReplicaState::Ready,
     };
-    let (term, mark) = (4, ListMark::of(&[replica]));
-    let cold_mark = ChangeMark { term, change: 1 };
+    let (term, mark) = (4, ListDigest::of(&[replica]));
+    let cold_mark = TermVersion { term, change: 1 };
     let reading = Reading { term, mark, cold_mark, ..Reading::default() };
-    let initial = Seen::default();
+    let initial = WatchRequest::default();
     assert!(!reading.tells_list(term, &initial), "the gateway has no cold replicas yet");
-    assert!(reading.tells_list(term, &Seen { cold: cold_mark, ..initial.clone() }));
-    assert!(!reading.tells_list(term, &Seen { cold: cold_mark, list: mark, ..initial.clone() }));
-    let without_cold = Reading { cold_mark: ChangeMark { term: 3, change: 2 }, ..reading };
+    assert!(reading.tells_list(term, &WatchRequest { cold: cold_mark, ..initial.clone() }));
+    assert!(
+        !reading.tells_list(term, &WatchRequest { cold: cold_mark, list: mark, ..initial.clone() })
+    );
+    let without_cold = Reading { cold_mark: TermVersion { term: 3, change: 2 }, ..reading };
     assert!(without_cold.tells_list(term, &initial), "no replica became cold in this term");
 }
--- a/crates/ledger/tests/failures.rs
+++ b/crates/ledger/tests/failures.rs
@@ -1,6 +1,6 @@
 //! Distribution of failing replicas from the leader to gateways.
 
-use calicohoist_ledger::protocol::ChangeMark;
+use calicohoist_ledger::protocol::TermVersion;
 use calicohoist_ledger::server::failures::FailureDesk;
 use calicohoist_routing::{Replica, ReplicaState};
 
@@ -19,14 +19,14 @@
 #[test]
 fn a_change_is_sent_until_the_gateway_has_it() {
     let desk = FailureDesk::default();
-    let initial = ChangeMark::default();
+    let initial = TermVersion::default();
     assert_eq!(desk.news(initial), None);
     assert!(desk.note(1, "i-1", &replicas()).is_none());
     assert!(desk.note(1, "i-1", &replicas()).is_none());
     assert_eq!(desk.news(initial), None);
     assert!(desk.note(1, "i-1", &replicas()).is_some());
     let (mark, failing) = desk.news(initial).expect("update");
-    assert_eq!(mark, ChangeMark { term: 1, change: 1 });
+    assert_eq!(mark, TermVersion { term: 1, change: 1 });
     assert_eq!(failing.len(), 1);
     assert_eq!(failing[0].0, "i-1");
     assert!(failing[0].1 > 0);
@@ -44,5 +44,5 @@
         desk.note(2, "i-1", &replicas());
     }
     let mark = *desk.subscribe().borrow();
-    assert_eq!(mark, ChangeMark { term: 2, change: 1 });
+    assert_eq!(mark, TermVersion { term: 2, change: 1 });
 }
--- a/crates/ledger/tests/fan_out.rs
+++ b/crates/ledger/tests/fan_out.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use calicohoist_ledger::protocol::{LedgerRequest, RequestEnvelope, SPOKEN, Seen};
+use calicohoist_ledger::protocol::{LedgerRequest, RequestEnvelope, SPOKEN, WatchRequest};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::{self, LedgerSettings, Listeners, Ports};
 use calicohoist_transport::encode_frame;
@@ -111,7 +111,8 @@
         socket.bind(SocketAddr::new(IpAddr::V4(LOCAL), 0)).expect("bind");
         let mut stream = socket.connect(self.gateways).await.expect("connect");
         offer(&mut stream, SPOKEN).await.expect("negotiate version");
-        let ask = RequestEnvelope { number: 1, question: LedgerRequest::Watch(Seen::default()) };
+        let ask =
+            RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
         stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
         stream
     }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -11,7 +11,7 @@
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
 use calicohoist_ledger::packed::PackedBytes;
 use calicohoist_ledger::protocol::{
-    ChangeMark, ListMark, News, RequestEnvelope, ResponseEnvelope, Seen,
+    ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion, WatchRequest, WatchUpdate,
 };
 use calicohoist_ledger::server::peers::{Parcel, PeerFrame};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse, LedgerState};
@@ -139,13 +139,13 @@
         &request(3, LedgerRequest::Place { turn: "t1".into(), placement: placement() }),
     );
     samples.add("ask.settle", &request(4, LedgerRequest::Settle(settle("t1", None))));
-    let seen = Seen {
+    let seen = WatchRequest {
         gateway: "front-1".into(),
         configuration: 73,
-        list: ListMark::default(),
+        list: ListDigest::default(),
         loads: vec![("r1".into(), 2)],
-        failing: ChangeMark { term: 3, change: 1 },
-        cold: ChangeMark { term: 3, change: 2 },
+        failing: TermVersion { term: 3, change: 1 },
+        cold: TermVersion { term: 3, change: 2 },
         drained: Some(4),
     };
     samples.add("ask.watch", &request(5, LedgerRequest::Watch(seen)));
@@ -186,18 +186,18 @@
         &response(5, LedgerResponse::Configuration { version: 74, document }),
     );
     let replicas = vec![replica("r1", ReplicaState::Ready), replica("r2", ReplicaState::Draining)];
-    let mark = ListMark::of(&replicas);
+    let mark = ListDigest::of(&replicas);
     samples.add(
         "reply.list",
         &response(5, LedgerResponse::List { mark, list: ReplicaList { version: 5, replicas } }),
     );
-    let news = News {
+    let news = WatchUpdate {
         list_age_ms: Some(120),
         loads: vec![1, 2],
         loads_of: mark,
         machines: vec![167_837_962],
-        failing: Some((ChangeMark { term: 3, change: 2 }, vec![("r1".into(), 900)])),
-        cold: Some((ChangeMark { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
+        failing: Some((TermVersion { term: 3, change: 2 }, vec![("r1".into(), 900)])),
+        cold: Some((TermVersion { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
     };
     samples.add("reply.news", &response(5, LedgerResponse::News(news)));
     samples.add("reply.leads", &response(7, LedgerResponse::Leads { machines: vec![1, 2, 3] }));
--- a/crates/ledger/tests/loads.rs
+++ b/crates/ledger/tests/loads.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use calicohoist_ledger::protocol::ListMark;
+use calicohoist_ledger::protocol::ListDigest;
 use calicohoist_ledger::server::list::Reading;
 use calicohoist_ledger::server::loads::LoadBoard;
 use calicohoist_routing::{Replica, ReplicaList, ReplicaState};
@@ -21,7 +21,7 @@
 
 fn reading(ids: &[&str]) -> Reading {
     let replicas: Vec<Replica> = ids.iter().map(|id| replica(id)).collect();
-    let mark = ListMark::of(&replicas);
+    let mark = ListDigest::of(&replicas);
     let list = Arc::new(ReplicaList { version: 1, replicas });
     Reading { mark, list, term: 1, ..Reading::default() }
 }
@@ -66,8 +66,8 @@
     assert_eq!(digest(&["a", "b"]), digest(&["a", "b"]));
     assert_ne!(digest(&["a", "b"]), digest(&["b", "a"]));
     assert_ne!(digest(&["a"]), digest(&["a", "b"]));
-    assert_ne!(digest(&[]), ListMark::default(), "an empty list differs from no list");
+    assert_ne!(digest(&[]), ListDigest::default(), "an empty list differs from no list");
     let mut draining = replica("a");
     draining.state = ReplicaState::Draining;
-    assert_ne!(ListMark::of(&[draining]), digest(&["a"]));
+    assert_ne!(ListDigest::of(&[draining]), digest(&["a"]));
 }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -7,7 +7,7 @@
 
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{
-    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN, Seen,
+    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN, WatchRequest,
 };
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::peers::{FleetLag, KnownPeers, PeerCard};
@@ -297,7 +297,8 @@
     async fn drained(&self) -> DrainedZones {
         let mut stream = TcpStream::connect(self.gateways).await.expect("connect");
         offer(&mut stream, SPOKEN).await.expect("negotiate version");
-        let ask = RequestEnvelope { number: 1, question: LedgerRequest::Watch(Seen::default()) };
+        let ask =
+            RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
         stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
         let reply: ResponseEnvelope = FrameReader::new(stream).next().await.expect("no response");
         match reply.answer {
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -6,7 +6,7 @@
 use calicohoist_discovery::ListedReplica;
 use calicohoist_ledger::client::AskError;
 use calicohoist_ledger::packed::PackedBytes;
-use calicohoist_ledger::protocol::{ChangeMark, ListMark, News, Seen};
+use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest, WatchUpdate};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::{
     ColdWatch, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, question_homes,
@@ -47,9 +47,9 @@
 
 #[derive(Clone, Copy, Default)]
 struct FollowerState {
-    list: ListMark,
-    failing: ChangeMark,
-    cold: ChangeMark,
+    list: ListDigest,
+    failing: TermVersion,
+    cold: TermVersion,
 }
 
 struct Follower {
@@ -61,7 +61,7 @@
     async fn watch_ledger(&self) {
         loop {
             let FollowerState { list, failing, cold } = *self.state.lock();
-            let seen = Seen {
+            let seen = WatchRequest {
                 gateway: self.app.settings.name.clone(),
                 configuration: self.app.table().map_or(0, |table| table.version()),
                 list,
@@ -90,7 +90,7 @@
         }
     }
 
-    fn take(&self, news: News) {
+    fn take(&self, news: WatchUpdate) {
         self.app.ledger.learn_machines(news.machines);
         if news.loads_of == self.state.lock().list {
             self.app.fleet.note_other_loads(&news.loads, Instant::now());
@@ -117,7 +117,7 @@
         emit!(Event::DrainApplied; version = version, zones = zones, running = running);
     }
 
-    fn take_list(&self, mark: ListMark, list: ReplicaList) {
+    fn take_list(&self, mark: ListDigest, list: ReplicaList) {
         emit!(
             Event::ListApplied;
             source = "leader",
@@ -185,7 +185,7 @@
                     self.put_list(replicas.into_iter().map(|listed| listed.replica).collect());
                     let mut state = self.state.lock();
                     // The leader's list is to be told anew, whatever its version.
-                    state.list = ListMark::default();
+                    state.list = ListDigest::default();
                 }
                 Err(error) => emit!(Event::PlatformUnreachable, "list of replicas: {error}"),
             }
