--- a/crates/ledger/src/packed.rs
+++ b/crates/ledger/src/packed.rs
@@ -5,33 +5,33 @@
 
 /// LZ4-compressed bytes, prefixed with their uncompressed size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedBytes(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct CompressedBytes(#[serde(with = "serde_bytes")] Vec<u8>);
 
-/// An error returned by [`PackedBytes::unpack`].
+/// An error returned by [`CompressedBytes::decompress`].
 #[derive(Debug, thiserror::Error)]
-pub enum UnpackError {
+pub enum DecompressionError {
     /// The compressed data is corrupt.
     #[error("corrupt compressed data: {0}")]
-    Damaged(#[from] lz4_flex::block::DecompressError),
+    Corrupt(#[from] lz4_flex::block::DecompressError),
     /// The declared uncompressed size exceeds the frame size limit.
     #[error("uncompressed size of {0} bytes exceeds the frame size limit")]
-    TooLong(usize),
+    TooLarge(usize),
 }
 
-impl PackedBytes {
+impl CompressedBytes {
     /// Compresses `bytes`.
-    pub fn pack(bytes: &[u8]) -> Self {
+    pub fn compress(bytes: &[u8]) -> Self {
         Self(lz4_flex::compress_prepend_size(bytes))
     }
 
     /// Returns the uncompressed bytes.
     ///
     /// # Errors
-    /// Returns [`UnpackError`] if the data is corrupt or declares too large a size.
-    pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
+    /// Returns [`DecompressionError`] if the data is corrupt or declares too large a size.
+    pub fn decompress(&self) -> Result<Vec<u8>, DecompressionError> {
         let (size, compressed) = lz4_flex::block::uncompressed_size(&self.0)?;
         if size > MAX_FRAME_BYTES {
-            return Err(UnpackError::TooLong(size));
+            return Err(DecompressionError::TooLarge(size));
         }
         Ok(lz4_flex::decompress(compressed, size)?)
     }
--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 pub use version::{NEWEST, SPOKEN};
 
 /// A request with its number.
@@ -167,7 +167,7 @@
         /// Configuration version.
         version: u64,
         /// Compressed configuration document.
-        document: PackedBytes,
+        document: CompressedBytes,
     },
     /// A replica list that differs from the one that the gateway has.
     List {
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -16,7 +16,7 @@
     WatchRequest, WatchUpdate,
 };
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 
 /// A request of version 1 with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
     Noted,
     Configuration {
         version: u64,
-        document: PackedBytes,
+        document: CompressedBytes,
     },
     List {
         mark: ListDigest,
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -3,7 +3,7 @@
 use calicohoist_transport::{FrameError, SharedField};
 
 use super::bulk_of;
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 use crate::protocol::{LedgerResponse, ListDigest};
 use crate::server::list::Reading;
 use crate::state::HeldConfiguration;
@@ -41,7 +41,7 @@
         {
             return Ok(answer.clone());
         }
-        let document = PackedBytes::pack(&held.document);
+        let document = CompressedBytes::compress(&held.document);
         let answer = SharedAnswer::encode(&LedgerResponse::Configuration {
             version: held.version,
             document,
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::tcp::OwnedReadHalf;
 
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 
 /// First frame of a connection, after the version was agreed on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
     /// A parcel as it is.
     Plain(Parcel),
     /// An encoded parcel, packed.
-    Packed(PackedBytes),
+    Packed(CompressedBytes),
 }
 
 /// Size of a parcel, in bytes, from which packing is worth its time: below, there is little that
@@ -96,7 +96,7 @@
         }
         match encode(&parcel) {
             Ok(encoded) if encoded.len() >= PACKED_FROM => {
-                Self::Packed(PackedBytes::pack(&encoded))
+                Self::Packed(CompressedBytes::compress(&encoded))
             }
             // What cannot be encoded is refused as a frame, too.
             _ => Self::Plain(parcel),
@@ -107,7 +107,7 @@
     pub fn open(self) -> Option<Parcel> {
         match self {
             Self::Plain(parcel) => Some(parcel),
-            Self::Packed(packed) => decode(&packed.unpack().ok()?).ok(),
+            Self::Packed(packed) => decode(&packed.decompress().ok()?).ok(),
         }
     }
 }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
-use calicohoist_ledger::packed::PackedBytes;
+use calicohoist_ledger::packed::CompressedBytes;
 use calicohoist_ledger::protocol::{
     ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion, WatchRequest, WatchUpdate,
 };
@@ -180,7 +180,7 @@
     );
     samples.add("reply.settled", &response(4, LedgerResponse::Settled));
     samples.add("reply.noted", &response(6, LedgerResponse::Noted));
-    let document = PackedBytes::pack(b"{\"version\":74}");
+    let document = CompressedBytes::compress(b"{\"version\":74}");
     samples.add(
         "reply.configuration",
         &response(5, LedgerResponse::Configuration { version: 74, document }),
@@ -224,7 +224,7 @@
     };
     let messages = vec![GroupMessage { group: GroupId(0), message: append }];
     samples.add("peer.plain", &PeerFrame::Plain(Parcel { to: id, messages }));
-    samples.add("peer.packed", &PeerFrame::Packed(PackedBytes::pack(b"a parcel")));
+    samples.add("peer.packed", &PeerFrame::Packed(CompressedBytes::compress(b"a parcel")));
 
     let mut state = LedgerState::new(GroupId(0));
     let commands = [
--- a/crates/ledger/tests/packed.rs
+++ b/crates/ledger/tests/packed.rs
@@ -1,6 +1,6 @@
 //! Round trips of compressed documents, and errors on corrupt data.
 
-use calicohoist_ledger::packed::{PackedBytes, UnpackError};
+use calicohoist_ledger::packed::{CompressedBytes, DecompressionError};
 use calicohoist_wire::{decode, encode};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -10,16 +10,16 @@
 
     #[test]
     fn decompression_restores_the_original(bytes in vec(any::<u8>(), 0..4_000)) {
-        let sent = encode(&PackedBytes::pack(&bytes)).expect("encode");
-        let received: PackedBytes = decode(&sent).expect("decode");
-        prop_assert_eq!(received.unpack().expect("valid data"), bytes);
+        let sent = encode(&CompressedBytes::compress(&bytes)).expect("encode");
+        let received: CompressedBytes = decode(&sent).expect("decode");
+        prop_assert_eq!(received.decompress().expect("valid data"), bytes);
     }
 
     #[test]
     fn corrupt_data_never_exceeds_the_size_limit(bytes in vec(any::<u8>(), 0..200)) {
-        let packed: PackedBytes = decode(&encode(&bytes).expect("encode")).expect("decode");
-        if let Ok(unpacked) = packed.unpack() {
-            prop_assert!(unpacked.len() <= calicohoist_wire::MAX_FRAME_BYTES);
+        let compressed: CompressedBytes = decode(&encode(&bytes).expect("encode")).expect("decode");
+        if let Ok(decompressed) = compressed.decompress() {
+            prop_assert!(decompressed.len() <= calicohoist_wire::MAX_FRAME_BYTES);
         }
     }
 }
@@ -28,8 +28,8 @@
 #[test]
 fn a_size_above_the_frame_limit_is_rejected() {
     let forged = encode(&vec![0xff_u8, 0xff, 0xff, 0xff, 0]).expect("encode");
-    let packed: PackedBytes = decode(&forged).expect("decode");
-    assert!(matches!(packed.unpack(), Err(UnpackError::TooLong(_))));
+    let compressed: CompressedBytes = decode(&forged).expect("decode");
+    assert!(matches!(compressed.decompress(), Err(DecompressionError::TooLarge(_))));
 }
 
 #[test]
@@ -40,6 +40,6 @@
         )
     });
     let document = routes.collect::<String>().into_bytes();
-    let sent = encode(&PackedBytes::pack(&document)).expect("encode");
+    let sent = encode(&CompressedBytes::compress(&document)).expect("encode");
     assert!(sent.len() * 5 < document.len(), "{} of {} bytes", sent.len(), document.len());
 }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -5,7 +5,7 @@
 
 use calicohoist_discovery::ListedReplica;
 use calicohoist_ledger::client::AskError;
-use calicohoist_ledger::packed::PackedBytes;
+use calicohoist_ledger::packed::CompressedBytes;
 use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest, WatchUpdate};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::{
@@ -130,8 +130,8 @@
     }
 
     /// Puts a configuration in force; `false` when it is none.
-    fn apply(&self, version: u64, document: &PackedBytes) -> bool {
-        let document = match document.unpack() {
+    fn apply(&self, version: u64, document: &CompressedBytes) -> bool {
+        let document = match document.decompress() {
             Ok(document) => document,
             Err(error) => {
                 emit!(Event::ChangeRefused, "version={version}: {error}");
