--- a/crates/ledger/src/client/connection.rs
+++ b/crates/ledger/src/client/connection.rs
@@ -14,7 +14,9 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::sync::oneshot;
 
-use crate::protocol::{LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN};
+use crate::protocol::{
+    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SUPPORTED_VERSIONS,
+};
 
 static REFUSALS: RefusalLog = RefusalLog::new("ledger");
 
@@ -42,7 +44,8 @@
 impl Connection {
     /// Connects to `address`; returns `None` if the connection fails or times out.
     pub(super) async fn open(address: SocketAddr) -> Option<Self> {
-        let opened = version::connect(address, CONNECT_TIMEOUT, USER_TIMEOUT, SPOKEN).await;
+        let opened =
+            version::connect(address, CONNECT_TIMEOUT, USER_TIMEOUT, SUPPORTED_VERSIONS).await;
         let (stream, version) =
             opened.inspect_err(|error| REFUSALS.note_version(address, error)).ok()?;
         let (input, output) = stream.into_split();
--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Requests are multiplexed over one connection and matched to responses by number. Every request
 //! is idempotent and may be retried on any machine. The types here are those of the latest
-//! protocol version, see [`SPOKEN`].
+//! protocol version, see [`SUPPORTED_VERSIONS`].
 
 mod v1;
 mod version;
@@ -16,7 +16,7 @@
 
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
 use crate::packed::CompressedBytes;
-pub use version::{NEWEST, SPOKEN};
+pub use version::{LATEST_VERSION, SUPPORTED_VERSIONS};
 
 /// A request with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/ledger/src/protocol/version.rs
+++ b/crates/ledger/src/protocol/version.rs
@@ -15,10 +15,11 @@
 use super::{RequestEnvelope, ResponseEnvelope};
 
 /// Latest protocol version.
-pub const NEWEST: ProtocolVersion = ProtocolVersion::new(2);
+pub const LATEST_VERSION: ProtocolVersion = ProtocolVersion::new(2);
 /// Protocol versions that this build supports. During a rolling upgrade, machines of the previous
 /// build run alongside it.
-pub const SPOKEN: VersionRange = VersionRange { oldest: ProtocolVersion::UNNAMED, newest: NEWEST };
+pub const SUPPORTED_VERSIONS: VersionRange =
+    VersionRange { oldest: ProtocolVersion::UNNAMED, newest: LATEST_VERSION };
 
 impl RequestEnvelope {
     /// Encodes the message as a frame of the given protocol version.
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -36,7 +36,8 @@
 use super::traffic::{self, Peer};
 use super::turns::TurnDesk;
 use crate::protocol::{
-    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN,
+    LATEST_VERSION, LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope,
+    SUPPORTED_VERSIONS,
 };
 use older::OlderGateways;
 use shared::{SharedAnswer, SharedAnswers};
@@ -154,8 +155,8 @@
 async fn serve(stream: TcpStream, hub: Hub) -> Result<(), VersionError> {
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
-    let version = choose(&mut frames, &mut output, SPOKEN).await?;
-    let older = (version < NEWEST).then(|| Arc::new(hub.clone()));
+    let version = choose(&mut frames, &mut output, SUPPORTED_VERSIONS).await?;
+    let older = (version < LATEST_VERSION).then(|| Arc::new(hub.clone()));
     let replies = spawn_writer(output, hub.waiting.clone());
     let mut distance = None;
     loop {
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -30,7 +30,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::protocol::SPOKEN;
+use crate::protocol::SUPPORTED_VERSIONS;
 use control::{Control, ControlCodec};
 use gateways::HubPlace;
 use replica::{Desks, ReplicaHandle, ReplicaThread};
@@ -193,7 +193,7 @@
         role = "ledger",
         replica = identity,
         ip = settings.ip,
-        protocol = SPOKEN,
+        protocol = SUPPORTED_VERSIONS,
     );
     tokio::select! {
         failed = failure => eyre::bail!("the replica stopped: {}", failed.unwrap_or_default()),
--- a/crates/ledger/src/server/peers/known.rs
+++ b/crates/ledger/src/server/peers/known.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 
 use super::PeerCard;
-use crate::protocol::NEWEST;
+use crate::protocol::LATEST_VERSION;
 
 static OLDER_MACHINES: Gauge = Gauge::new(
     "calicohoist_ledger_older_machines",
@@ -57,7 +57,7 @@
         let before = peers.remove(&card.replica.machine).and_then(|known| known.zone);
         let zone = card.zone.clone().or(before);
         peers.insert(card.replica.machine, KnownPeer { zone, version });
-        let older = peers.values().filter(|known| known.version < NEWEST).count();
+        let older = peers.values().filter(|known| known.version < LATEST_VERSION).count();
         OLDER_MACHINES.show(older as u64);
     }
 
@@ -80,7 +80,7 @@
         members.into_iter().find_map(|machine| {
             let ip = Ipv4Addr::from_bits(machine);
             match peers.get(&machine) {
-                Some(known) if known.version >= NEWEST => None,
+                Some(known) if known.version >= LATEST_VERSION => None,
                 Some(_) => Some(FleetLag::Machine(ip)),
                 None => Some(FleetLag::UnheardMachine(ip)),
             }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -20,7 +20,7 @@
 use super::replica::ReplicaHandle;
 use super::traffic::{self, Peer};
 use super::{LedgerSettings, machine_address};
-use crate::protocol::SPOKEN;
+use crate::protocol::SUPPORTED_VERSIONS;
 use frame::{Greeting, QueuedFrame};
 pub use frame::{PACKED_FROM, Parcel, PeerCard, PeerFrame};
 pub use known::{FleetLag, KnownPeers};
@@ -56,7 +56,10 @@
         let link = links.entry(to.machine).or_insert_with(|| {
             let address = machine_address(to.machine, settings.ports.peers);
             let greeting = greeting.clone();
-            Link::open(address, LinkOpening::offer(SPOKEN, move |version| greeting.frame(version)))
+            Link::open(
+                address,
+                LinkOpening::offer(SUPPORTED_VERSIONS, move |version| greeting.frame(version)),
+            )
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
         let kind = kind_of(&messages);
@@ -113,7 +116,7 @@
     async fn read(self, stream: TcpStream) -> Result<(), VersionError> {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        let version = choose(&mut frames, &mut output, SPOKEN).await?;
+        let version = choose(&mut frames, &mut output, SUPPORTED_VERSIONS).await?;
         let card = PeerCard::read(&mut frames, version).await?;
         let from = card.replica;
         self.peers.note(&card, version);
--- a/crates/ledger/tests/client.rs
+++ b/crates/ledger/tests/client.rs
@@ -11,7 +11,7 @@
 use calicohoist_ledger::client::{ClientTiming, LedgerClient};
 use calicohoist_ledger::commands::{Reservation, ReserveTurn};
 use calicohoist_ledger::protocol::{
-    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN,
+    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SUPPORTED_VERSIONS,
 };
 use calicohoist_transport::version::choose;
 use calicohoist_transport::{FrameReader, encode_frame};
@@ -100,7 +100,7 @@
     async fn serve(self: Arc<Self>, position: usize, stream: TcpStream) {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        if choose(&mut frames, &mut output, SPOKEN).await.is_err() {
+        if choose(&mut frames, &mut output, SUPPORTED_VERSIONS).await.is_err() {
             return;
         }
         let output = Arc::new(tokio::sync::Mutex::new(output));
--- a/crates/ledger/tests/fan_out.rs
+++ b/crates/ledger/tests/fan_out.rs
@@ -7,7 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use calicohoist_ledger::protocol::{LedgerRequest, RequestEnvelope, SPOKEN, WatchRequest};
+use calicohoist_ledger::protocol::{
+    LedgerRequest, RequestEnvelope, SUPPORTED_VERSIONS, WatchRequest,
+};
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::{self, LedgerSettings, Listeners, Ports};
 use calicohoist_transport::encode_frame;
@@ -110,7 +112,7 @@
         socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("set buffer size");
         socket.bind(SocketAddr::new(IpAddr::V4(LOCAL), 0)).expect("bind");
         let mut stream = socket.connect(self.gateways).await.expect("connect");
-        offer(&mut stream, SPOKEN).await.expect("negotiate version");
+        offer(&mut stream, SUPPORTED_VERSIONS).await.expect("negotiate version");
         let ask =
             RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
         stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{
-    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SPOKEN,
+    LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope, SUPPORTED_VERSIONS,
 };
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::gateways::{self, Hub, HubPlace};
@@ -335,7 +335,7 @@
 impl GatewayConnection {
     pub async fn connect(address: SocketAddr) -> Self {
         let mut stream = TcpStream::connect(address).await.expect("connect");
-        offer(&mut stream, SPOKEN).await.expect("negotiate version");
+        offer(&mut stream, SUPPORTED_VERSIONS).await.expect("negotiate version");
         let (input, output) = stream.into_split();
         Self { frames: FrameReader::new(input), output, number: 0 }
     }
--- a/crates/ledger/tests/zones.rs
+++ b/crates/ledger/tests/zones.rs
@@ -7,7 +7,8 @@
 
 use calicohoist_ledger::commands::Command;
 use calicohoist_ledger::protocol::{
-    LedgerRequest, LedgerResponse, NEWEST, RequestEnvelope, ResponseEnvelope, SPOKEN, WatchRequest,
+    LATEST_VERSION, LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope,
+    SUPPORTED_VERSIONS, WatchRequest,
 };
 use calicohoist_ledger::server::control::{CallError, ControlCall, ControlCodec, ControlOutcome};
 use calicohoist_ledger::server::peers::{FleetLag, KnownPeers, PeerCard};
@@ -296,7 +297,7 @@
     /// Returns the drained zones as sent to a new gateway.
     async fn drained(&self) -> DrainedZones {
         let mut stream = TcpStream::connect(self.gateways).await.expect("connect");
-        offer(&mut stream, SPOKEN).await.expect("negotiate version");
+        offer(&mut stream, SUPPORTED_VERSIONS).await.expect("negotiate version");
         let ask =
             RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
         stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
@@ -330,11 +331,11 @@
         peers.note(&card, version);
     };
     let lag = || peers.lag([NEWER, OTHER]);
-    note(NEWER, NEWEST);
+    note(NEWER, LATEST_VERSION);
     assert_eq!(lag(), Some(FleetLag::UnheardMachine(ip)));
     note(OTHER, ProtocolVersion::UNNAMED);
     assert_eq!(lag(), Some(FleetLag::Machine(ip)));
-    note(OTHER, NEWEST);
+    note(OTHER, LATEST_VERSION);
     assert_eq!(lag(), None);
     note(OTHER, ProtocolVersion::UNNAMED);
     assert_eq!(lag(), Some(FleetLag::Machine(ip)), "the machine was downgraded");
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -58,7 +58,7 @@
         Event::RoleStarted;
         role = "gateway",
         http = app.settings.http,
-        protocol = calicohoist_ledger::protocol::SPOKEN,
+        protocol = calicohoist_ledger::protocol::SUPPORTED_VERSIONS,
     );
     tokio::spawn(news::follow(Arc::clone(&app)));
     tokio::spawn(ready::accept(ready, Arc::clone(&app)));
