--- a/crates/ledger/src/client/mod.rs
+++ b/crates/ledger/src/client/mod.rs
@@ -29,12 +29,12 @@
 pub use targets::LeaderTracker;
 pub use timing::ClientTiming;
 
-/// An error returned by [`LedgerClient::ask`].
+/// An error returned by [`LedgerClient::request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     /// No leader responded before the deadline; whether the request took effect is unknown.
     #[error("no ledger leader responded before the deadline")]
-    Deadline,
+    DeadlineExceeded,
 }
 
 /// A client of the ledger; clones share connections and the known leader.
@@ -99,15 +99,15 @@
     /// Sends a request to the leader and retries it until `deadline`.
     ///
     /// # Errors
-    /// Returns [`AskError::Deadline`] if no leader responds before `deadline`.
-    pub async fn ask(
+    /// Returns [`RequestError::DeadlineExceeded`] if no leader responds before `deadline`.
+    pub async fn request(
         &self,
         request: &LedgerRequest,
         deadline: Instant,
-    ) -> Result<LedgerResponse, AskError> {
+    ) -> Result<LedgerResponse, RequestError> {
         let until_deadline = deadline.saturating_duration_since(Instant::now());
         let result = timeout(until_deadline, self.retry_until_answered(request)).await;
-        result.map_err(|_| AskError::Deadline)
+        result.map_err(|_| RequestError::DeadlineExceeded)
     }
 
     async fn retry_until_answered(&self, request: &LedgerRequest) -> LedgerResponse {
@@ -155,7 +155,7 @@
                 true
             }
             Some(LedgerResponse::NotLeader { leader, machines }) => {
-                self.learn_machines(machines);
+                self.update_members(machines);
                 self.record_refusal(target, leader)
             }
             _ => {
@@ -196,7 +196,7 @@
             let wait = silence_limit.saturating_sub(silent_for);
             match timeout(wait, pending.receive()).await {
                 Ok(Some(LedgerResponse::NotLeader { leader: hint, machines })) => {
-                    self.learn_machines(machines);
+                    self.update_members(machines);
                     self.record_refusal(leader, hint);
                     return Attempt::Abandoned;
                 }
@@ -281,7 +281,7 @@
     }
 
     /// Updates the known members of the group.
-    pub fn learn_machines(&self, machines: Vec<u32>) {
+    pub fn update_members(&self, machines: Vec<u32>) {
         self.shared.state.lock().tracker.update_members(machines);
     }
 
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/builds.rs
@@ -119,7 +119,7 @@
     };
     let deadline = Instant::now() + TEST_TIMEOUT;
     let update = loop {
-        let response = client.ask(&LedgerRequest::Watch(seen.clone()), deadline).await;
+        let response = client.request(&LedgerRequest::Watch(seen.clone()), deadline).await;
         match response.expect("no response in time") {
             // Drained zones are sent before any other update.
             LedgerResponse::DrainedZones(drained) => seen.drained = Some(drained.version),
--- a/crates/ledger/tests/client.rs
+++ b/crates/ledger/tests/client.rs
@@ -193,7 +193,7 @@
 }
 
 async fn reserve(client: &LedgerClient, turn: usize) -> bool {
-    let response = client.ask(&reservation(turn), Instant::now() + TEST_TIMEOUT).await;
+    let response = client.request(&reservation(turn), Instant::now() + TEST_TIMEOUT).await;
     matches!(response, Ok(LedgerResponse::Reserved { .. }))
 }
 
--- a/crates/proxy/src/flow/failure.rs
+++ b/crates/proxy/src/flow/failure.rs
@@ -26,7 +26,7 @@
     let replica = replica.to_owned();
     tokio::spawn(async move {
         let question = LedgerRequest::ReportFailure { replica: replica.clone() };
-        let told = app.ledger.ask(&question, Instant::now() + PATIENCE).await;
+        let told = app.ledger.request(&question, Instant::now() + PATIENCE).await;
         REPORTS.count(if told.is_ok() { "told" } else { "no answer" });
         app.fleet.end_report(&replica);
     });
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -91,7 +91,7 @@
     }
     PERMITS.count("asked");
     let deadline = now + untried_wait(call.left(), ASK_PATIENCE);
-    let answer = app.ledger.ask(&LedgerRequest::Permit(request.clone()), deadline).await;
+    let answer = app.ledger.request(&LedgerRequest::Permit(request.clone()), deadline).await;
     match answer {
         Ok(LedgerResponse::Permit(answer)) => {
             PERMIT_TIMES.note("answered", now.elapsed());
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
-use calicohoist_ledger::client::AskError;
+use calicohoist_ledger::client::RequestError;
 use calicohoist_ledger::commands::{Reservation, ReserveTurn, RetainedTurn, SettleTurn};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::PlacedReplica;
@@ -95,7 +95,7 @@
         };
         let began = Instant::now();
         let deadline = began + untried_wait(call.left(), RESERVE_PATIENCE);
-        let answer = app.ledger.ask(&question, deadline).await;
+        let answer = app.ledger.request(&question, deadline).await;
         LEDGER_TIMES.note("reserve", began.elapsed());
         log_reserved(call, &answer, began);
         // From here on the drop of `turn` settles what may have been reserved.
@@ -169,7 +169,7 @@
             LedgerRequest::Place { turn: self.call.scoped(&self.call.head.request_id), placement };
         let began = Instant::now();
         let deadline = self.call.deadline.min(began + PLACE_PATIENCE);
-        let decision = match self.app.ledger.ask(&question, deadline).await {
+        let decision = match self.app.ledger.request(&question, deadline).await {
             Ok(LedgerResponse::Placed(decision)) => Some(decision),
             _ => None,
         };
@@ -259,7 +259,7 @@
         };
         let question = LedgerRequest::Settle(self.settlement(Some(retained)));
         let began = Instant::now();
-        let answer = self.app.ledger.ask(&question, self.call.deadline).await;
+        let answer = self.app.ledger.request(&question, self.call.deadline).await;
         LEDGER_TIMES.note("settle", began.elapsed());
         match answer {
             Ok(LedgerResponse::Settled) => {
@@ -291,7 +291,7 @@
         tokio::spawn(async move {
             let _guard = guard;
             let deadline = Instant::now() + BACKGROUND_PATIENCE;
-            if app.ledger.ask(&question, deadline).await.is_err() {
+            if app.ledger.request(&question, deadline).await.is_err() {
                 emit!(Event::SettlementLost; request = id);
             }
         });
@@ -309,7 +309,7 @@
     );
 }
 
-fn log_reserved(call: &Call, answer: &Result<LedgerResponse, AskError>, began: Instant) {
+fn log_reserved(call: &Call, answer: &Result<LedgerResponse, RequestError>, began: Instant) {
     let (outcome, history, decision) = match answer {
         Ok(LedgerResponse::Reserved { reservation, history, decision, .. }) => {
             (format!("{reservation:?}"), history.len(), decision.as_ref())
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_discovery::ListedReplica;
-use calicohoist_ledger::client::AskError;
+use calicohoist_ledger::client::RequestError;
 use calicohoist_ledger::packed::CompressedBytes;
 use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest, WatchUpdate};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse};
@@ -72,7 +72,7 @@
             };
             RUNNING_IN_DRAINED.show(u64::from(self.app.fleet.running_in_drained()));
             let deadline = Instant::now() + WATCH_PATIENCE;
-            let answer = self.app.ledger.ask(&LedgerRequest::Watch(seen), deadline).await;
+            let answer = self.app.ledger.request(&LedgerRequest::Watch(seen), deadline).await;
             if answer.is_ok() {
                 self.app.note_followed(Instant::now());
             }
@@ -85,13 +85,13 @@
                 Ok(LedgerResponse::List { mark, list }) => self.take_list(mark, list),
                 Ok(LedgerResponse::DrainedZones(drained)) => self.take_drained(drained),
                 Ok(LedgerResponse::News(news)) => self.take(news),
-                Ok(_) | Err(AskError::Deadline) => {}
+                Ok(_) | Err(RequestError::DeadlineExceeded) => {}
             }
         }
     }
 
     fn take(&self, news: WatchUpdate) {
-        self.app.ledger.learn_machines(news.machines);
+        self.app.ledger.update_members(news.machines);
         if news.loads_of == self.state.lock().list {
             self.app.fleet.note_other_loads(&news.loads, Instant::now());
         }
