--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -44,17 +44,17 @@
     pub cold_left: Option<Duration>,
 }
 
-/// Reason why an entry of the list is skipped.
+/// Invalid entry of the list, with the field at fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EntryProblem {
+pub struct InvalidEntry {
     /// Field that is missing or invalid.
     pub field: &'static str,
     /// Escaped value of the field, truncated for logging.
     pub value: String,
 }
 
-impl EntryProblem {
-    /// Creates a problem that reports `value` of `field`.
+impl InvalidEntry {
+    /// Creates a description of an entry with an invalid `value` of `field`.
     pub fn new(field: &'static str, value: &str) -> Self {
         let value = value.chars().take(MAX_LOGGED_CHARS).flat_map(char::escape_debug).collect();
         Self { field, value }
@@ -63,18 +63,18 @@
 
 /// Summary of the skipped entries of a list; its size does not depend on their number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SkippedEntries {
     /// Number of skipped entries, by field.
     pub by_field: BTreeMap<&'static str, u64>,
     /// First skipped entry.
-    pub first: Option<EntryProblem>,
+    pub first: Option<InvalidEntry>,
 }
 
-impl LeftOut {
+impl SkippedEntries {
     /// Records one skipped entry.
-    pub fn add(&mut self, problem: EntryProblem) {
-        *self.by_field.entry(problem.field).or_default() += 1;
-        self.first.get_or_insert(problem);
+    pub fn add(&mut self, entry: InvalidEntry) {
+        *self.by_field.entry(entry.field).or_default() += 1;
+        self.first.get_or_insert(entry);
     }
 
     fn merge(&mut self, other: Self) {
@@ -89,7 +89,7 @@
         for (field, count) in &self.by_field {
             SKIPPED_ENTRIES.add(field, *count);
         }
-        let Some(EntryProblem { field, value }) = &self.first else {
+        let Some(InvalidEntry { field, value }) = &self.first else {
             return;
         };
         if self != previous {
@@ -105,7 +105,7 @@
     /// Valid replicas.
     pub replicas: Vec<ListedReplica>,
     /// Summary of the other entries.
-    pub left_out: LeftOut,
+    pub skipped: SkippedEntries,
     /// Token of the next page; `None` on the last page.
     pub next: Option<String>,
 }
@@ -145,13 +145,13 @@
     address: SocketAddr,
     codec: Arc<dyn ListCodec>,
     /// Skipped entries of the latest complete fetch.
-    left_out: Arc<Mutex<LeftOut>>,
+    skipped: Arc<Mutex<SkippedEntries>>,
 }
 
 impl ListReader {
     /// Creates a reader of the list at `address`.
     pub fn new(address: SocketAddr, codec: Arc<dyn ListCodec>) -> Self {
-        Self { address, codec, left_out: Arc::default() }
+        Self { address, codec, skipped: Arc::default() }
     }
 
     /// Fetches the current list of replicas.
@@ -177,22 +177,22 @@
         sender: &mut SendRequest<Empty<Bytes>>,
     ) -> Result<Vec<ListedReplica>, ReadError> {
         let mut replicas = Vec::new();
-        let mut left_out = LeftOut::default();
+        let mut skipped = SkippedEntries::default();
         let mut token = None;
         for _ in 0..MAX_PAGES {
             let path = self.codec.page_path(token.as_deref());
             let body = self.get(sender, &path).await?;
             let page = self.codec.parse_page(&body).ok_or(ReadError::InvalidList)?;
             replicas.extend(page.replicas);
-            left_out.merge(page.left_out);
+            skipped.merge(page.skipped);
             if replicas.len() > MAX_REPLICAS {
                 break;
             }
             token = page.next;
             if token.is_none() {
-                let mut previous = self.left_out.lock();
-                left_out.report(&previous);
-                *previous = left_out;
+                let mut previous = self.skipped.lock();
+                skipped.report(&previous);
+                *previous = skipped;
                 return Ok(replicas);
             }
         }
