--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -1,7 +1,8 @@
-//! Messages of version 1, which builds without version numbers speak, and their translation.
+//! Messages of protocol version 1, used by builds without version negotiation, and conversions
+//! from and to the latest version.
 //!
-//! Only this module knows their form. What the other side does not know is left out, or told in a
-//! way that it understands and that is safe; each conversion says how.
+//! Information that version 1 cannot represent is omitted or mapped to a safe equivalent, as
+//! documented at each conversion.
 
 use std::time::Duration;
 
@@ -10,19 +11,22 @@
 use calicohoist_scheduler::{Decision, PlacementRequest, PromptPart};
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, Ask, ChangeMark, ListMark, News, Question, Reply, Seen};
+use super::{
+    LedgerRequest, LedgerResponse, ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion,
+    WatchRequest, WatchUpdate,
+};
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 
-/// A numbered question of version 1.
+/// A request of version 1 with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct AskV1 {
+pub struct RequestEnvelopeV1 {
     number: u64,
-    question: QuestionV1,
+    question: RequestV1,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum QuestionV1 {
+enum RequestV1 {
     Reserve {
         reserve: ReserveTurn,
         placement: Option<PlacementRequestV1>,
@@ -34,14 +38,14 @@
         placement: PlacementRequestV1,
     },
     Settle(SettleTurn),
-    Watch(SeenV1),
+    Watch(WatchRequestV1),
     ReportFailure {
         replica: String,
     },
     FindLeader,
 }
 
-/// Without homes and limits of cold replicas.
+/// Placement request without home regions and limits for cold replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PlacementRequestV1 {
     service: String,
@@ -55,25 +59,25 @@
     is_under_way: bool,
 }
 
-/// Without cold replicas and drained zones.
+/// Watch request without cold replicas and drained zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct SeenV1 {
+struct WatchRequestV1 {
     gateway: String,
     configuration: u64,
-    list: ListMark,
+    list: ListDigest,
     loads: Vec<(String, u32)>,
-    failing: ChangeMark,
+    failing: TermVersion,
 }
 
-/// A numbered answer of version 1.
+/// A response of version 1 with the number of its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReplyV1 {
+pub struct ResponseEnvelopeV1 {
     number: u64,
-    answer: AnswerV1,
+    answer: ResponseV1,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum AnswerV1 {
+enum ResponseV1 {
     Reserved {
         reservation: Reservation,
         #[serde(with = "serde_bytes")]
@@ -88,13 +92,13 @@
     Noted,
     Configuration {
         version: u64,
-        document: PackedBytes,
+        document: CompressedBytes,
     },
     List {
-        mark: ListMark,
+        mark: ListDigest,
         list: ReplicaList,
     },
-    News(NewsV1),
+    News(WatchUpdateV1),
     Leads {
         machines: Vec<u32>,
     },
@@ -113,64 +117,64 @@
     Refuse(Duration),
 }
 
-/// Without cold replicas.
+/// Watch update without cold replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct NewsV1 {
+struct WatchUpdateV1 {
     list_age_ms: Option<u64>,
     loads: Vec<u32>,
-    loads_of: ListMark,
+    loads_of: ListDigest,
     machines: Vec<u32>,
-    failing: Option<(ChangeMark, Vec<(String, u32)>)>,
+    failing: Option<(TermVersion, Vec<(String, u32)>)>,
 }
 
-impl From<AskV1> for Ask {
-    fn from(AskV1 { number, question }: AskV1) -> Self {
+impl From<RequestEnvelopeV1> for RequestEnvelope {
+    fn from(RequestEnvelopeV1 { number, question }: RequestEnvelopeV1) -> Self {
         let question = match question {
-            QuestionV1::Reserve { reserve, placement, permit } => {
-                Question::Reserve { reserve, placement: placement.map(Into::into), permit }
+            RequestV1::Reserve { reserve, placement, permit } => {
+                LedgerRequest::Reserve { reserve, placement: placement.map(Into::into), permit }
             }
-            QuestionV1::Permit(permit) => Question::Permit(permit),
-            QuestionV1::Place { turn, placement } => {
-                Question::Place { turn, placement: placement.into() }
+            RequestV1::Permit(permit) => LedgerRequest::Permit(permit),
+            RequestV1::Place { turn, placement } => {
+                LedgerRequest::Place { turn, placement: placement.into() }
             }
-            QuestionV1::Settle(settle) => Question::Settle(settle),
-            QuestionV1::Watch(seen) => Question::Watch(seen.into()),
-            QuestionV1::ReportFailure { replica } => Question::ReportFailure { replica },
-            QuestionV1::FindLeader => Question::FindLeader,
+            RequestV1::Settle(settle) => LedgerRequest::Settle(settle),
+            RequestV1::Watch(seen) => LedgerRequest::Watch(seen.into()),
+            RequestV1::ReportFailure { replica } => LedgerRequest::ReportFailure { replica },
+            RequestV1::FindLeader => LedgerRequest::FindLeader,
         };
         Self { number, question }
     }
 }
 
-/// Builds of version 1 know replicas by their identity alone, whenever they started.
-impl From<Ask> for AskV1 {
-    fn from(Ask { number, question }: Ask) -> Self {
+/// Replica IDs are reduced to the identity, since version 1 has no incarnations.
+impl From<RequestEnvelope> for RequestEnvelopeV1 {
+    fn from(RequestEnvelope { number, question }: RequestEnvelope) -> Self {
         let question = match question {
-            Question::Reserve { reserve, placement, permit } => {
-                QuestionV1::Reserve { reserve, placement: placement.map(Into::into), permit }
+            LedgerRequest::Reserve { reserve, placement, permit } => {
+                RequestV1::Reserve { reserve, placement: placement.map(Into::into), permit }
             }
-            Question::Permit(permit) => QuestionV1::Permit(permit),
-            Question::Place { turn, placement } => {
-                QuestionV1::Place { turn, placement: placement.into() }
+            LedgerRequest::Permit(permit) => RequestV1::Permit(permit),
+            LedgerRequest::Place { turn, placement } => {
+                RequestV1::Place { turn, placement: placement.into() }
             }
-            Question::Settle(mut settle) => {
+            LedgerRequest::Settle(mut settle) => {
                 if let Some(run) = &mut settle.run {
-                    strip(&mut run.replica);
+                    strip_incarnation(&mut run.replica);
                 }
-                QuestionV1::Settle(settle)
+                RequestV1::Settle(settle)
             }
-            Question::Watch(seen) => QuestionV1::Watch(seen.into()),
-            Question::ReportFailure { mut replica } => {
-                strip(&mut replica);
-                QuestionV1::ReportFailure { replica }
+            LedgerRequest::Watch(seen) => RequestV1::Watch(seen.into()),
+            LedgerRequest::ReportFailure { mut replica } => {
+                strip_incarnation(&mut replica);
+                RequestV1::ReportFailure { replica }
             }
-            Question::FindLeader => QuestionV1::FindLeader,
+            LedgerRequest::FindLeader => RequestV1::FindLeader,
         };
         Self { number, question }
     }
 }
 
-/// A gateway of version 1 binds no request to regions and limits no cold replica.
+/// Gateways of version 1 restrict neither home regions nor load on cold replicas.
 impl From<PlacementRequestV1> for PlacementRequest {
     fn from(request: PlacementRequestV1) -> Self {
         let PlacementRequestV1 {
@@ -200,8 +204,8 @@
     }
 }
 
-/// A leader of version 1 knows neither homes nor cold replicas. The gateway sends nothing to a
-/// replica that it may not use itself, wherever the leader has placed the request.
+/// Leaders of version 1 support neither home regions nor cold replicas. The gateway enforces these
+/// restrictions itself, whatever placement the leader returns.
 impl From<PlacementRequest> for PlacementRequestV1 {
     fn from(request: PlacementRequest) -> Self {
         let PlacementRequest {
@@ -217,7 +221,7 @@
             homes: _,
             cold: _,
         } = request;
-        connected.iter_mut().for_each(strip);
+        connected.iter_mut().for_each(strip_incarnation);
         Self {
             service,
             zone,
@@ -232,66 +236,75 @@
     }
 }
 
-/// A gateway of version 1 has been told nothing of cold replicas and drained zones.
-impl From<SeenV1> for Seen {
-    fn from(SeenV1 { gateway, configuration, list, loads, failing }: SeenV1) -> Self {
-        let (cold, drained) = (ChangeMark::default(), None);
+/// Gateways of version 1 have no version of cold replicas and drained zones.
+impl From<WatchRequestV1> for WatchRequest {
+    fn from(
+        WatchRequestV1 { gateway, configuration, list, loads, failing }: WatchRequestV1,
+    ) -> Self {
+        let (cold, drained) = (TermVersion::default(), None);
         Self { gateway, configuration, list, loads, failing, cold, drained }
     }
 }
 
-impl From<Seen> for SeenV1 {
-    fn from(seen: Seen) -> Self {
-        let Seen { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } = seen;
-        loads.iter_mut().for_each(|(replica, _)| strip(replica));
+impl From<WatchRequest> for WatchRequestV1 {
+    fn from(seen: WatchRequest) -> Self {
+        let WatchRequest { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } =
+            seen;
+        loads.iter_mut().for_each(|(replica, _)| strip_incarnation(replica));
         Self { gateway, configuration, list, loads, failing }
     }
 }
 
-impl From<ReplyV1> for Reply {
-    fn from(ReplyV1 { number, answer }: ReplyV1) -> Self {
+impl From<ResponseEnvelopeV1> for ResponseEnvelope {
+    fn from(ResponseEnvelopeV1 { number, answer }: ResponseEnvelopeV1) -> Self {
         let answer = match answer {
-            AnswerV1::Reserved { reservation, history, decision, is_under_way, permit } => {
+            ResponseV1::Reserved { reservation, history, decision, is_under_way, permit } => {
                 let decision = decision.map(Into::into);
-                Answer::Reserved { reservation, history, decision, is_under_way, permit }
+                LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit }
             }
-            AnswerV1::Permit(permit) => Answer::Permit(permit),
-            AnswerV1::Placed(decision) => Answer::Placed(decision.into()),
-            AnswerV1::Settled => Answer::Settled,
-            AnswerV1::Noted => Answer::Noted,
-            AnswerV1::Configuration { version, document } => {
-                Answer::Configuration { version, document }
+            ResponseV1::Permit(permit) => LedgerResponse::Permit(permit),
+            ResponseV1::Placed(decision) => LedgerResponse::Placed(decision.into()),
+            ResponseV1::Settled => LedgerResponse::Settled,
+            ResponseV1::Noted => LedgerResponse::Noted,
+            ResponseV1::Configuration { version, document } => {
+                LedgerResponse::Configuration { version, document }
             }
-            AnswerV1::List { mark, list } => Answer::List { mark, list },
-            AnswerV1::News(news) => Answer::News(news.into()),
-            AnswerV1::Leads { machines } => Answer::Leads { machines },
-            AnswerV1::NotLeader { leader, machines } => Answer::NotLeader { leader, machines },
-            AnswerV1::Unavailable => Answer::Unavailable,
+            ResponseV1::List { mark, list } => LedgerResponse::List { mark, list },
+            ResponseV1::News(news) => LedgerResponse::News(news.into()),
+            ResponseV1::Leads { machines } => LedgerResponse::Leads { machines },
+            ResponseV1::NotLeader { leader, machines } => {
+                LedgerResponse::NotLeader { leader, machines }
+            }
+            ResponseV1::Unavailable => LedgerResponse::Unavailable,
         };
         Self { number, answer }
     }
 }
 
-impl From<Reply> for ReplyV1 {
-    fn from(Reply { number, answer }: Reply) -> Self {
+impl From<ResponseEnvelope> for ResponseEnvelopeV1 {
+    fn from(ResponseEnvelope { number, answer }: ResponseEnvelope) -> Self {
         let answer = match answer {
-            Answer::Reserved { reservation, history, decision, is_under_way, permit } => {
+            LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit } => {
                 let decision = decision.map(Into::into);
-                AnswerV1::Reserved { reservation, history, decision, is_under_way, permit }
+                ResponseV1::Reserved { reservation, history, decision, is_under_way, permit }
+            }
+            LedgerResponse::Permit(permit) => ResponseV1::Permit(permit),
+            LedgerResponse::Placed(decision) => ResponseV1::Placed(decision.into()),
+            LedgerResponse::Settled => ResponseV1::Settled,
+            LedgerResponse::Noted => ResponseV1::Noted,
+            LedgerResponse::Configuration { version, document } => {
+                ResponseV1::Configuration { version, document }
+            }
+            LedgerResponse::List { mark, list } => ResponseV1::List { mark, list },
+            LedgerResponse::News(news) => ResponseV1::News(news.into()),
+            LedgerResponse::Leads { machines } => ResponseV1::Leads { machines },
+            LedgerResponse::NotLeader { leader, machines } => {
+                ResponseV1::NotLeader { leader, machines }
             }
-            Answer::Permit(permit) => AnswerV1::Permit(permit),
-            Answer::Placed(decision) => AnswerV1::Placed(decision.into()),
-            Answer::Settled => AnswerV1::Settled,
-            Answer::Noted => AnswerV1::Noted,
-            Answer::Configuration { version, document } => {
-                AnswerV1::Configuration { version, document }
+            // Version 1 gateways retry and then receive drained zones as part of the replica list.
+            LedgerResponse::Unavailable | LedgerResponse::DrainedZones(_) => {
+                ResponseV1::Unavailable
             }
-            Answer::List { mark, list } => AnswerV1::List { mark, list },
-            Answer::News(news) => AnswerV1::News(news.into()),
-            Answer::Leads { machines } => AnswerV1::Leads { machines },
-            Answer::NotLeader { leader, machines } => AnswerV1::NotLeader { leader, machines },
-            // Drained zones are told in the list; the gateway asks again and gets that one.
-            Answer::Unavailable | Answer::DrainedZones(_) => AnswerV1::Unavailable,
         };
         Self { number, answer }
     }
@@ -303,7 +316,7 @@
             DecisionV1::Run(replica) => Self::Run(replica),
             DecisionV1::RunAnywhere => Self::RunAnywhere,
             DecisionV1::Wait => Self::Wait,
-            DecisionV1::Refuse(after) => Self::Refuse(after),
+            DecisionV1::Refuse(retry_after) => Self::Refuse(retry_after),
         }
     }
 }
@@ -312,46 +325,48 @@
     fn from(decision: Decision) -> Self {
         match decision {
             Decision::Run(mut replica) | Decision::RunCold { mut replica, .. } => {
-                strip(&mut replica);
+                strip_incarnation(&mut replica);
                 Self::Run(replica)
             }
             Decision::RunAnywhere => Self::RunAnywhere,
             Decision::Wait => Self::Wait,
-            Decision::Refuse(after) => Self::Refuse(after),
+            Decision::Refuse(retry_after) => Self::Refuse(retry_after),
         }
     }
 }
 
-impl From<NewsV1> for News {
-    fn from(NewsV1 { list_age_ms, loads, loads_of, machines, failing }: NewsV1) -> Self {
+impl From<WatchUpdateV1> for WatchUpdate {
+    fn from(
+        WatchUpdateV1 { list_age_ms, loads, loads_of, machines, failing }: WatchUpdateV1,
+    ) -> Self {
         Self { list_age_ms, loads, loads_of, machines, failing, cold: None }
     }
 }
 
-impl From<News> for NewsV1 {
-    fn from(news: News) -> Self {
-        let News { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
+impl From<WatchUpdate> for WatchUpdateV1 {
+    fn from(news: WatchUpdate) -> Self {
+        let WatchUpdate { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
         let replicas = failing.iter_mut().flat_map(|(_, replicas)| replicas);
-        replicas.for_each(|(replica, _)| strip(replica));
+        replicas.for_each(|(replica, _)| strip_incarnation(replica));
         Self { list_age_ms, loads, loads_of, machines, failing }
     }
 }
 
-impl Question {
-    /// What a leader of version 1 need not be asked. It has never drained a zone, since that takes
-    /// a ledger without machines of its version.
-    pub fn answer_for_v1(&self) -> Option<Answer> {
+impl LedgerRequest {
+    /// Returns the response to a request that a leader of version 1 does not support. No zone can
+    /// be drained while the leader runs version 1.
+    pub fn local_response_for_v1(&self) -> Option<LedgerResponse> {
         match self {
-            Self::Watch(Seen { drained: None, .. }) => {
-                Some(Answer::DrainedZones(DrainedZones::none()))
+            Self::Watch(WatchRequest { drained: None, .. }) => {
+                Some(LedgerResponse::DrainedZones(DrainedZones::none()))
             }
             _ => None,
         }
     }
 }
 
-/// Leaves the identity of a replica and drops when it started.
-fn strip(replica: &mut String) {
-    let identity = Incarnation::identity_of(replica).len();
-    replica.truncate(identity);
+/// Removes the incarnation from a replica ID, which leaves its identity.
+fn strip_incarnation(replica: &mut String) {
+    let identity_len = Incarnation::identity_of(replica).len();
+    replica.truncate(identity_len);
 }
--- a/crates/ledger/src/server/failures.rs
+++ b/crates/ledger/src/server/failures.rs
@@ -7,13 +7,13 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::protocol::ChangeMark;
+use crate::protocol::TermVersion;
 
 /// Tracks the failures reported by gateways within a term.
 pub struct FailureTracker {
     state: Mutex<TrackerState>,
     /// Mark of the newest change, for waiting watches.
-    mark: watch::Sender<ChangeMark>,
+    mark: watch::Sender<TermVersion>,
 }
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
 
 impl Default for FailureTracker {
     fn default() -> Self {
-        Self { state: Mutex::default(), mark: watch::Sender::new(ChangeMark::default()) }
+        Self { state: Mutex::default(), mark: watch::Sender::new(TermVersion::default()) }
     }
 }
 
@@ -47,13 +47,13 @@
     }
 
     /// Subscribes to changes.
-    pub fn subscribe(&self) -> watch::Receiver<ChangeMark> {
+    pub fn subscribe(&self) -> watch::Receiver<TermVersion> {
         self.mark.subscribe()
     }
 
     /// Returns the excluded replicas with the remaining time in ms if they have changed since
     /// `seen`.
-    pub fn changes_since(&self, seen: ChangeMark) -> Option<(ChangeMark, Vec<(String, u32)>)> {
+    pub fn changes_since(&self, seen: TermVersion) -> Option<(TermVersion, Vec<(String, u32)>)> {
         let mark = *self.mark.borrow();
         if mark == seen {
             return None;
--- a/crates/ledger/src/server/gateways/legacy.rs
+++ b/crates/ledger/src/server/gateways/legacy.rs
@@ -10,17 +10,17 @@
 use calicohoist_routing::{Incarnation, Replica, ReplicaList, ReplicaState};
 use parking_lot::Mutex;
 
-use crate::protocol::{Answer, ListMark, Question};
+use crate::protocol::{LedgerRequest, LedgerResponse, ListDigest};
 use crate::server::list::FleetSnapshot;
 
 /// The list as sent to these gateways, cached for one state of the fleet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LegacyList {
     /// Mark of the list it was derived from.
-    source: ListMark,
+    source: ListDigest,
     /// Version of the drained zones it was derived from.
     drained: u64,
-    mark: ListMark,
+    mark: ListDigest,
     list: Arc<ReplicaList>,
     /// Full replica ids by identity, where they differ.
     ids: Arc<HashMap<String, String>>,
@@ -43,7 +43,7 @@
         Self {
             source: fleet.discovery.mark,
             drained: fleet.drained.version,
-            mark: ListMark::of(&replicas),
+            mark: ListDigest::of(&replicas),
             list: Arc::new(ReplicaList { version: fleet.discovery.list.version, replicas }),
             ids: Arc::new(ids),
         }
@@ -73,22 +73,22 @@
     /// Replaces the identities in a question by replica ids.
     pub(super) fn translate_question(
         &self,
-        mut question: Question,
+        mut question: LedgerRequest,
         fleet: &FleetSnapshot,
-    ) -> Question {
+    ) -> LedgerRequest {
         let legacy = self.list(fleet);
         match &mut question {
-            Question::Reserve { placement: Some(placement), .. }
-            | Question::Place { placement, .. } => {
+            LedgerRequest::Reserve { placement: Some(placement), .. }
+            | LedgerRequest::Place { placement, .. } => {
                 placement.connected.iter_mut().for_each(|replica| legacy.restore_id(replica));
             }
-            Question::Settle(settle) => {
+            LedgerRequest::Settle(settle) => {
                 if let Some(run) = &mut settle.run {
                     legacy.restore_id(&mut run.replica);
                 }
             }
-            Question::ReportFailure { replica } => legacy.restore_id(replica),
-            Question::Watch(seen) => {
+            LedgerRequest::ReportFailure { replica } => legacy.restore_id(replica),
+            LedgerRequest::Watch(seen) => {
                 if seen.list == legacy.mark {
                     seen.list = legacy.source;
                 }
@@ -98,22 +98,26 @@
                 seen.drained = Some(fleet.drained.version);
                 seen.loads.iter_mut().for_each(|(replica, _)| legacy.restore_id(replica));
             }
-            Question::Reserve { placement: None, .. }
-            | Question::Permit(_)
-            | Question::FindLeader => {}
+            LedgerRequest::Reserve { placement: None, .. }
+            | LedgerRequest::Permit(_)
+            | LedgerRequest::FindLeader => {}
         }
         question
     }
 
     /// Replaces the list or its mark in an answer.
-    pub(super) fn translate_answer(&self, mut answer: Answer, fleet: &FleetSnapshot) -> Answer {
+    pub(super) fn translate_answer(
+        &self,
+        mut answer: LedgerResponse,
+        fleet: &FleetSnapshot,
+    ) -> LedgerResponse {
         match &mut answer {
-            Answer::List { mark, list } => {
+            LedgerResponse::List { mark, list } => {
                 let legacy = self.list(fleet);
                 *mark = legacy.mark;
                 *list = legacy.list.as_ref().clone();
             }
-            Answer::News(news) => {
+            LedgerResponse::News(news) => {
                 let legacy = self.list(fleet);
                 if news.loads_of == legacy.source {
                     news.loads_of = legacy.mark;
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -35,7 +35,10 @@
 use super::replica::{GroupStatus, ReplicaHandle};
 use super::traffic::{self, Peer};
 use super::turns::TurnDispatcher;
-use crate::protocol::{Answer, Ask, NEWEST, Question, Reply, SPOKEN};
+use crate::protocol::{
+    LATEST_VERSION, LedgerRequest, LedgerResponse, RequestEnvelope, ResponseEnvelope,
+    SUPPORTED_VERSIONS,
+};
 use legacy::LegacyGateways;
 use shared::{SharedAnswer, SharedAnswers};
 
@@ -114,20 +117,20 @@
         }
     }
 
-    fn not_leader(&self, leader: Option<u32>) -> Answer {
-        Answer::NotLeader { leader, machines: self.status.borrow().machines.clone() }
+    fn not_leader(&self, leader: Option<u32>) -> LedgerResponse {
+        LedgerResponse::NotLeader { leader, machines: self.status.borrow().machines.clone() }
     }
 
     /// Answers with the leader, waiting a short time for one to be elected.
-    async fn find_leader(&self) -> Answer {
+    async fn find_leader(&self) -> LedgerResponse {
         let mut status = self.status.clone();
         let has_leader = status.wait_for(|status| status.leader.is_some());
         let _ = tokio::time::timeout(FIND_LEADER_TIMEOUT, has_leader).await;
         let status = self.status.borrow().clone();
         if status.is_leader {
-            return Answer::Leads { machines: status.machines };
+            return LedgerResponse::Leads { machines: status.machines };
         }
-        Answer::NotLeader { leader: status.leader, machines: status.machines }
+        LedgerResponse::NotLeader { leader: status.leader, machines: status.machines }
     }
 }
 
@@ -150,12 +153,13 @@
 async fn serve(stream: TcpStream, service: GatewayService) -> Result<(), VersionError> {
     let (input, mut output) = stream.into_split();
     let mut frames = FrameReader::new(input);
-    let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
-    let legacy = (version < NEWEST).then(|| Arc::new(service.clone()));
+    let version = accept_offer(&mut frames, &mut output, SUPPORTED_VERSIONS).await?;
+    let legacy = (version < LATEST_VERSION).then(|| Arc::new(service.clone()));
     let replies = spawn_writer(output, service.queued_bytes.clone());
     let mut distance = None;
     loop {
-        let Ask { number, question } = Ask::read(&mut frames, version).await?;
+        let RequestEnvelope { number, question } =
+            RequestEnvelope::read(&mut frames, version).await?;
         let question = match &legacy {
             Some(service) => service.legacy.translate_question(question, &service.fleet()),
             None => question,
@@ -170,18 +174,18 @@
         let responder =
             Responder { number, replies, queued_bytes, distance, version, legacy: legacy.clone() };
         match question {
-            Question::Reserve { reserve, placement, permit } => {
+            LedgerRequest::Reserve { reserve, placement, permit } => {
                 service.reserve(reserve, placement, permit, responder);
             }
-            Question::Permit(permit) => service.permit(permit, responder),
-            Question::Place { turn, placement } => service.place(turn, placement, responder),
-            Question::Settle(settle) => service.settle(settle, responder),
-            Question::ReportFailure { replica } => service.report_failure(&replica, responder),
-            Question::FindLeader => {
+            LedgerRequest::Permit(permit) => service.permit(permit, responder),
+            LedgerRequest::Place { turn, placement } => service.place(turn, placement, responder),
+            LedgerRequest::Settle(settle) => service.settle(settle, responder),
+            LedgerRequest::ReportFailure { replica } => service.report_failure(&replica, responder),
+            LedgerRequest::FindLeader => {
                 let service = service.clone();
                 tokio::spawn(async move { responder.send(service.find_leader().await) });
             }
-            Question::Watch(seen) => {
+            LedgerRequest::Watch(seen) => {
                 let service = service.clone();
                 tokio::spawn(async move { service.watch(seen, responder).await });
             }
@@ -190,23 +194,23 @@
 }
 
 /// Returns the placement request of a question, if any.
-fn placement_request(question: &Question) -> Option<&PlacementRequest> {
+fn placement_request(question: &LedgerRequest) -> Option<&PlacementRequest> {
     match question {
-        Question::Reserve { placement, .. } => placement.as_ref(),
-        Question::Place { placement, .. } => Some(placement),
+        LedgerRequest::Reserve { placement, .. } => placement.as_ref(),
+        LedgerRequest::Place { placement, .. } => Some(placement),
         _ => None,
     }
 }
 
-fn question_kind(question: &Question) -> &'static str {
+fn question_kind(question: &LedgerRequest) -> &'static str {
     match question {
-        Question::Reserve { .. } => "reserve",
-        Question::Permit(_) => "permit",
-        Question::Place { .. } => "place",
-        Question::Settle(_) => "settle",
-        Question::Watch(_) => "watch",
-        Question::ReportFailure { .. } => "failure",
-        Question::FindLeader => "find_leader",
+        LedgerRequest::Reserve { .. } => "reserve",
+        LedgerRequest::Permit(_) => "permit",
+        LedgerRequest::Place { .. } => "place",
+        LedgerRequest::Settle(_) => "settle",
+        LedgerRequest::Watch(_) => "watch",
+        LedgerRequest::ReportFailure { .. } => "failure",
+        LedgerRequest::FindLeader => "find_leader",
     }
 }
 
@@ -224,13 +228,13 @@
 
 impl Responder {
     /// Queues the answer. A connection whose queue overflows is closed, and the gateway retries.
-    pub(super) fn send(self, answer: Answer) {
+    pub(super) fn send(self, answer: LedgerResponse) {
         let answer = match &self.legacy {
             Some(service) => service.legacy.translate_answer(answer, &service.fleet()),
             None => answer,
         };
         let kind = answer_kind(&answer);
-        let frame = Reply { number: self.number, answer }.encode(self.version);
+        let frame = ResponseEnvelope { number: self.number, answer }.encode(self.version);
         self.send_frame(kind, frame);
     }
 
@@ -250,7 +254,7 @@
             Ok(answer) => self.send_shared(&answer),
             Err(error) => {
                 emit!(Event::AnswerTooLong; error = error);
-                self.send(Answer::Unavailable);
+                self.send(LedgerResponse::Unavailable);
             }
         }
     }
@@ -273,19 +277,19 @@
 }
 
 /// Returns the metric label of an answer: the content that makes up most of its size.
-fn answer_kind(answer: &Answer) -> &'static str {
+fn answer_kind(answer: &LedgerResponse) -> &'static str {
     match answer {
-        Answer::Configuration { .. } => "configuration",
-        Answer::List { .. } => "list",
-        Answer::News(_) => "loads",
-        Answer::Reserved { .. } => "history",
-        Answer::Permit(_)
-        | Answer::Placed(_)
-        | Answer::Settled
-        | Answer::Noted
-        | Answer::Leads { .. }
-        | Answer::NotLeader { .. }
-        | Answer::Unavailable
-        | Answer::DrainedZones(_) => "short",
+        LedgerResponse::Configuration { .. } => "configuration",
+        LedgerResponse::List { .. } => "list",
+        LedgerResponse::News(_) => "loads",
+        LedgerResponse::Reserved { .. } => "history",
+        LedgerResponse::Permit(_)
+        | LedgerResponse::Placed(_)
+        | LedgerResponse::Settled
+        | LedgerResponse::Noted
+        | LedgerResponse::Leads { .. }
+        | LedgerResponse::NotLeader { .. }
+        | LedgerResponse::Unavailable
+        | LedgerResponse::DrainedZones(_) => "short",
     }
 }
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -3,8 +3,8 @@
 use calicohoist_transport::{FrameError, SharedField};
 
 use super::answer_kind;
-use crate::packed::PackedBytes;
-use crate::protocol::{Answer, ListMark};
+use crate::packed::CompressedBytes;
+use crate::protocol::{LedgerResponse, ListDigest};
 use crate::server::list::DiscoverySnapshot;
 use crate::state::VersionedConfiguration;
 
@@ -16,7 +16,7 @@
 }
 
 impl SharedAnswer {
-    fn encode(answer: &Answer) -> Result<Self, FrameError> {
+    fn encode(answer: &LedgerResponse) -> Result<Self, FrameError> {
         Ok(Self { encoded: SharedField::encode(answer)?, kind: answer_kind(answer) })
     }
 }
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SharedAnswers {
     configuration: Option<(u64, SharedAnswer)>,
-    list: Option<(ListMark, SharedAnswer)>,
+    list: Option<(ListDigest, SharedAnswer)>,
 }
 
 impl SharedAnswers {
@@ -42,8 +42,8 @@
         {
             return Ok(answer.clone());
         }
-        let document = PackedBytes::pack(&configuration.document);
-        let answer = SharedAnswer::encode(&Answer::Configuration {
+        let document = CompressedBytes::compress(&configuration.document);
+        let answer = SharedAnswer::encode(&LedgerResponse::Configuration {
             version: configuration.version,
             document,
         })?;
@@ -62,7 +62,7 @@
             return Ok(answer.clone());
         }
         let list = discovery.list.as_ref().clone();
-        let answer = SharedAnswer::encode(&Answer::List { mark: discovery.mark, list })?;
+        let answer = SharedAnswer::encode(&LedgerResponse::List { mark: discovery.mark, list })?;
         self.list = Some((discovery.mark, answer.clone()));
         Ok(answer)
     }
--- a/crates/ledger/src/server/gateways/turns.rs
+++ b/crates/ledger/src/server/gateways/turns.rs
@@ -9,7 +9,7 @@
 
 use super::{GatewayService, Responder};
 use crate::commands::{Command, Output, Reservation, ReserveTurn, SettleTurn};
-use crate::protocol::Answer;
+use crate::protocol::LedgerResponse;
 use crate::server::list::{DiscoverySnapshot, FleetSnapshot};
 use crate::server::replica::{Request, Response};
 
@@ -33,8 +33,9 @@
         let program = reserve.program.clone();
         let respond = Box::new(move |response| {
             let mut answer = service.answer(response);
-            let Answer::Reserved { reservation, is_under_way, permit: permit_answer, .. } =
-                &mut answer
+            let LedgerResponse::Reserved {
+                reservation, is_under_way, permit: permit_answer, ..
+            } = &mut answer
             else {
                 return responder.send(answer);
             };
@@ -61,7 +62,9 @@
                     *permit_answer = Some(PermitAnswer::Granted(grant));
                     delay
                 }
-                Some(IssueOutcome::LogBacklog) => return responder.send(Answer::Unavailable),
+                Some(IssueOutcome::LogBacklog) => {
+                    return responder.send(LedgerResponse::Unavailable);
+                }
             };
             let runtime = service.runtime.clone();
             run_after(&runtime, delay, move || {
@@ -74,11 +77,11 @@
     /// Adds the placement decision to the answer to a granted reservation.
     fn add_placement(
         &self,
-        mut answer: Answer,
+        mut answer: LedgerResponse,
         turn: &str,
         placement: Option<PlacementRequest>,
-    ) -> Answer {
-        if let Answer::Reserved { decision, is_under_way, .. } = &mut answer
+    ) -> LedgerResponse {
+        if let LedgerResponse::Reserved { decision, is_under_way, .. } = &mut answer
             && let Some(placement) = placement
         {
             let placement = PlacementRequest { is_under_way: *is_under_way, ..placement };
@@ -88,10 +91,10 @@
     }
 
     /// Rejects a turn without a reservation if its tenant has exhausted its limit.
-    fn reject_exhausted(&self, permit: &PermitRequest) -> Option<Answer> {
+    fn reject_exhausted(&self, permit: &PermitRequest) -> Option<LedgerResponse> {
         let status = self.status.borrow();
         let term = status.is_leader.then_some(status.term)?;
-        self.limits.reject_exhausted(term, permit).map(Answer::Permit)
+        self.limits.reject_exhausted(term, permit).map(LedgerResponse::Permit)
     }
 
     /// Issues a permit after a quorum has confirmed the leadership. Otherwise a deposed leader and
@@ -106,9 +109,11 @@
                 match service.limits.issue(term, &permit, PermitPurpose::NoProgram) {
                     IssueOutcome::Answer(answer) => (answer, Duration::ZERO),
                     IssueOutcome::Delayed(grant, delay) => (PermitAnswer::Granted(grant), delay),
-                    IssueOutcome::LogBacklog => return responder.send(Answer::Unavailable),
+                    IssueOutcome::LogBacklog => return responder.send(LedgerResponse::Unavailable),
                 };
-            run_after(&service.runtime, delay, move || responder.send(Answer::Permit(answer)));
+            run_after(&service.runtime, delay, move || {
+                responder.send(LedgerResponse::Permit(answer))
+            });
         });
         self.replica.submit(Request::ConfirmLeadership, respond);
     }
@@ -148,15 +153,15 @@
         self.replica.submit(Request::Change(Command::Settle(settle)), respond);
     }
 
-    fn answer(&self, response: Response) -> Answer {
+    fn answer(&self, response: Response) -> LedgerResponse {
         match response {
             Response::Reserved { reservation, history, is_under_way } => {
                 let (decision, permit) = (None, None);
-                Answer::Reserved { reservation, history, decision, is_under_way, permit }
+                LedgerResponse::Reserved { reservation, history, decision, is_under_way, permit }
             }
-            Response::Changed(Output::Done) => Answer::Settled,
+            Response::Changed(Output::Done) => LedgerResponse::Settled,
             Response::NotLeader(leader) => self.not_leader(leader),
-            _ => Answer::Unavailable,
+            _ => LedgerResponse::Unavailable,
         }
     }
 
--- a/crates/ledger/src/server/gateways/updates.rs
+++ b/crates/ledger/src/server/gateways/updates.rs
@@ -7,7 +7,7 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::{GatewayService, Responder};
-use crate::protocol::{Answer, News, Seen};
+use crate::protocol::{LedgerResponse, WatchRequest, WatchUpdate};
 use crate::server::list::DiscoverySnapshot;
 use crate::server::replica::{GroupStatus, Request, Response};
 
@@ -16,7 +16,7 @@
 
 impl GatewayService {
     /// Answers once there is an update that the gateway has not seen, or after [`WATCH_TIMEOUT`].
-    pub(super) async fn watch(&self, seen: Seen, responder: Responder) {
+    pub(super) async fn watch(&self, seen: WatchRequest, responder: Responder) {
         self.record_load(&seen);
         let mut status = self.status.clone();
         let mut list = self.list.clone();
@@ -50,17 +50,17 @@
 
     /// Sends the first available update after confirming the leadership, in this order: drained
     /// zones, because no request may be sent there; configuration; list of replicas; all others.
-    async fn send_update(&self, seen: &Seen, responder: Responder) {
+    async fn send_update(&self, seen: &WatchRequest, responder: Responder) {
         let read = Request::ReadConfiguration { newer_than: seen.configuration };
         let configuration = match self.replica.call(read).await {
             Response::Configuration(configuration) => configuration,
             Response::NotLeader(leader) => return responder.send(self.not_leader(leader)),
-            _ => return responder.send(Answer::Unavailable),
+            _ => return responder.send(LedgerResponse::Unavailable),
         };
         // The replica thread publishes applied drains before it answers a read.
         let drained = Arc::clone(&self.status.borrow().drained);
         if Some(drained.version) != seen.drained {
-            return responder.send(Answer::DrainedZones(DrainedZones::clone(&drained)));
+            return responder.send(LedgerResponse::DrainedZones(DrainedZones::clone(&drained)));
         }
         if let Some(configuration) = configuration {
             let answer = self.shared.lock().configuration(&configuration);
@@ -71,25 +71,25 @@
         if discovery.should_send_list(status.term, seen) {
             if responder.is_legacy() {
                 let list = discovery.list.as_ref().clone();
-                return responder.send(Answer::List { mark: discovery.mark, list });
+                return responder.send(LedgerResponse::List { mark: discovery.mark, list });
             }
             let answer = self.shared.lock().list(&discovery);
             return responder.send_if_encoded(answer);
         }
-        responder.send(Answer::News(self.status_update(seen, &status, &discovery)));
+        responder.send(LedgerResponse::News(self.status_update(seen, &status, &discovery)));
     }
 
     fn status_update(
         &self,
-        seen: &Seen,
+        seen: &WatchRequest,
         status: &GroupStatus,
         discovery: &DiscoverySnapshot,
-    ) -> News {
+    ) -> WatchUpdate {
         let is_current = discovery.term == status.term;
         let age = discovery.read_at.filter(|_| is_current).map(|at| at.elapsed().as_millis());
         let failing = self.failures.changes_since(seen.failing);
         let cold = discovery.cold_update(seen.cold, Instant::now());
-        News {
+        WatchUpdate {
             list_age_ms: age.and_then(|age| u64::try_from(age).ok()),
             loads: self.loads.lock().load_from_others(&seen.gateway, discovery, Instant::now()),
             loads_of: discovery.mark,
@@ -110,10 +110,10 @@
             emit!(Event::ReplicaLeftAlone; replica = replica, for_ms = exclusion.as_millis());
             self.turns.mark_failing(replica, Instant::now() + exclusion);
         }
-        responder.send(Answer::Noted);
+        responder.send(LedgerResponse::Noted);
     }
 
-    fn record_load(&self, seen: &Seen) {
+    fn record_load(&self, seen: &WatchRequest) {
         self.loads.lock().record_report(&seen.gateway, &seen.loads, Instant::now());
         let status = self.status.borrow();
         if status.is_leader {
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -15,7 +15,7 @@
 
 use super::LedgerSettings;
 use super::replica::GroupStatus;
-use crate::protocol::{ChangeMark, ListMark, Seen};
+use crate::protocol::{ListDigest, TermVersion, WatchRequest};
 
 static COLD_REPLICAS: Gauge = Gauge::new(
     "calicohoist_ledger_cold_replicas",
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DiscoverySnapshot {
     /// Digest of the list.
-    pub mark: ListMark,
+    pub mark: ListDigest,
     /// Term in which this machine led when it read the list.
     pub term: u64,
     /// The list of replicas.
@@ -46,14 +46,14 @@
     pub cold: Arc<ColdReplicas>,
     /// Changes when a replica becomes cold. It does not change when one becomes warm, because
     /// gateways know how long each replica stays cold.
-    pub cold_mark: ChangeMark,
+    pub cold_mark: TermVersion,
 }
 
 impl DiscoverySnapshot {
     /// Returns whether to send the list to a gateway in `term`. The cold replicas are sent first;
     /// without them the gateway would treat all listed replicas as warm.
-    pub fn should_send_list(&self, term: u64, seen: &Seen) -> bool {
-        let is_new = self.mark != seen.list && self.mark != ListMark::default();
+    pub fn should_send_list(&self, term: u64, seen: &WatchRequest) -> bool {
+        let is_new = self.mark != seen.list && self.mark != ListDigest::default();
         let knows_cold = self.cold_mark.term != term || self.cold_mark == seen.cold;
         self.term == term && is_new && knows_cold
     }
@@ -62,9 +62,9 @@
     /// them.
     pub fn cold_update(
         &self,
-        seen: ChangeMark,
+        seen: TermVersion,
         now: Instant,
-    ) -> Option<(ChangeMark, Vec<(String, u32)>)> {
+    ) -> Option<(TermVersion, Vec<(String, u32)>)> {
         if self.cold_mark == seen {
             return None;
         }
@@ -170,7 +170,7 @@
     let change = watch.update(times, read_at);
     log_cold_change(&change, watch.cold().remaining(read_at).count());
     let replicas: Vec<_> = listed.into_iter().map(|listed| listed.replica).collect();
-    let mark = ListMark::of(&replicas);
+    let mark = ListDigest::of(&replicas);
     out.send_if_modified(|discovery| {
         discovery.read_at = Some(read_at);
         discovery.cold = Arc::new(watch.cold().clone());
--- a/crates/ledger/src/server/loads.rs
+++ b/crates/ledger/src/server/loads.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::list::DiscoverySnapshot;
-use crate::protocol::ListMark;
+use crate::protocol::ListDigest;
 
 /// Reports expire after this time, several times the interval at which gateways send them.
 const REPORT_TTL: Duration = Duration::from_millis(2_000);
@@ -31,7 +31,7 @@
 /// The sum of all reports, in the order of a list of replicas.
 #[derive(Debug, Default)]
 struct LoadSum {
-    list: ListMark,
+    list: ListDigest,
     computed_at: Option<Instant>,
     loads: Vec<u32>,
     /// Index of each replica in the list.
--- a/crates/ledger/src/server/mod.rs
+++ b/crates/ledger/src/server/mod.rs
@@ -30,7 +30,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::protocol::SPOKEN;
+use crate::protocol::SUPPORTED_VERSIONS;
 use control::{Control, ControlCodec};
 use gateways::ServiceLocation;
 use replica::{LeaderServices, ReplicaHandle, ReplicaThread};
@@ -200,7 +200,7 @@
         role = "ledger",
         replica = identity,
         ip = settings.ip,
-        protocol = SPOKEN,
+        protocol = SUPPORTED_VERSIONS,
     );
     tokio::select! {
         failed = failure => eyre::bail!("the replica thread stopped: {}", failed.unwrap_or_default()),
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::tcp::OwnedReadHalf;
 
-use crate::packed::PackedBytes;
+use crate::packed::CompressedBytes;
 
 /// The first frame of a connection after version negotiation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
     /// Uncompressed messages.
     Plain(Envelope),
     /// Messages, encoded and compressed.
-    Packed(PackedBytes),
+    Packed(CompressedBytes),
 }
 
 /// Minimum size of encoded messages, in bytes, for compression.
@@ -97,7 +97,7 @@
         }
         match encode(&envelope) {
             Ok(encoded) if encoded.len() >= MIN_COMPRESSED_BYTES => {
-                Self::Packed(PackedBytes::pack(&encoded))
+                Self::Packed(CompressedBytes::compress(&encoded))
             }
             // If encoding fails here, encoding the frame fails as well.
             _ => Self::Plain(envelope),
@@ -108,7 +108,7 @@
     pub fn open(self) -> Option<Envelope> {
         match self {
             Self::Plain(envelope) => Some(envelope),
-            Self::Packed(packed) => decode(&packed.unpack().ok()?).ok(),
+            Self::Packed(packed) => decode(&packed.decompress().ok()?).ok(),
         }
     }
 }
--- a/crates/ledger/src/server/peers/mod.rs
+++ b/crates/ledger/src/server/peers/mod.rs
@@ -20,7 +20,7 @@
 use super::replica::ReplicaHandle;
 use super::traffic::{self, Peer};
 use super::{LedgerSettings, machine_address};
-use crate::protocol::SPOKEN;
+use crate::protocol::SUPPORTED_VERSIONS;
 pub use frame::{Envelope, MIN_COMPRESSED_BYTES, PeerFrame, PeerInfo};
 use frame::{Greeting, QueuedFrame};
 pub use known::{KnownPeers, VersionSkew};
@@ -58,7 +58,7 @@
             let greeting = greeting.clone();
             Link::open(
                 address,
-                LinkHandshake::offer(SPOKEN, move |version| greeting.frame(version)),
+                LinkHandshake::offer(SUPPORTED_VERSIONS, move |version| greeting.frame(version)),
             )
         });
         let distance = peers.distance(&settings.topology, &settings.zone, to.machine);
@@ -117,7 +117,7 @@
     async fn read(self, stream: TcpStream) -> Result<(), VersionError> {
         let (input, mut output) = stream.into_split();
         let mut frames = FrameReader::new(input);
-        let version = accept_offer(&mut frames, &mut output, SPOKEN).await?;
+        let version = accept_offer(&mut frames, &mut output, SUPPORTED_VERSIONS).await?;
         let info = PeerInfo::read(&mut frames, version).await?;
         let from = info.replica;
         self.peers.record(&info, version);
--- a/crates/ledger/src/server/turns.rs
+++ b/crates/ledger/src/server/turns.rs
@@ -12,7 +12,7 @@
 use super::gateways::Responder;
 use super::list::{DiscoverySnapshot, FleetSnapshot};
 use crate::commands::SettleTurn;
-use crate::protocol::{Answer, ListMark};
+use crate::protocol::{LedgerResponse, ListDigest};
 
 /// Minimum time between log reports of the estimated engine speeds.
 const SPEED_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
     /// Responders of waiting turns.
     responders: HashMap<String, Responder>,
     /// Mark of the list last passed to the scheduler.
-    list: ListMark,
+    list: ListDigest,
     /// Term of the scheduler state.
     term: u64,
     /// Gateways whose load has been reported in this term.
@@ -96,7 +96,7 @@
         }
         for (turn, decision) in self.scheduler.decide(&fleet.view(), Instant::now()) {
             if let Some(responder) = self.responders.remove(&turn) {
-                responder.send(Answer::Placed(decision));
+                responder.send(LedgerResponse::Placed(decision));
             }
         }
     }
@@ -163,7 +163,7 @@
                 state.responders.insert(turn, responder);
                 self.waiting.notify_one();
             }
-            decision => responder.send(Answer::Placed(decision)),
+            decision => responder.send(LedgerResponse::Placed(decision)),
         }
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Removes all waiting turns and sends `answer` to each, because this machine no longer leads.
-    pub fn cancel_waiting(&self, answer: &Answer) {
+    pub fn cancel_waiting(&self, answer: &LedgerResponse) {
         let mut state = self.state.lock();
         state.scheduler.clear_waiting();
         for (_, responder) in state.responders.drain() {
--- a/crates/ledger/tests/failures.rs
+++ b/crates/ledger/tests/failures.rs
@@ -1,6 +1,6 @@
-//! The leader tells every gateway which replicas are left alone, once for each change.
+//! Distribution of failing replicas from the leader to gateways.
 
-use calicohoist_ledger::protocol::ChangeMark;
+use calicohoist_ledger::protocol::TermVersion;
 use calicohoist_ledger::server::failures::FailureTracker;
 use calicohoist_routing::{Replica, ReplicaState};
 
@@ -8,7 +8,7 @@
     let replica = |number: usize| Replica {
         id: format!("i-{number}"),
         service: "models".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: "hall".to_owned(),
         slots: 8,
         state: ReplicaState::Ready,
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn a_change_is_news_until_it_was_seen() {
+fn a_change_is_sent_until_the_gateway_has_it() {
     let desk = FailureTracker::default();
-    let nothing = ChangeMark::default();
-    assert_eq!(desk.changes_since(nothing), None);
+    let initial = TermVersion::default();
+    assert_eq!(desk.changes_since(initial), None);
     assert!(desk.record_failure(1, "i-1", &replicas()).is_none());
     assert!(desk.record_failure(1, "i-1", &replicas()).is_none());
-    assert_eq!(desk.changes_since(nothing), None);
+    assert_eq!(desk.changes_since(initial), None);
     assert!(desk.record_failure(1, "i-1", &replicas()).is_some());
-    let (mark, failing) = desk.changes_since(nothing).expect("news");
-    assert_eq!(mark, ChangeMark { term: 1, change: 1 });
+    let (mark, failing) = desk.changes_since(initial).expect("update");
+    assert_eq!(mark, TermVersion { term: 1, change: 1 });
     assert_eq!(failing.len(), 1);
     assert_eq!(failing[0].0, "i-1");
     assert!(failing[0].1 > 0);
@@ -34,15 +34,18 @@
 }
 
 #[test]
-fn a_later_term_begins_anew() {
+fn failures_of_earlier_terms_are_not_counted() {
     let desk = FailureTracker::default();
     for _ in 0..2 {
         assert!(desk.record_failure(1, "i-1", &replicas()).is_none());
     }
-    assert!(desk.record_failure(2, "i-1", &replicas()).is_none(), "counted for another leader");
+    assert!(
+        desk.record_failure(2, "i-1", &replicas()).is_none(),
+        "failures of term 1 were counted"
+    );
     for _ in 0..2 {
         desk.record_failure(2, "i-1", &replicas());
     }
     let mark = *desk.subscribe().borrow();
-    assert_eq!(mark, ChangeMark { term: 2, change: 1 });
+    assert_eq!(mark, TermVersion { term: 2, change: 1 });
 }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -1,16 +1,20 @@
-//! What this build writes stays as it is: other builds read it, side by side with this one and after
-//! it. A change of form needs a new version of the protocol, a translation from the one before, and a
-//! file of samples of its own; what is told here of the newest version may grow until that is released.
+//! Stability of the encoding of messages, commands and snapshots, which other builds decode.
+//!
+//! A change of the encoding requires a new protocol version, a conversion from the previous one
+//! and a sample file of its own. The samples of the latest version may be extended until its
+//! release.
 //!
 //! `CALICOHOIST_WRITE_SAMPLES=1 cargo test -p calicohoist-ledger --test formats` writes the file.
 
 use std::time::Duration;
 
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
-use calicohoist_ledger::packed::PackedBytes;
-use calicohoist_ledger::protocol::{Ask, ChangeMark, ListMark, News, Reply, Seen};
+use calicohoist_ledger::packed::CompressedBytes;
+use calicohoist_ledger::protocol::{
+    ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion, WatchRequest, WatchUpdate,
+};
 use calicohoist_ledger::server::peers::{Envelope, PeerFrame};
-use calicohoist_ledger::{Answer, LedgerState, Question};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse, LedgerState};
 use calicohoist_limiter::{IssuedPermits, PermitAnswer, PermitGrant, PermitRequest};
 use calicohoist_replication::{
     Entry, EntryKind, GroupId, GroupMessage, Message, ReplicaId, StateMachine,
@@ -26,13 +30,13 @@
 const SAMPLES: &str = include_str!("data/protocol-2.txt");
 const SAMPLES_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/protocol-2.txt");
 
-/// Encoded samples, a line each.
+/// Hex-encoded samples, one per line.
 #[derive(Default)]
 struct Samples(String);
 
 impl Samples {
     fn add<T: Serialize>(&mut self, name: &str, value: &T) {
-        self.add_bytes(name, &encode(value).expect("encodes"));
+        self.add_bytes(name, &encode(value).expect("encode"));
     }
 
     fn add_bytes(&mut self, name: &str, bytes: &[u8]) {
@@ -102,19 +106,19 @@
     }
 }
 
-fn ask(number: u64, question: Question) -> Ask {
-    Ask { number, question }
+fn request(number: u64, question: LedgerRequest) -> RequestEnvelope {
+    RequestEnvelope { number, question }
 }
 
-fn reply(number: u64, answer: Answer) -> Reply {
-    Reply { number, answer }
+fn response(number: u64, answer: LedgerResponse) -> ResponseEnvelope {
+    ResponseEnvelope { number, answer }
 }
 
 fn replica(id: &str, state: ReplicaState) -> Replica {
     Replica {
         id: id.into(),
         service: "lm".into(),
-        address: "10.128.0.9:8080".parse().expect("an address"),
+        address: "10.128.0.9:8080".parse().expect("valid address"),
         zone: "a".into(),
         slots: 12,
         state,
@@ -123,28 +127,33 @@
 
 fn samples() -> String {
     let mut samples = Samples::default();
-    let reserve_all = Question::Reserve {
+    let reserve_all = LedgerRequest::Reserve {
         reserve: reserve(),
         placement: Some(placement()),
         permit: Some(permit()),
     };
-    samples.add("ask.reserve", &ask(1, reserve_all));
-    samples.add("ask.permit", &ask(2, Question::Permit(permit())));
-    samples
-        .add("ask.place", &ask(3, Question::Place { turn: "t1".into(), placement: placement() }));
-    samples.add("ask.settle", &ask(4, Question::Settle(settle("t1", None))));
-    let seen = Seen {
+    samples.add("ask.reserve", &request(1, reserve_all));
+    samples.add("ask.permit", &request(2, LedgerRequest::Permit(permit())));
+    samples.add(
+        "ask.place",
+        &request(3, LedgerRequest::Place { turn: "t1".into(), placement: placement() }),
+    );
+    samples.add("ask.settle", &request(4, LedgerRequest::Settle(settle("t1", None))));
+    let seen = WatchRequest {
         gateway: "front-1".into(),
         configuration: 73,
-        list: ListMark::default(),
+        list: ListDigest::default(),
         loads: vec![("r1".into(), 2)],
-        failing: ChangeMark { term: 3, change: 1 },
-        cold: ChangeMark { term: 3, change: 2 },
+        failing: TermVersion { term: 3, change: 1 },
+        cold: TermVersion { term: 3, change: 2 },
         drained: Some(4),
     };
-    samples.add("ask.watch", &ask(5, Question::Watch(seen)));
-    samples.add("ask.report_failure", &ask(6, Question::ReportFailure { replica: "r1".into() }));
-    samples.add("ask.find_leader", &ask(300, Question::FindLeader));
+    samples.add("ask.watch", &request(5, LedgerRequest::Watch(seen)));
+    samples.add(
+        "ask.report_failure",
+        &request(6, LedgerRequest::ReportFailure { replica: "r1".into() }),
+    );
+    samples.add("ask.find_leader", &request(300, LedgerRequest::FindLeader));
 
     let grant = PermitAnswer::Granted(PermitGrant { permits: 4, life: Duration::from_millis(500) });
     for (name, decision) in [
@@ -154,47 +163,51 @@
         ("wait", Decision::Wait),
         ("refuse", Decision::Refuse(Duration::from_millis(700))),
     ] {
-        samples.add(&format!("reply.placed.{name}"), &reply(3, Answer::Placed(decision)));
+        samples
+            .add(&format!("reply.placed.{name}"), &response(3, LedgerResponse::Placed(decision)));
     }
-    let reserved = Answer::Reserved {
+    let reserved = LedgerResponse::Reserved {
         reservation: Reservation::Granted,
         history: b"hello".to_vec(),
         decision: Some(Decision::Run("r1".into())),
         is_under_way: true,
         permit: Some(grant),
     };
-    samples.add("reply.reserved", &reply(1, reserved));
+    samples.add("reply.reserved", &response(1, reserved));
     samples.add(
         "reply.permit",
-        &reply(2, Answer::Permit(PermitAnswer::OverLimit(Duration::from_millis(250)))),
+        &response(2, LedgerResponse::Permit(PermitAnswer::OverLimit(Duration::from_millis(250)))),
+    );
+    samples.add("reply.settled", &response(4, LedgerResponse::Settled));
+    samples.add("reply.noted", &response(6, LedgerResponse::Noted));
+    let document = CompressedBytes::compress(b"{\"version\":74}");
+    samples.add(
+        "reply.configuration",
+        &response(5, LedgerResponse::Configuration { version: 74, document }),
     );
-    samples.add("reply.settled", &reply(4, Answer::Settled));
-    samples.add("reply.noted", &reply(6, Answer::Noted));
-    let document = PackedBytes::pack(b"{\"version\":74}");
-    samples.add("reply.configuration", &reply(5, Answer::Configuration { version: 74, document }));
     let replicas = vec![replica("r1", ReplicaState::Ready), replica("r2", ReplicaState::Draining)];
-    let mark = ListMark::of(&replicas);
+    let mark = ListDigest::of(&replicas);
     samples.add(
         "reply.list",
-        &reply(5, Answer::List { mark, list: ReplicaList { version: 5, replicas } }),
+        &response(5, LedgerResponse::List { mark, list: ReplicaList { version: 5, replicas } }),
     );
-    let news = News {
+    let news = WatchUpdate {
         list_age_ms: Some(120),
         loads: vec![1, 2],
         loads_of: mark,
         machines: vec![167_837_962],
-        failing: Some((ChangeMark { term: 3, change: 2 }, vec![("r1".into(), 900)])),
-        cold: Some((ChangeMark { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
+        failing: Some((TermVersion { term: 3, change: 2 }, vec![("r1".into(), 900)])),
+        cold: Some((TermVersion { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
     };
-    samples.add("reply.news", &reply(5, Answer::News(news)));
-    samples.add("reply.leads", &reply(7, Answer::Leads { machines: vec![1, 2, 3] }));
+    samples.add("reply.news", &response(5, LedgerResponse::News(news)));
+    samples.add("reply.leads", &response(7, LedgerResponse::Leads { machines: vec![1, 2, 3] }));
     samples.add(
         "reply.not_leader",
-        &reply(7, Answer::NotLeader { leader: Some(2), machines: vec![1, 2, 3] }),
+        &response(7, LedgerResponse::NotLeader { leader: Some(2), machines: vec![1, 2, 3] }),
     );
-    samples.add("reply.unavailable", &reply(7, Answer::Unavailable));
+    samples.add("reply.unavailable", &response(7, LedgerResponse::Unavailable));
     let drained = DrainedZones { version: 4, zones: [Zone::new("a")].into() };
-    samples.add("reply.drained_zones", &reply(8, Answer::DrainedZones(drained)));
+    samples.add("reply.drained_zones", &response(8, LedgerResponse::DrainedZones(drained)));
 
     let id = ReplicaId { machine: 2_130_706_434, disk: 0 };
     let entries = vec![
@@ -211,7 +224,7 @@
     };
     let messages = vec![GroupMessage { group: GroupId(0), message: append }];
     samples.add("peer.plain", &PeerFrame::Plain(Envelope { to: id, messages }));
-    samples.add("peer.packed", &PeerFrame::Packed(PackedBytes::pack(b"a parcel")));
+    samples.add("peer.packed", &PeerFrame::Packed(CompressedBytes::compress(b"a parcel")));
 
     let mut state = LedgerState::new(GroupId(0));
     let commands = [
@@ -239,20 +252,20 @@
     ];
     for (name, command) in commands {
         samples.add(&format!("command.{name}"), &command);
-        state.apply(&encode(&command).expect("encodes"));
+        state.apply(&encode(&command).expect("encode"));
     }
     samples.add_bytes("snapshot", &state.snapshot());
     samples.0
 }
 
 #[test]
-fn what_this_build_writes_has_not_changed() {
+fn encodings_match_the_stored_samples() {
     let samples = samples();
     if std::env::var_os("CALICOHOIST_WRITE_SAMPLES").is_some() {
-        return std::fs::write(SAMPLES_FILE, samples).expect("a file");
+        return std::fs::write(SAMPLES_FILE, samples).expect("write samples");
     }
-    for (written, kept) in samples.lines().zip(SAMPLES.lines()) {
-        assert_eq!(written, kept);
+    for (encoded, stored) in samples.lines().zip(SAMPLES.lines()) {
+        assert_eq!(encoded, stored);
     }
     assert_eq!(samples.lines().count(), SAMPLES.lines().count());
 }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use calicohoist_discovery::ListedReplica;
-use calicohoist_ledger::client::AskError;
-use calicohoist_ledger::packed::PackedBytes;
-use calicohoist_ledger::protocol::{ChangeMark, ListMark, News, Seen};
-use calicohoist_ledger::{Answer, Question};
+use calicohoist_ledger::client::RequestError;
+use calicohoist_ledger::packed::CompressedBytes;
+use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest, WatchUpdate};
+use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::{
     ColdTracker, DrainedZones, HomeFindings, Replica, ReplicaList, RouteTable, check_homes,
 };
@@ -47,9 +47,9 @@
 
 #[derive(Clone, Copy, Default)]
 struct FollowerState {
-    list: ListMark,
-    failing: ChangeMark,
-    cold: ChangeMark,
+    list: ListDigest,
+    failing: TermVersion,
+    cold: TermVersion,
 }
 
 struct Follower {
@@ -61,7 +61,7 @@
     async fn watch_ledger(&self) {
         loop {
             let FollowerState { list, failing, cold } = *self.state.lock();
-            let seen = Seen {
+            let seen = WatchRequest {
                 gateway: self.app.settings.name.clone(),
                 configuration: self.app.table().map_or(0, |table| table.version()),
                 list,
@@ -72,26 +72,26 @@
             };
             RUNNING_IN_DRAINED.show(u64::from(self.app.fleet.running_in_drained()));
             let deadline = Instant::now() + WATCH_PATIENCE;
-            let answer = self.app.ledger.ask(&Question::Watch(seen), deadline).await;
+            let answer = self.app.ledger.request(&LedgerRequest::Watch(seen), deadline).await;
             if answer.is_ok() {
                 self.app.note_followed(Instant::now());
             }
             match answer {
-                Ok(Answer::Configuration { version, document }) => {
+                Ok(LedgerResponse::Configuration { version, document }) => {
                     if !self.apply(version, &document) {
                         tokio::time::sleep(REFUSED_PAUSE).await;
                     }
                 }
-                Ok(Answer::List { mark, list }) => self.take_list(mark, list),
-                Ok(Answer::DrainedZones(drained)) => self.take_drained(drained),
-                Ok(Answer::News(news)) => self.take(news),
-                Ok(_) | Err(AskError::Deadline) => {}
+                Ok(LedgerResponse::List { mark, list }) => self.take_list(mark, list),
+                Ok(LedgerResponse::DrainedZones(drained)) => self.take_drained(drained),
+                Ok(LedgerResponse::News(news)) => self.take(news),
+                Ok(_) | Err(RequestError::DeadlineExceeded) => {}
             }
         }
     }
 
-    fn take(&self, news: News) {
-        self.app.ledger.learn_machines(news.machines);
+    fn take(&self, news: WatchUpdate) {
+        self.app.ledger.update_members(news.machines);
         if news.loads_of == self.state.lock().list {
             self.app.fleet.note_other_loads(&news.loads, Instant::now());
         }
@@ -117,7 +117,7 @@
         emit!(Event::DrainApplied; version = version, zones = zones, running = running);
     }
 
-    fn take_list(&self, mark: ListMark, list: ReplicaList) {
+    fn take_list(&self, mark: ListDigest, list: ReplicaList) {
         emit!(
             Event::ListApplied;
             source = "leader",
@@ -130,8 +130,8 @@
     }
 
     /// Puts a configuration in force; `false` when it is none.
-    fn apply(&self, version: u64, document: &PackedBytes) -> bool {
-        let document = match document.unpack() {
+    fn apply(&self, version: u64, document: &CompressedBytes) -> bool {
+        let document = match document.decompress() {
             Ok(document) => document,
             Err(error) => {
                 emit!(Event::ChangeRefused, "version={version}: {error}");
@@ -185,7 +185,7 @@
                     self.put_list(replicas.into_iter().map(|listed| listed.replica).collect());
                     let mut state = self.state.lock();
                     // The leader's list is to be told anew, whatever its version.
-                    state.list = ListMark::default();
+                    state.list = ListDigest::default();
                 }
                 Err(error) => emit!(Event::PlatformUnreachable, "list of replicas: {error}"),
             }
