--- a/crates/ledger/src/client/mod.rs
+++ b/crates/ledger/src/client/mod.rs
@@ -10,7 +10,7 @@
 //! - Retries use exponential backoff with jitter.
 
 mod connection;
-mod targets;
+mod leader_tracker;
 mod timing;
 
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 use crate::protocol::{LedgerRequest, LedgerResponse};
 use crate::server::{machine_address, machine_number};
 use connection::Connection;
-pub use targets::LeaderTracker;
+pub use leader_tracker::LeaderTracker;
 pub use timing::ClientTiming;
 
 /// An error returned by [`LedgerClient::request`].
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub mod client;
 pub mod commands;
-pub mod packed;
+pub mod compression;
 pub mod protocol;
 pub mod queries;
 pub mod server;
--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 pub use version::{LATEST_VERSION, SUPPORTED_VERSIONS};
 
 /// A request with its number.
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -16,7 +16,7 @@
     WatchRequest, WatchUpdate,
 };
 use crate::commands::{Reservation, ReserveTurn, SettleTurn, TurnId};
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 
 /// A request of version 1 with its number.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -3,7 +3,7 @@
 use calicohoist_transport::{FrameError, SharedField};
 
 use super::bulk_of;
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 use crate::protocol::{LedgerResponse, ListDigest};
 use crate::server::list::Reading;
 use crate::state::HeldConfiguration;
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::tcp::OwnedReadHalf;
 
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 
 /// First frame of a connection, after the version was agreed on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -23,7 +23,7 @@
 use calicohoist_transport::{Frame, FrameReader, ProtocolVersion, bind, frame_of};
 use calicohoist_types::Zone;
 use calicohoist_wire::encode;
-use support::older::{V1Follower, V1Gateway, V1Leader, sample};
+use support::v1::{V1Follower, V1Gateway, V1Leader, sample};
 use support::{LOCAL, MachineWithPeer, PEER, PeerReaction, TEST_TIMEOUT, settings};
 use tokio::sync::watch;
 
@@ -182,7 +182,7 @@
 #[test]
 fn snapshots_without_drained_zones_have_the_v1_encoding() {
     let mut state = LedgerState::new(GroupId(0));
-    for name in support::older::sample_names().filter(|name| name.starts_with("command.")) {
+    for name in support::v1::sample_names().filter(|name| name.starts_with("command.")) {
         assert_ne!(state.apply(&sample(name)), Output::Unreadable, "{name}");
     }
     assert_eq!(state.snapshot(), sample("snapshot"));
@@ -196,7 +196,7 @@
 
 #[tokio::test]
 async fn all_v1_messages_are_decoded_and_encoded_unchanged() {
-    for name in support::older::sample_names() {
+    for name in support::v1::sample_names() {
         let bytes = sample(name);
         let framed = frame_of(&bytes);
         let mut frames = FrameReader::new(framed.as_slice());
--- a/crates/ledger/tests/packed.rs
+++ b/crates/ledger/tests/compression.rs
@@ -1,6 +1,6 @@
 //! Round trips of compressed documents, and errors on corrupt data.
 
-use calicohoist_ledger::packed::{CompressedBytes, DecompressionError};
+use calicohoist_ledger::compression::{CompressedBytes, DecompressionError};
 use calicohoist_wire::{decode, encode};
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use calicohoist_ledger::commands::{Command, Reservation, ReserveTurn, RetainedTurn, SettleTurn};
-use calicohoist_ledger::packed::CompressedBytes;
+use calicohoist_ledger::compression::CompressedBytes;
 use calicohoist_ledger::protocol::{
     ListDigest, RequestEnvelope, ResponseEnvelope, TermVersion, WatchRequest, WatchUpdate,
 };
--- a/crates/ledger/tests/support/mod.rs
+++ b/crates/ledger/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-pub mod older;
+pub mod v1;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, mpsc as std_mpsc};
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -5,7 +5,7 @@
 
 use calicohoist_discovery::ListedReplica;
 use calicohoist_ledger::client::RequestError;
-use calicohoist_ledger::packed::CompressedBytes;
+use calicohoist_ledger::compression::CompressedBytes;
 use calicohoist_ledger::protocol::{ListDigest, TermVersion, WatchRequest, WatchUpdate};
 use calicohoist_ledger::{LedgerRequest, LedgerResponse};
 use calicohoist_routing::{
