--- a/crates/ledger/src/protocol/mod.rs
+++ b/crates/ledger/src/protocol/mod.rs
@@ -60,7 +60,7 @@
     },
     /// Records the end of a turn.
     Settle(SettleTurn),
-    /// Long poll for changes since the given versions.
+    /// Requests changes since the versions that the gateway holds, as a long poll.
     Watch(WatchRequest),
     /// Reports that a replica did not respond to a request.
     ReportFailure {
@@ -72,7 +72,7 @@
     FindLeader,
 }
 
-/// Versions that a gateway has seen so far, and its report of load.
+/// Versions of the data that a gateway holds, and its load report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
     /// Name of the gateway that the load report belongs to.
--- a/crates/ledger/src/protocol/v1.rs
+++ b/crates/ledger/src/protocol/v1.rs
@@ -138,7 +138,7 @@
                 LedgerRequest::Place { turn, placement: placement.into() }
             }
             RequestV1::Settle(settle) => LedgerRequest::Settle(settle),
-            RequestV1::Watch(seen) => LedgerRequest::Watch(seen.into()),
+            RequestV1::Watch(request) => LedgerRequest::Watch(request.into()),
             RequestV1::ReportFailure { replica } => LedgerRequest::ReportFailure { replica },
             RequestV1::FindLeader => LedgerRequest::FindLeader,
         };
@@ -163,7 +163,7 @@
                 }
                 RequestV1::Settle(settle)
             }
-            LedgerRequest::Watch(seen) => RequestV1::Watch(seen.into()),
+            LedgerRequest::Watch(request) => RequestV1::Watch(request.into()),
             LedgerRequest::ReportFailure { mut replica } => {
                 strip_incarnation(&mut replica);
                 RequestV1::ReportFailure { replica }
@@ -247,9 +247,9 @@
 }
 
 impl From<WatchRequest> for WatchRequestV1 {
-    fn from(seen: WatchRequest) -> Self {
+    fn from(request: WatchRequest) -> Self {
         let WatchRequest { gateway, configuration, list, mut loads, failing, cold: _, drained: _ } =
-            seen;
+            request;
         loads.iter_mut().for_each(|(replica, _)| strip_incarnation(replica));
         Self { gateway, configuration, list, loads, failing }
     }
@@ -270,7 +270,7 @@
                 LedgerResponse::Configuration { version, document }
             }
             ResponseV1::List { mark, list } => LedgerResponse::List { mark, list },
-            ResponseV1::News(news) => LedgerResponse::News(news.into()),
+            ResponseV1::News(update) => LedgerResponse::News(update.into()),
             ResponseV1::Leads { machines } => LedgerResponse::Leads { machines },
             ResponseV1::NotLeader { leader, machines } => {
                 LedgerResponse::NotLeader { leader, machines }
@@ -296,7 +296,7 @@
                 ResponseV1::Configuration { version, document }
             }
             LedgerResponse::List { mark, list } => ResponseV1::List { mark, list },
-            LedgerResponse::News(news) => ResponseV1::News(news.into()),
+            LedgerResponse::News(update) => ResponseV1::News(update.into()),
             LedgerResponse::Leads { machines } => ResponseV1::Leads { machines },
             LedgerResponse::NotLeader { leader, machines } => {
                 ResponseV1::NotLeader { leader, machines }
@@ -344,8 +344,8 @@
 }
 
 impl From<WatchUpdate> for WatchUpdateV1 {
-    fn from(news: WatchUpdate) -> Self {
-        let WatchUpdate { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = news;
+    fn from(update: WatchUpdate) -> Self {
+        let WatchUpdate { list_age_ms, loads, loads_of, machines, mut failing, cold: _ } = update;
         let replicas = failing.iter_mut().flat_map(|(_, replicas)| replicas);
         replicas.for_each(|(replica, _)| strip_incarnation(replica));
         Self { list_age_ms, loads, loads_of, machines, failing }
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -202,8 +202,9 @@
         let mut frames = FrameReader::new(framed.as_slice());
         let frame = match name.split('.').next() {
             Some("ask") => {
-                let ask = RequestEnvelope::read(&mut frames, ProtocolVersion::UNNAMED).await;
-                ask.unwrap_or_else(|error| panic!("{name}: {error}"))
+                let request = RequestEnvelope::read(&mut frames, ProtocolVersion::UNNAMED).await;
+                request
+                    .unwrap_or_else(|error| panic!("{name}: {error}"))
                     .encode(ProtocolVersion::UNNAMED)
             }
             Some("reply") => {
--- a/crates/ledger/tests/drained_zones.rs
+++ b/crates/ledger/tests/drained_zones.rs
@@ -298,9 +298,9 @@
     async fn drained(&self) -> DrainedZones {
         let mut stream = TcpStream::connect(self.gateways).await.expect("connect");
         offer(&mut stream, SUPPORTED_VERSIONS).await.expect("negotiate version");
-        let ask =
+        let message =
             RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
-        stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
+        stream.write_all(&encode_frame(&message).expect("encode")).await.expect("write");
         let reply: ResponseEnvelope = FrameReader::new(stream).next().await.expect("no response");
         match reply.answer {
             LedgerResponse::DrainedZones(drained) => drained,
--- a/crates/ledger/tests/fan_out.rs
+++ b/crates/ledger/tests/fan_out.rs
@@ -113,9 +113,9 @@
         socket.bind(SocketAddr::new(IpAddr::V4(LOCAL), 0)).expect("bind");
         let mut stream = socket.connect(self.gateways).await.expect("connect");
         offer(&mut stream, SUPPORTED_VERSIONS).await.expect("negotiate version");
-        let ask =
+        let message =
             RequestEnvelope { number: 1, question: LedgerRequest::Watch(WatchRequest::default()) };
-        stream.write_all(&encode_frame(&ask).expect("encode")).await.expect("write");
+        stream.write_all(&encode_frame(&message).expect("encode")).await.expect("write");
         stream
     }
 }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -139,7 +139,7 @@
         &request(3, LedgerRequest::Place { turn: "t1".into(), placement: placement() }),
     );
     samples.add("ask.settle", &request(4, LedgerRequest::Settle(settle("t1", None))));
-    let seen = WatchRequest {
+    let watch = WatchRequest {
         gateway: "front-1".into(),
         configuration: 73,
         list: ListDigest::default(),
@@ -148,7 +148,7 @@
         cold: TermVersion { term: 3, change: 2 },
         drained: Some(4),
     };
-    samples.add("ask.watch", &request(5, LedgerRequest::Watch(seen)));
+    samples.add("ask.watch", &request(5, LedgerRequest::Watch(watch)));
     samples.add(
         "ask.report_failure",
         &request(6, LedgerRequest::ReportFailure { replica: "r1".into() }),
@@ -191,7 +191,7 @@
         "reply.list",
         &response(5, LedgerResponse::List { mark, list: ReplicaList { version: 5, replicas } }),
     );
-    let news = WatchUpdate {
+    let update = WatchUpdate {
         list_age_ms: Some(120),
         loads: vec![1, 2],
         loads_of: mark,
@@ -199,7 +199,7 @@
         failing: Some((TermVersion { term: 3, change: 2 }, vec![("r1".into(), 900)])),
         cold: Some((TermVersion { term: 3, change: 3 }, vec![("r2".into(), 4_000)])),
     };
-    samples.add("reply.news", &response(5, LedgerResponse::News(news)));
+    samples.add("reply.news", &response(5, LedgerResponse::News(update)));
     samples.add("reply.leads", &response(7, LedgerResponse::Leads { machines: vec![1, 2, 3] }));
     samples.add(
         "reply.not_leader",
