--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -137,9 +137,8 @@
     let (listeners, ports, v1_listener) = loop {
         let free = Ports { peers: 0, gateways: 0, control: 0 };
         let listeners = Listeners::bind(LOCAL, free).expect("bind listeners");
-        let port = |listener: &tokio::net::TcpListener| {
-            listener.local_addr().expect("local address").port()
-        };
+        let port =
+            |listener: &tokio::net::TcpListener| listener.local_addr().expect("address").port();
         let ports = Ports {
             peers: port(&listeners.peers),
             gateways: port(&listeners.gateways),
