--- a/crates/ledger/src/server/gateways/shared.rs
+++ b/crates/ledger/src/server/gateways/shared.rs
@@ -3,7 +3,7 @@
 use calicohoist_transport::{FrameError, SharedField};
 
 use super::answer_kind;
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 use crate::protocol::{LedgerResponse, ListDigest};
 use crate::server::list::DiscoverySnapshot;
 use crate::state::VersionedConfiguration;
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::tcp::OwnedReadHalf;
 
-use crate::packed::CompressedBytes;
+use crate::compression::CompressedBytes;
 
 /// The first frame of a connection after version negotiation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/ledger/tests/builds.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -23,7 +23,7 @@
 use calicohoist_transport::{Frame, FrameReader, ProtocolVersion, bind, frame_payload};
 use calicohoist_types::Zone;
 use calicohoist_wire::encode;
-use support::older::{V1Follower, V1Gateway, V1Leader, sample};
+use support::v1::{V1Follower, V1Gateway, V1Leader, sample};
 use support::{LOCAL, MachineWithPeer, PEER, PeerReaction, TEST_TIMEOUT, settings};
 use tokio::sync::watch;
 
@@ -137,9 +137,8 @@
     let (listeners, ports, v1_listener) = loop {
         let free = Ports { peers: 0, gateways: 0, control: 0 };
         let listeners = Listeners::bind(LOCAL, free).expect("bind listeners");
-        let port = |listener: &tokio::net::TcpListener| {
-            listener.local_addr().expect("local address").port()
-        };
+        let port =
+            |listener: &tokio::net::TcpListener| listener.local_addr().expect("address").port();
         let ports = Ports {
             peers: port(&listeners.peers),
             gateways: port(&listeners.gateways),
@@ -182,7 +181,7 @@
 #[test]
 fn snapshots_without_drained_zones_have_the_v1_encoding() {
     let mut state = LedgerState::new(GroupId(0));
-    for name in support::older::sample_names().filter(|name| name.starts_with("command.")) {
+    for name in support::v1::sample_names().filter(|name| name.starts_with("command.")) {
         assert_ne!(state.apply(&sample(name)), Output::Unreadable, "{name}");
     }
     assert_eq!(state.snapshot(), sample("snapshot"));
@@ -196,14 +195,15 @@
 
 #[tokio::test]
 async fn all_v1_messages_are_decoded_and_encoded_unchanged() {
-    for name in support::older::sample_names() {
+    for name in support::v1::sample_names() {
         let bytes = sample(name);
         let framed = frame_payload(&bytes);
         let mut frames = FrameReader::new(framed.as_slice());
         let frame = match name.split('.').next() {
             Some("ask") => {
-                let ask = RequestEnvelope::read(&mut frames, ProtocolVersion::LEGACY).await;
-                ask.unwrap_or_else(|error| panic!("{name}: {error}"))
+                let request = RequestEnvelope::read(&mut frames, ProtocolVersion::LEGACY).await;
+                request
+                    .unwrap_or_else(|error| panic!("{name}: {error}"))
                     .encode(ProtocolVersion::LEGACY)
             }
             Some("reply") => {
