--- a/crates/telemetry/src/bounded.rs
+++ b/crates/telemetry/src/bounded.rs
@@ -1,8 +1,7 @@
-//! Log output that never holds up the process that writes it.
+//! Non-blocking log output.
 //!
-//! Lines go into a ring; a thread of its own writes them. When lines come faster than
-//! they are taken, or faster than the limit of their class, they are left out and
-//! counted; what tells of failures and ends of requests goes before the rest.
+//! Lines are queued in a bounded channel and written by a dedicated thread. A line that exceeds
+//! the queue's capacity or the rate limit of its priority is dropped and counted.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,106 +11,108 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use parking_lot::Mutex;
 
-/// Lines that may wait for the writer.
-const RING: usize = 4_096;
-/// Ordinary lines are left out when this many lines wait.
-const ORDINARY_RING: usize = RING / 2;
-/// Ordinary lines a second.
-const ORDINARY_RATE: u32 = 1_500;
-/// Essential lines a second.
-const ESSENTIAL_RATE: u32 = 3_000;
-/// Lines are gathered for this long, so that a busy process writes few times.
-const GATHER: Duration = Duration::from_millis(20);
-/// Time in which what waits is written.
-pub const DRAIN: Duration = Duration::from_millis(40);
-/// Bytes of one write: pipes take so many whole (`PIPE_BUF`), and collectors that read
-/// a fixed number of bytes at a time keep lines apart.
-const MOST_WRITTEN: usize = 4_096;
-const SECOND: Duration = Duration::from_secs(1);
+/// Capacity of the queue between callers and the writer thread, in lines.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Low-priority lines are dropped while at least this many lines are queued.
+const LOW_PRIORITY_QUEUE_LIMIT: usize = QUEUE_CAPACITY / 2;
+/// Low-priority lines accepted per second.
+const LOW_PRIORITY_RATE: u32 = 1_500;
+/// High-priority lines accepted per second.
+const HIGH_PRIORITY_RATE: u32 = 3_000;
+/// Delay between the first line of a batch and the write, to reduce the number of writes.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Time to wait before process exit for queued lines to be written.
+pub const DRAIN_DELAY: Duration = Duration::from_millis(40);
+/// Largest batch in bytes; POSIX guarantees atomic pipe writes up to `PIPE_BUF`.
+const MAX_BATCH_BYTES: usize = 4_096;
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What a line is worth under pressure.
+/// Priority of a log line under overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineClass {
-    /// The end of a request, a failure, or a change of what the process believes.
-    Essential,
-    /// A step on the way of a request that goes well.
-    Ordinary,
+pub enum LinePriority {
+    /// End of a request, failure, or change of the process's state.
+    High,
+    /// Intermediate step of a successful request.
+    Low,
 }
 
-struct Budget {
-    began: Instant,
-    ordinary: u32,
-    essential: u32,
+/// Lines submitted in the current rate-limit window.
+struct RateWindow {
+    started_at: Instant,
+    low: u32,
+    high: u32,
 }
 
-/// The way into the ring.
-pub struct BoundedOutput {
+/// Queues log lines for the writer thread.
+pub struct NonBlockingWriter {
     lines: Sender<String>,
-    budget: Mutex<Budget>,
-    left_out: &'static AtomicU64,
+    window: Mutex<RateWindow>,
+    dropped: &'static AtomicU64,
 }
 
-impl BoundedOutput {
+impl NonBlockingWriter {
     /// Starts a thread that writes to `output`.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(output: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (lines, receiver) = bounded(RING);
-        let left_out: &'static AtomicU64 = Box::leak(Box::default());
+        let (lines, receiver) = bounded(QUEUE_CAPACITY);
+        let dropped: &'static AtomicU64 = Box::leak(Box::default());
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(output, &receiver, left_out))?;
-        let budget = Budget { began: Instant::now(), ordinary: 0, essential: 0 };
-        Ok(Self { lines, budget: Mutex::new(budget), left_out })
+            .spawn(move || write_lines(output, &receiver, dropped))?;
+        let window = RateWindow { started_at: Instant::now(), low: 0, high: 0 };
+        Ok(Self { lines, window: Mutex::new(window), dropped })
     }
 
-    /// Queues a line, or leaves it out; never waits.
-    pub fn write(&self, class: LineClass, line: String) {
-        let has_room = class == LineClass::Essential || self.lines.len() < ORDINARY_RING;
-        let is_taken = has_room && self.spend(class) && self.lines.try_send(line).is_ok();
-        if !is_taken {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+    /// Queues a line, or drops it; never blocks.
+    pub fn write(&self, priority: LinePriority, line: String) {
+        let fits_queue =
+            priority == LinePriority::High || self.lines.len() < LOW_PRIORITY_QUEUE_LIMIT;
+        let is_queued =
+            fits_queue && self.try_acquire(priority) && self.lines.try_send(line).is_ok();
+        if !is_queued {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Lines left out that no line has told of yet.
-    pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    /// Returns the number of dropped lines that have not been reported in the log yet.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    fn spend(&self, class: LineClass) -> bool {
-        let mut budget = self.budget.lock();
-        if budget.began.elapsed() >= SECOND {
-            *budget = Budget { began: Instant::now(), ordinary: 0, essential: 0 };
+    fn try_acquire(&self, priority: LinePriority) -> bool {
+        let mut window = self.window.lock();
+        if window.started_at.elapsed() >= RATE_WINDOW {
+            *window = RateWindow { started_at: Instant::now(), low: 0, high: 0 };
         }
-        let (spent, rate) = match class {
-            LineClass::Essential => (&mut budget.essential, ESSENTIAL_RATE),
-            LineClass::Ordinary => (&mut budget.ordinary, ORDINARY_RATE),
+        let (used, limit) = match priority {
+            LinePriority::High => (&mut window.high, HIGH_PRIORITY_RATE),
+            LinePriority::Low => (&mut window.low, LOW_PRIORITY_RATE),
         };
-        *spent += 1;
-        *spent <= rate
+        *used += 1;
+        *used <= limit
     }
 }
 
-fn write_lines(mut output: impl Write, lines: &Receiver<String>, left_out: &AtomicU64) {
+fn write_lines(mut output: impl Write, lines: &Receiver<String>, dropped: &AtomicU64) {
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         let mut batch = Batch::default();
-        batch.push(&mut output, &first, left_out);
+        batch.push(&mut output, &first, dropped);
         for line in lines.try_iter() {
-            batch.push(&mut output, &line, left_out);
+            batch.push(&mut output, &line, dropped);
         }
-        let count = left_out.swap(0, Ordering::Relaxed);
+        let count = dropped.swap(0, Ordering::Relaxed);
         if count > 0 {
             let line = format!("{{\"name\":\"LinesLeftOut\",\"count\":{count}}}");
-            batch.push(&mut output, &line, left_out);
+            batch.push(&mut output, &line, dropped);
         }
-        batch.write(&mut output, left_out);
+        batch.write(&mut output, dropped);
     }
 }
 
-/// Lines that go out with one write.
+/// Lines that are written together.
 #[derive(Default)]
 struct Batch {
     text: String,
@@ -119,20 +120,20 @@
 }
 
 impl Batch {
-    fn push(&mut self, output: &mut impl Write, line: &str, left_out: &AtomicU64) {
-        if self.text.len() + line.len() >= MOST_WRITTEN {
-            self.write(output, left_out);
+    fn push(&mut self, output: &mut impl Write, line: &str, dropped: &AtomicU64) {
+        if self.text.len() + line.len() >= MAX_BATCH_BYTES {
+            self.write(output, dropped);
         }
         self.text.push_str(line);
         self.text.push('\n');
         self.lines += 1;
     }
 
-    /// Whoever reads may be gone; then the process goes on without a log.
-    fn write(&mut self, output: &mut impl Write, left_out: &AtomicU64) {
+    /// Writes and clears the batch. On a write error, its lines are counted as dropped.
+    fn write(&mut self, output: &mut impl Write, dropped: &AtomicU64) {
         let written = output.write_all(self.text.as_bytes()).and_then(|()| output.flush());
         if written.is_err() {
-            left_out.fetch_add(self.lines, Ordering::Relaxed);
+            dropped.fetch_add(self.lines, Ordering::Relaxed);
         }
         self.text.clear();
         self.lines = 0;
--- a/crates/telemetry/src/events.rs
+++ b/crates/telemetry/src/events.rs
@@ -1,6 +1,6 @@
-//! Every log event has a number that never changes its meaning.
+//! Log events with stable codes.
 //!
-//! `docs/EVENTS.md` is the catalogue; a test compares it with this list.
+//! A test compares this list with the catalogue `docs/EVENTS.md`.
 
 use std::fmt;
 
@@ -8,27 +8,27 @@
 
 macro_rules! events {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $level:ident;)+) => {
-        /// A numbered event.
+        /// Log event with a stable code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $($(#[$doc])* $name,)+
         }
 
         impl Event {
-            /// Every event, by number.
+            /// All events, in order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$name),+];
 
-            /// Its number.
+            /// Returns the event code.
             pub const fn code(self) -> u16 {
                 match self { $(Self::$name => $code),+ }
             }
 
-            /// Its name in the catalogue.
+            /// Returns the name in the catalogue.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$name => stringify!($name)),+ }
             }
 
-            /// The level it is logged at.
+            /// Returns the log level.
             pub const fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level),+ }
             }
@@ -37,140 +37,140 @@
 }
 
 events! {
-    /// A role has bound its sockets and serves.
+    /// A process role has bound its sockets and accepts requests.
     RoleStarted = 1001, Info;
-    /// A planned stop began.
+    /// A graceful shutdown was requested.
     StopRequested = 1002, Info;
-    /// A planned stop ended; nothing was cut.
+    /// A graceful shutdown completed without interrupting any request.
     StopFinished = 1003, Info;
-    /// A planned stop ended by force.
+    /// The process stopped without completing a graceful shutdown.
     StopForced = 1004, Warn;
-    /// The settings file has changed.
+    /// The settings file was reloaded after a change.
     SettingsReloaded = 1005, Info;
-    /// A replica became leader of a group.
+    /// A replica became leader of its group.
     BecameLeader = 2001, Info;
-    /// A replica stopped leading a group.
+    /// A replica is no longer leader of its group.
     LostLeadership = 2002, Info;
-    /// The tail of a log was incomplete and was cut.
+    /// An incomplete entry at the end of a log was truncated.
     LogTailCut = 2003, Warn;
-    /// A log or snapshot is damaged; the replica stops.
+    /// A log or snapshot is corrupt; the replica stops.
     LogCorrupt = 2004, Error;
-    /// A write to disk failed; the replica stops taking part.
+    /// A disk write failed; the replica no longer participates in its group.
     DiskFailed = 2005, Error;
-    /// A snapshot was written and the log before it dropped.
+    /// A snapshot was written and the log before it discarded.
     LogCompacted = 2006, Info;
-    /// A replica installed a snapshot from its leader.
+    /// A replica installed a snapshot received from its leader.
     SnapshotInstalled = 2007, Info;
-    /// A leader's flushes take long; it gives the leadership away.
+    /// A leader's disk flushes are slow; it transfers the leadership.
     SlowLeader = 2008, Warn;
-    /// A replica has read its log after a start.
+    /// A replica has read its log on startup.
     LogOpened = 2009, Info;
-    /// A leader gives the leadership to a machine that is nearer to the load and to a quorum.
+    /// A leader transfers the leadership to a machine closer to the load and to a quorum.
     LeaderMoved = 2010, Info;
-    /// A new leader has applied all that earlier leaders have committed.
+    /// A new leader has applied all entries committed by earlier leaders.
     LeaderCaughtUp = 2011, Info;
-    /// An entry or a snapshot is of a kind that this build does not know; the replica stops.
+    /// A log entry or snapshot has a type unknown to this build; the replica stops.
     LogUnreadable = 2012, Error;
-    /// A frame from a peer could not be read; the link was closed.
+    /// A frame from a peer could not be decoded; the connection was closed.
     FrameRefused = 3001, Warn;
-    /// A connection was refused since the limit is reached.
+    /// A connection was refused because the connection limit is reached.
     LinkLimitReached = 3002, Warn;
-    /// A caller's request was refused before it was parsed whole.
+    /// A request was rejected before it was fully parsed.
     RequestRefused = 4001, Debug;
-    /// A connection was closed since its body came too slowly.
+    /// A connection was closed because its request body arrived too slowly.
     SlowBodyClosed = 4002, Warn;
-    /// A request was refused since every worker is busy.
+    /// A request was rejected because all workers are busy and the queue is full.
     WorkersBusy = 4003, Warn;
-    /// A caller went away before its answer was complete; the call goes on.
+    /// A client disconnected before its response was complete; the call continues.
     CallerGone = 4004, Info;
     /// An attempt on a back end failed.
     AttemptFailed = 4101, Warn;
-    /// A call of a lost gateway was taken over.
+    /// A call of a failed gateway was taken over.
     CallTakenOver = 4102, Info;
-    /// An answer frame belonged to another attempt and was dropped.
+    /// A response frame belonged to a different attempt and was discarded.
     FrameMismatch = 4103, Error;
-    /// The outcome of a call could not be learned.
+    /// The outcome of a call could not be determined.
     OutcomeUnknown = 4104, Warn;
-    /// A request's last line: what became of it.
+    /// A request ended; logged once per request, with its result.
     RequestEnded = 4105, Info;
-    /// A replica broke off a stream.
+    /// A replica ended a streamed response before it was complete.
     StreamBroken = 4106, Warn;
-    /// The end of a turn could not be noted; it stays charged with its most.
+    /// The end of a turn could not be recorded; the turn stays charged at its maximum.
     SettlementLost = 4107, Warn;
-    /// A gateway read a request whole and found its route.
+    /// A gateway has read a complete request and found its route.
     RequestTaken = 4108, Info;
-    /// The ledger answered whether a turn may run.
+    /// The ledger replied whether a turn may run.
     TurnReserved = 4109, Info;
-    /// A request goes to a replica.
+    /// A request is sent to a replica.
     RequestSent = 4110, Info;
-    /// The end of a turn is durable.
+    /// The end of a turn is stored durably.
     TurnSettled = 4111, Info;
-    /// It is decided when and where a turn runs that had to wait.
+    /// Outcome of the placement of a turn that had to wait.
     TurnPlaced = 4112, Info;
-    /// What the leader has learned of a service's engines.
+    /// The leader's estimate of the speed of a service's engines.
     EngineSpeed = 4113, Info;
-    /// A replica failed one request after the other; no gateway uses it for a while.
+    /// A replica failed several requests in a row; gateways avoid it for some time.
     ReplicaLeftAlone = 4114, Warn;
-    /// A tenant has used up most of what its limit allows.
+    /// A tenant has used most of its limit.
     LimitPressed = 4115, Info;
-    /// A new leader counts what earlier leaders have noted as issued towards the limits of tenants.
+    /// A new leader counts permits issued by earlier leaders towards tenant limits.
     PermitsInherited = 4116, Info;
-    /// Replicas became cold or warm, as the leader knows it.
+    /// The leader's set of cold replicas changed.
     ColdReplicasChanged = 4121, Info;
-    /// Replicas started again under the identity that they had.
+    /// Replicas restarted with an unchanged identity.
     ReplicasRestarted = 4122, Info;
-    /// Engine memory of an ended program was released.
+    /// An engine released the cache of a program that has ended.
     CacheReleased = 4201, Debug;
-    /// A release order failed and will be retried.
+    /// A request to release cache failed and will be retried.
     CacheReleaseFailed = 4202, Warn;
-    /// A listing of an engine showed memory of a program that has ended.
+    /// An engine's cache listing contains a program that has ended.
     CacheOrphanFound = 4203, Warn;
-    /// Cache events were missing; the engine is listed anew.
+    /// Cache events were lost; the engine's cache is listed again.
     CacheEventGap = 4204, Info;
-    /// A node took over an engine's queue.
+    /// A node took ownership of an engine's queue.
     EngineOwned = 4301, Info;
-    /// A node no longer owns an engine's queue.
+    /// A node lost ownership of an engine's queue.
     EngineDisowned = 4302, Info;
     /// A node lost its lease and starts no new work.
     LeaseLost = 5001, Warn;
-    /// A node holds a lease again.
+    /// A node acquired a lease again.
     LeaseHeld = 5002, Info;
     /// A node applied a newer revision of the configuration.
     ConfigurationApplied = 5003, Info;
     /// An operator's change was accepted.
     ChangeAccepted = 5101, Info;
-    /// An operator's change was refused.
+    /// An operator's change was rejected.
     ChangeRefused = 5102, Info;
-    /// An operator's call was understood and answered.
+    /// An operator's control request was parsed and answered.
     ControlCall = 5103, Info;
-    /// A ledger machine has applied a change of the drained zones.
+    /// A ledger machine applied a change of the drained zones.
     ZonesDrained = 5104, Info;
-    /// A gateway has a connection to the ledger's leader.
+    /// A gateway connected to the ledger's leader.
     LedgerConnected = 5201, Info;
-    /// A gateway gave up on a ledger machine and turns to another.
+    /// A gateway gave up on a ledger machine and switches to another.
     LedgerLost = 5202, Warn;
-    /// An answer to a gateway cannot be encoded, or is too long for a frame.
+    /// A reply to a gateway cannot be encoded or exceeds the frame size limit.
     AnswerTooLong = 5207, Error;
-    /// A gateway does not take its answers; its connection is closed.
+    /// A gateway does not read its replies; its connection is closed.
     AnswersNotTaken = 5208, Warn;
-    /// The leader was silent; another machine was asked whether it still leads.
+    /// The ledger's leader did not respond; another machine was asked whether it still leads.
     LedgerSilent = 5206, Warn;
     /// A gateway applied a list of replicas.
     ListApplied = 5204, Info;
-    /// What a ledger machine sent and took so far, in bytes.
+    /// Total bytes that a ledger machine has sent and received.
     TrafficCounted = 5209, Info;
-    /// Homes in a configuration leave some requests nowhere to go.
+    /// The home regions in a configuration leave some requests without a usable replica.
     HomeQuestionable = 5210, Warn;
-    /// A gateway sends nothing more to the replicas of these zones.
+    /// A gateway stopped sending requests to the replicas of drained zones.
     DrainApplied = 5211, Info;
-    /// The platform's list of machines could not be read.
+    /// The platform's machine list could not be read.
     PlatformUnreachable = 6001, Warn;
-    /// Some entries of the platform's list name no replica to use.
+    /// Some entries of the platform's machine list do not describe a usable replica.
     ListEntriesLeftOut = 6002, Warn;
 }
 
 impl Event {
-    /// Steps on the way of a request that goes well.
+    /// Events logged at the intermediate steps of a successful request.
     pub const REQUEST_STEPS: [Self; 4] =
         [Self::RequestTaken, Self::TurnReserved, Self::RequestSent, Self::TurnSettled];
 }
@@ -181,8 +181,8 @@
     }
 }
 
-/// Logs `event` at its level, with fields (`emit!(event; key = value)`, each value shown
-/// by `Display`) or with a message in `format!` syntax (`emit!(event, "...")`).
+/// Logs `event` at its level, with fields (`emit!(event; key = value)`, each value formatted
+/// with `Display`) or with a message in `format!` syntax (`emit!(event, "...")`).
 #[macro_export]
 macro_rules! emit {
     ($event:expr; $($key:ident = $value:expr),+ $(,)?) => {{
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Numbered log events, log output, and the registry of metrics.
+//! Numbered log events, log output and the metrics registry.
 
 pub mod bounded;
 pub mod events;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output through `fern`: text for people or JSON for machines.
+//! Logger setup and line formatting, as plain text or JSON.
 
 use eyre::{Result, WrapErr};
 use log::kv::{Error, Key, Value, VisitSource};
@@ -7,104 +7,100 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-use crate::bounded::{BoundedOutput, LineClass};
+use crate::bounded::{LinePriority, NonBlockingWriter};
 use crate::events::Event;
 
-/// Shape of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line for people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged and how.
+/// Logger settings.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Shape of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Least severe level that is written.
+    /// Maximum verbosity that is written.
     pub level: LevelFilter,
-    /// Name of the process, in every JSON line; empty for none.
+    /// Node name added to every JSON line; omitted if empty.
     pub node: String,
 }
 
-/// Installs the process's logger on standard error.
+/// Installs a logger that writes to standard error and blocks if standard error does.
 ///
 /// # Errors
-/// When a logger was installed before.
+/// Returns an error if a logger is already installed.
 pub fn install(settings: LogSettings) -> Result<()> {
     let level = settings.level;
     fern::Dispatch::new()
         .level(level)
         .format(move |out, message, record| {
-            let line = line(&settings, &message.to_string(), record);
+            let line = format_line(&settings, &message.to_string(), record);
             out.finish(format_args!("{line}"));
         })
         .chain(std::io::stderr())
         .apply()
-        .wrap_err("a logger is installed already")
+        .wrap_err("a logger is already installed")
 }
 
-/// Installs a logger on standard output that never waits for whoever reads it.
+/// Installs a logger that writes to standard output without blocking the caller.
 ///
 /// # Errors
-/// When a logger was installed before, or no thread can be started.
+/// Returns an error if a logger is already installed or the writer thread cannot be started.
 pub fn install_bounded(settings: LogSettings) -> Result<()> {
     let level = settings.level;
-    let output = BoundedOutput::start(std::io::stdout())?;
+    let output = NonBlockingWriter::start(std::io::stdout())?;
     let write = move |record: &Record<'_>| {
-        let line = line(&settings, &record.args().to_string(), record);
-        output.write(class(record), line);
+        let line = format_line(&settings, &record.args().to_string(), record);
+        output.write(line_priority(record), line);
     };
     fern::Dispatch::new()
         .level(level)
         .chain(fern::Output::call(write))
         .apply()
-        .wrap_err("a logger is installed already")
+        .wrap_err("a logger is already installed")
 }
 
-/// Gives lines that wait time to be written, before the process ends.
+/// Waits for queued lines to be written; call it before the process exits.
 pub fn drain() {
-    std::thread::sleep(crate::bounded::DRAIN);
+    std::thread::sleep(crate::bounded::DRAIN_DELAY);
 }
 
-fn class(record: &Record<'_>) -> LineClass {
+fn line_priority(record: &Record<'_>) -> LinePriority {
     let code = event_code(record);
     let is_step = code
         .is_some_and(|code| Event::REQUEST_STEPS.iter().any(|step| code == u64::from(step.code())));
-    if is_step && record.level() >= Level::Info {
-        LineClass::Ordinary
-    } else {
-        LineClass::Essential
-    }
+    if is_step && record.level() >= Level::Info { LinePriority::Low } else { LinePriority::High }
 }
 
-fn line(settings: &LogSettings, message: &str, record: &Record<'_>) -> String {
+fn format_line(settings: &LogSettings, message: &str, record: &Record<'_>) -> String {
     match settings.format {
-        LogFormat::Text => text_line(message, record),
-        LogFormat::Json => json_line(&settings.node, message, record),
+        LogFormat::Text => format_text_line(message, record),
+        LogFormat::Json => format_json_line(&settings.node, message, record),
     }
 }
 
-fn text_line(message: &str, record: &Record<'_>) -> String {
-    let mut fields = Fields(Map::new());
+fn format_text_line(message: &str, record: &Record<'_>) -> String {
+    let mut fields = FieldCollector(Map::new());
     let _ = record.key_values().visit(&mut fields);
     fields.0.remove(EVENT_KEY);
     let name =
-        event_of(record).map_or_else(String::new, |event| format!("{event} {} ", event.name()));
-    let shown: Vec<String> = fields.0.iter().map(|(key, value)| format!("{key}={value}")).collect();
-    format!("{} {:5} {name}{message}{}", timestamp(), record.level(), shown.join(" "))
+        record_event(record).map_or_else(String::new, |event| format!("{event} {} ", event.name()));
+    let pairs: Vec<String> = fields.0.iter().map(|(key, value)| format!("{key}={value}")).collect();
+    format!("{} {:5} {name}{message}{}", timestamp(), record.level(), pairs.join(" "))
 }
 
-fn json_line(node: &str, message: &str, record: &Record<'_>) -> String {
-    let mut fields = Fields(Map::new());
+fn format_json_line(node: &str, message: &str, record: &Record<'_>) -> String {
+    let mut fields = FieldCollector(Map::new());
     let _ = record.key_values().visit(&mut fields);
     let mut object = fields.0;
     object.insert("time".to_owned(), timestamp().into());
     object.insert("level".to_owned(), record.level().as_str().into());
-    if let Some(event) = event_of(record) {
+    if let Some(event) = record_event(record) {
         object.insert("name".to_owned(), event.name().into());
     }
     if !node.is_empty() {
@@ -116,14 +112,14 @@
     serde_json::Value::Object(object).to_string()
 }
 
-/// Gathers the fields of a record.
-struct Fields(Map<String, serde_json::Value>);
+/// Collects the key-value pairs of a record.
+struct FieldCollector(Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> std::result::Result<(), Error> {
         let value = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => number.into(),
-            (None, Some(truth)) => truth.into(),
+            (None, Some(flag)) => flag.into(),
             (None, None) => value.to_string().into(),
         };
         self.0.insert(key.as_str().to_owned(), value);
@@ -137,7 +133,7 @@
     record.key_values().get(Key::from_str(EVENT_KEY))?.to_u64()
 }
 
-fn event_of(record: &Record<'_>) -> Option<Event> {
+fn record_event(record: &Record<'_>) -> Option<Event> {
     let code = event_code(record)?;
     Event::ALL.iter().copied().find(|event| u64::from(event.code()) == code)
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The process-wide metrics registry and its text form.
+//! Metric types and the text rendering of the process-wide Prometheus registry.
 //!
-//! Metrics are declared beside the code that they count; this module only collects them.
+//! Metrics are declared as statics next to the code that updates them.
 
 use std::sync::OnceLock;
 
@@ -11,10 +11,10 @@
     register_int_counter_vec, register_int_gauge,
 };
 
-/// Content type of [`render`]'s text.
+/// Content type of the text that [`render`] returns.
 pub const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// All metrics of the process in the Prometheus text format.
+/// Renders all metrics of the process in the Prometheus text format.
 pub fn render() -> String {
     let mut text = Vec::new();
     let families = prometheus::gather();
@@ -25,7 +25,7 @@
     String::from_utf8(text).unwrap_or_default()
 }
 
-/// A counter with one label, registered when it first counts.
+/// Counter with one label, registered on first use.
 pub struct Counter {
     name: &'static str,
     help: &'static str,
@@ -34,17 +34,17 @@
 }
 
 impl Counter {
-    /// A counter called `name`, told apart by the values of `label`.
+    /// Creates a counter with the given name, help text and label name.
     pub const fn new(name: &'static str, help: &'static str, label: &'static str) -> Self {
         Self { name, help, label, registered: OnceLock::new() }
     }
 
-    /// Counts one under `value` of the label.
+    /// Increments the counter for the label value `value`.
     pub fn count(&self, value: &str) {
         self.add(value, 1);
     }
 
-    /// Counts `amount` under `value` of the label.
+    /// Adds `amount` to the counter for the label value `value`.
     pub fn add(&self, value: &str, amount: u64) {
         let registered = self
             .registered
@@ -55,8 +55,7 @@
     }
 }
 
-/// Bytes that were sent, by what they are and how far they went; registered when the first are
-/// counted.
+/// Counter of sent bytes by kind of traffic and network distance, registered on first use.
 pub struct TrafficCounter {
     name: &'static str,
     help: &'static str,
@@ -64,12 +63,12 @@
 }
 
 impl TrafficCounter {
-    /// A counter called `name`, with the labels `kind` and `distance`.
+    /// Creates a counter with the labels `kind` and `distance`.
     pub const fn new(name: &'static str, help: &'static str) -> Self {
         Self { name, help, registered: OnceLock::new() }
     }
 
-    /// Counts bytes of this kind that went so far.
+    /// Adds `bytes` to the counter for `kind` and `distance`.
     pub fn add(&self, kind: &str, distance: &str, bytes: usize) {
         let labels = &["kind", "distance"];
         let registered = self
@@ -81,7 +80,7 @@
     }
 }
 
-/// A value that goes up and down, registered when it is first shown.
+/// Gauge without labels, registered on first use.
 pub struct Gauge {
     name: &'static str,
     help: &'static str,
@@ -89,12 +88,12 @@
 }
 
 impl Gauge {
-    /// A gauge called `name`.
+    /// Creates a gauge with the given name and help text.
     pub const fn new(name: &'static str, help: &'static str) -> Self {
         Self { name, help, registered: OnceLock::new() }
     }
 
-    /// Shows `value`.
+    /// Sets the gauge to `value`.
     pub fn show(&self, value: u64) {
         let registered =
             self.registered.get_or_init(|| register_int_gauge!(self.name, self.help).ok());
@@ -104,11 +103,11 @@
     }
 }
 
-/// Upper bounds of the buckets of times, in seconds.
-const TIME_BUCKETS: [f64; 14] =
+/// Upper bounds of the histogram buckets, in seconds.
+const DURATION_BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-/// Times with one label, registered when one is first measured.
+/// Histogram of durations with one label, registered on first use.
 pub struct Times {
     name: &'static str,
     help: &'static str,
@@ -117,19 +116,19 @@
 }
 
 impl Times {
-    /// Times called `name`, told apart by the values of `label`.
+    /// Creates a histogram with the given name, help text and label name.
     pub const fn new(name: &'static str, help: &'static str, label: &'static str) -> Self {
         Self { name, help, label, registered: OnceLock::new() }
     }
 
-    /// Notes one time under `value` of the label.
-    pub fn note(&self, value: &str, time: Duration) {
+    /// Records one duration under the label value `value`.
+    pub fn note(&self, value: &str, duration: Duration) {
         let registered = self.registered.get_or_init(|| {
-            let buckets = TIME_BUCKETS.to_vec();
+            let buckets = DURATION_BUCKETS.to_vec();
             register_histogram_vec!(self.name, self.help, &[self.label], buckets).ok()
         });
-        if let Some(times) = registered {
-            times.with_label_values(&[value]).observe(time.as_secs_f64());
+        if let Some(histogram) = registered {
+            histogram.with_label_values(&[value]).observe(duration.as_secs_f64());
         }
     }
 }
--- a/crates/telemetry/tests/bounded.rs
+++ b/crates/telemetry/tests/bounded.rs
@@ -1,22 +1,22 @@
-//! Logging never waits for whoever reads the log.
+//! Log output does not block the caller, counts dropped lines and prefers high-priority lines.
 
 use std::io::{self, Write};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-use calicohoist_telemetry::bounded::{BoundedOutput, LineClass};
+use calicohoist_telemetry::bounded::{LinePriority, NonBlockingWriter};
 use parking_lot::Mutex;
 
-/// An output that takes nothing until it is told to.
-struct Blocked {
+/// Output that blocks each write until the release sender signals or is dropped.
+struct BlockedOutput {
     release: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Blocked {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error means that nobody releases it any more.
+        // An error means that the sender was dropped; writes then no longer block.
         let _ = self.release.recv();
         self.written.lock().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -27,57 +27,57 @@
     }
 }
 
-fn blocked() -> (Blocked, Sender<()>, Arc<Mutex<Vec<u8>>>) {
-    let (release, released) = channel();
+fn blocked_output() -> (BlockedOutput, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+    let (release, receiver) = channel();
     let written: Arc<Mutex<Vec<u8>>> = Arc::default();
-    (Blocked { release: released, written: Arc::clone(&written) }, release, written)
+    (BlockedOutput { release: receiver, written: Arc::clone(&written) }, release, written)
 }
 
 #[test]
-fn an_output_that_nobody_reads_holds_nobody_up() {
-    let (output, release, _written) = blocked();
-    let log = BoundedOutput::start(output).expect("a thread");
+fn blocked_output_does_not_block_the_caller() {
+    let (output, release, _written) = blocked_output();
+    let log = NonBlockingWriter::start(output).expect("a thread");
     for number in 0..50_000 {
-        log.write(LineClass::Ordinary, format!("line {number}"));
+        log.write(LinePriority::Low, format!("line {number}"));
     }
-    assert!(log.left_out() > 40_000, "{}", log.left_out());
+    assert!(log.dropped() > 40_000, "{}", log.dropped());
     drop(release);
 }
 
 #[test]
-fn what_was_left_out_is_counted_and_told() {
-    let (output, release, written) = blocked();
-    let log = BoundedOutput::start(output).expect("a thread");
+fn dropped_lines_are_counted_and_reported() {
+    let (output, release, written) = blocked_output();
+    let log = NonBlockingWriter::start(output).expect("a thread");
     for number in 0..20_000 {
-        log.write(LineClass::Ordinary, format!("line {number}"));
+        log.write(LinePriority::Low, format!("line {number}"));
     }
     drop(release);
     let text = || String::from_utf8_lossy(&written.lock()).into_owned();
     while !text().contains("LinesLeftOut") {
-        log.write(LineClass::Essential, "again".to_owned());
+        log.write(LinePriority::High, "again".to_owned());
         thread::yield_now();
     }
-    let told = text();
-    let written_lines = told.lines().filter(|line| line.starts_with("line ")).count();
+    let logged = text();
+    let written_lines = logged.lines().filter(|line| line.starts_with("line ")).count();
     assert!(written_lines < 20_000);
 }
 
 #[test]
-fn ends_and_failures_go_before_steps() {
-    let (output, release, written) = blocked();
-    let log = BoundedOutput::start(output).expect("a thread");
+fn high_priority_lines_survive_a_low_priority_flood() {
+    let (output, release, written) = blocked_output();
+    let log = NonBlockingWriter::start(output).expect("a thread");
     for _ in 0..20_000 {
-        log.write(LineClass::Ordinary, "step".to_owned());
+        log.write(LinePriority::Low, "step".to_owned());
     }
     for _ in 0..100 {
-        log.write(LineClass::Essential, "end".to_owned());
+        log.write(LinePriority::High, "end".to_owned());
     }
     drop(release);
-    let ends = || {
+    let end_lines = || {
         let written = written.lock();
         String::from_utf8_lossy(&written).lines().filter(|line| *line == "end").count()
     };
-    while ends() < 100 {
+    while end_lines() < 100 {
         thread::yield_now();
     }
 }
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The events in the code and those in docs/EVENTS.md are the same.
+//! Checks that the events in the code match the catalogue docs/EVENTS.md.
 
 use std::collections::BTreeSet;
 
@@ -6,8 +6,8 @@
 
 const CATALOGUE: &str = include_str!("../../../docs/EVENTS.md");
 
-/// Rows of the catalogue's tables: code, name and level.
-fn catalogued() -> BTreeSet<String> {
+/// Returns code, name and level of each row of the catalogue's tables.
+fn catalogue_rows() -> BTreeSet<String> {
     let rows = CATALOGUE.lines().filter(|line| line.starts_with("| CH"));
     rows.map(|row| {
         let cells: Vec<&str> = row.split('|').map(str::trim).collect();
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn every_event_is_catalogued_and_every_row_is_an_event() {
+fn events_match_the_catalogue() {
     let in_code: BTreeSet<String> = Event::ALL
         .iter()
         .map(|event| format!("{event} {} {}", event.name(), event.level().as_str().to_lowercase()))
         .collect();
-    assert_eq!(in_code, catalogued());
+    assert_eq!(in_code, catalogue_rows());
 }
 
 #[test]
-fn numbers_are_unique() {
-    let numbers: BTreeSet<u16> = Event::ALL.iter().map(|event| event.code()).collect();
-    assert_eq!(numbers.len(), Event::ALL.len());
+fn event_codes_are_unique() {
+    let codes: BTreeSet<u16> = Event::ALL.iter().map(|event| event.code()).collect();
+    assert_eq!(codes.len(), Event::ALL.len());
 }
