--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -7,8 +7,8 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-use crate::bounded::{LinePriority, NonBlockingWriter};
 use crate::events::Event;
+use crate::non_blocking::{LinePriority, NonBlockingWriter};
 
 /// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 
 /// Waits for queued lines to be written; call it before the process exits.
 pub fn drain() {
-    std::thread::sleep(crate::bounded::DRAIN_DELAY);
+    std::thread::sleep(crate::non_blocking::DRAIN_DELAY);
 }
 
 fn line_priority(record: &Record<'_>) -> LinePriority {
--- a/crates/telemetry/tests/bounded.rs
+++ b/crates/telemetry/tests/non_blocking.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-use calicohoist_telemetry::bounded::{LinePriority, NonBlockingWriter};
+use calicohoist_telemetry::non_blocking::{LinePriority, NonBlockingWriter};
 use parking_lot::Mutex;
 
 /// Output that blocks each write until the release sender signals or is dropped.
