--- a/crates/types/src/backend_api.rs
+++ b/crates/types/src/backend_api.rs
@@ -1,162 +1,162 @@
-//! JSON shapes of the back ends' own endpoints, beside the OpenAI shapes.
+//! JSON types of the back ends' endpoints that are not part of the OpenAI API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{EngineId, ModelId, ProgramId};
 
-/// `GET /v1/load` of an engine. The figures lag.
+/// Response to `GET /v1/load` of an engine. The values may be stale.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in the batch.
+    /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
     /// Cache blocks in use.
     pub used_blocks: u64,
-    /// Cache blocks in all.
+    /// Total number of cache blocks.
     pub total_blocks: u64,
-    /// The engine takes no new work.
+    /// Whether the engine is shutting down and accepts no new requests.
     pub leaving: bool,
 }
 
-/// `GET /v1/cache` of an engine.
+/// Response to `GET /v1/cache` of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheListing {
-    /// Programs with the tokens held for each.
+    /// Programs in the cache.
     pub programs: Vec<CachedProgram>,
 }
 
 /// One program in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedProgram {
-    /// The program.
+    /// Program that owns the cached tokens.
     pub program: ProgramId,
-    /// Tokens held for it.
+    /// Number of cached tokens.
     pub tokens: u64,
 }
 
-/// Answer to `DELETE /v1/cache/{program}`.
+/// Response to `DELETE /v1/cache/{program}`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheReleased {
-    /// Tokens freed.
+    /// Number of tokens freed.
     pub tokens: u64,
 }
 
-/// One cache event of an engine. Events come late, and some never come.
+/// Cache event of an engine. Delivery is delayed and not guaranteed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Numbers the events; a missing number is a lost event.
+    /// Consecutive event number; a gap means that events were lost.
     pub number: u64,
-    /// The program.
+    /// Program whose cached tokens changed.
     pub program: ProgramId,
-    /// Tokens held for it now.
+    /// Number of cached tokens after the change.
     pub tokens: u64,
 }
 
-/// A history taken out of an engine, to be put into another.
+/// Cached history exported from one engine for import into another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportedCache {
-    /// The program.
+    /// Program that owns the history.
     pub program: ProgramId,
-    /// Chained hashes of its blocks.
+    /// Chained hashes of the cache blocks.
     pub blocks: Vec<u64>,
-    /// Microseconds that the transfer takes at the link's bandwidth.
+    /// Transfer time at the link's bandwidth, in microseconds.
     pub transfer_micros: u64,
 }
 
-/// `POST /v1/orders` of an engine: obeyed only when newer than all before.
+/// Body of `POST /v1/orders` of an engine: a command that is executed only if its epoch and
+/// sequence number are newer than those of all earlier commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// Epoch of the controller.
+    /// Epoch of the sender.
     pub epoch: u64,
-    /// Number of the order in that epoch.
+    /// Sequence number within the epoch.
     pub sequence: u64,
-    /// What to do.
+    /// Command to execute.
     pub order: EngineInstruction,
 }
 
-/// What an engine may be ordered to do.
+/// Command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EngineInstruction {
-    /// Load a version of a model in place of the present one.
+    /// Replaces the loaded model.
     LoadModel {
-        /// The model.
+        /// Model to load.
         model: ModelId,
-        /// Its version.
+        /// Version of the model.
         version: String,
     },
-    /// Load an adapter beside the model.
+    /// Loads an adapter for the loaded model.
     LoadAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Change the role.
+    /// Changes the role.
     SetRole {
-        /// The role.
+        /// New role.
         role: EngineRole,
     },
-    /// Take no new work from now on.
+    /// Stops accepting new requests.
     Leave,
 }
 
-/// What part of the work an engine does.
+/// Inference phases that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prompts and generation.
+    /// Prefill and decode.
     #[default]
     Both,
-    /// Prompts only.
+    /// Prefill (prompt processing) only.
     Prefill,
-    /// Generation only.
+    /// Decode (token generation) only.
     Decode,
 }
 
-/// Answer to [`FencedOrder`].
+/// Response to [`FencedOrder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Whether it was newer than all before, and is obeyed.
+    /// Whether the command was newer than all earlier ones and is executed.
     pub accepted: bool,
     /// Highest epoch seen.
     pub epoch: u64,
-    /// Highest number seen in that epoch.
+    /// Highest sequence number seen in that epoch.
     pub sequence: u64,
 }
 
-/// `POST /v1/jobs` of a tool service.
+/// Body of `POST /v1/jobs` of a tool service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRequest {
-    /// The key under which the job is counted.
+    /// Idempotency key of the job.
     pub key: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Input.
+    /// Input of the job.
     pub input: String,
 }
 
-/// Answer to [`JobRequest`], and to `GET /v1/jobs/{key}` where the slashes of
-/// the key are written as `:`.
+/// Response to [`JobRequest`], and to `GET /v1/jobs/{key}` with `/` in the key replaced by `:`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobResult {
-    /// The key.
+    /// Idempotency key of the job.
     pub key: String,
-    /// What the service says.
+    /// Output of the service.
     pub output: String,
 }
 
-/// `POST /v1/transfers` of the weight store.
+/// Body of `POST /v1/transfers` of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// The engine that loads.
+    /// Engine that loads the weights.
     pub engine: EngineId,
-    /// The model.
+    /// Model whose weights are loaded.
     pub model: ModelId,
 }
 
-/// Answer to [`TransferRequest`].
+/// Response to [`TransferRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferReply {
-    /// Microseconds until the weights have arrived, waiting for other transfers included.
+    /// Microseconds until the weights have arrived, including the wait for other transfers.
     pub ready_in_micros: u64,
 }
--- a/crates/types/src/chat.rs
+++ b/crates/types/src/chat.rs
@@ -1,25 +1,25 @@
-//! Chat messages and token counts in the shape of the OpenAI HTTP API.
+//! Chat messages and token counts, as in the OpenAI HTTP API.
 
 use serde::{Deserialize, Serialize};
 
-/// Who wrote a message.
+/// Author of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions that come before the conversation.
+    /// Instructions that precede the conversation.
     System,
-    /// Instructions by the application (newer name for system messages).
+    /// Instructions from the application (newer name of `system`).
     Developer,
-    /// The person or program that asks.
+    /// The end user or client program.
     User,
     /// The model.
     Assistant,
-    /// The result of a tool.
+    /// Result of a tool call.
     Tool,
 }
 
 impl Role {
-    /// The role as it stands in JSON.
+    /// Returns the name used in JSON.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::System => "system",
@@ -31,57 +31,57 @@
     }
 }
 
-/// One message of a conversation.
+/// Message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who wrote it.
+    /// Author of the message.
     pub role: Role,
-    /// Its text.
+    /// Text of the message.
     pub content: String,
 }
 
 impl ChatMessage {
-    /// A message of `role` with `content`.
+    /// Creates a message.
     pub fn new(role: Role, content: impl Into<String>) -> Self {
         Self { role, content: content.into() }
     }
 
-    /// Estimated prompt tokens of this message, its role marker included.
+    /// Estimates the prompt tokens of this message, including its role marker.
     pub fn tokens(&self) -> u64 {
-        ROLE_MARKER_TOKENS + count_tokens(&self.content)
+        ROLE_MARKER_TOKENS + estimate_tokens(&self.content)
     }
 }
 
-/// Prompt tokens that the role marker of a message takes.
+/// Prompt tokens of a message's role marker.
 pub const ROLE_MARKER_TOKENS: u64 = 1;
 
-/// Longest run of bytes without white space that counts as one token.
+/// Maximum number of bytes of a word that count as one token.
 const BYTES_PER_TOKEN: usize = 12;
 
-/// Estimates the tokens of `text`: one per started 12 bytes of each word.
+/// Estimates the tokens of `text`: each word counts one token per 12 bytes, rounded up.
 ///
-/// The estimate is used to reserve budget before the back end reports usage; it
-/// equals the emulated engines' tokenizer.
-pub fn count_tokens(text: &str) -> u64 {
+/// The estimate is used to reserve budget before the back end reports its usage. The emulated
+/// engines count tokens in the same way.
+pub fn estimate_tokens(text: &str) -> u64 {
     let tokens: usize =
         text.split_whitespace().map(|word| word.len().div_ceil(BYTES_PER_TOKEN)).sum();
     tokens as u64
 }
 
-/// Tokens that one call used, as its back end reported them.
+/// Token usage of a call, as reported by its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the whole prompt.
+    /// Tokens of the prompt, including cached ones.
     pub prompt_tokens: u64,
     /// Generated tokens.
     pub completion_tokens: u64,
-    /// Prompt tokens that the engine already held and did not compute again.
+    /// Prompt tokens that the engine read from its cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
 impl Usage {
-    /// Prompt and generated tokens together: the amount a budget is charged.
+    /// Returns the sum of prompt and generated tokens, which is charged to the budget.
     pub const fn total(&self) -> u64 {
         self.prompt_tokens + self.completion_tokens
     }
--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Content digests, and the chained digest of a program's history.
+//! Content digests and the chained digest of a program's history.
 
 use std::fmt;
 
@@ -7,27 +7,27 @@
 use crate::chat::ChatMessage;
 use crate::ids::ProgramId;
 
-/// A 256-bit content digest (BLAKE3).
+/// 256-bit BLAKE3 digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The raw digest.
+    /// Returns the raw digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 
-    /// The first eight bytes as a number, for hash tables and seeds.
+    /// Returns the bytes eight bytes as a little-endian integer, for use as hash or seed.
     pub fn prefix(&self) -> u64 {
-        let mut first = [0; 8];
-        first.copy_from_slice(&self.0[..8]);
-        u64::from_le_bytes(first)
+        let mut bytes = [0; 8];
+        bytes.copy_from_slice(&self.0[..8]);
+        u64::from_le_bytes(bytes)
     }
 }
 
@@ -43,21 +43,21 @@
     }
 }
 
-/// Digest of a program's whole history so far.
+/// Chained digest of a program's message history.
 ///
-/// The program's name is the first link, so that equal messages in two programs
-/// have different digests and a mixed history cannot go unseen.
+/// The chain starts with the program's identifier, so that equal messages in two programs have
+/// different digests and histories of different programs are never confused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HistoryDigest(Digest);
 
 impl HistoryDigest {
-    /// Digest of the empty history of `program`.
+    /// Returns the digest of the empty history of `program`.
     pub fn empty(program: &ProgramId) -> Self {
         Self(Digest::of(program.as_str().as_bytes()))
     }
 
-    /// Digest after `message` was appended.
+    /// Returns the digest of this history with `message` appended.
     #[must_use]
     pub fn append(&self, message: &ChatMessage) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -68,7 +68,7 @@
         Self(Digest(*hasher.finalize().as_bytes()))
     }
 
-    /// Digest after all of `messages` were appended in order.
+    /// Returns the digest of this history with all `messages` appended in order.
     #[must_use]
     pub fn append_all<'a>(self, messages: impl IntoIterator<Item = &'a ChatMessage>) -> Self {
         messages.into_iter().fold(self, |digest, message| digest.append(message))
--- a/crates/types/src/finding.rs
+++ b/crates/types/src/finding.rs
@@ -1,35 +1,35 @@
-//! Findings: everything wrong with an input, each with its place, reported together.
+//! Validation errors with their location in the input, reported all at once.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Where in an input a finding stands. Lines and columns count from 1.
+/// Location in an input. Lines and columns are numbered from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// File, or another name of the input; empty for a request body.
+    /// File name or other name of the input; empty for a request body.
     pub file: String,
-    /// Line, when the input is text that a person wrote.
+    /// Line, if the input is a text file.
     pub line: Option<usize>,
-    /// Column, when the input is text that a person wrote.
+    /// Column, if the input is a text file.
     pub column: Option<usize>,
     /// Path of the field, such as `store.peers[1].address`.
     pub field: String,
 }
 
-/// One thing that is wrong, and what would have been accepted.
+/// Validation error with a description of the accepted values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// Where it is.
+    /// Location in the input.
     pub place: Place,
-    /// What is wrong.
+    /// Description of the error.
     pub problem: String,
-    /// What would be accepted.
+    /// Description of the accepted values.
     pub accepted: String,
 }
 
 impl Finding {
-    /// A finding about `field` of an input without lines.
+    /// Creates a finding for `field` of an input without line numbers.
     pub fn of_field(
         field: impl Into<String>,
         problem: impl Into<String>,
@@ -62,18 +62,18 @@
     }
 }
 
-/// A non-empty list of findings, as an error.
+/// Error that consists of one or more findings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("{}", self.joined())]
+#[error("{}", self.to_lines())]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// `Ok` when nothing was found.
-    pub fn into_result(found: Vec<Finding>) -> Result<(), Self> {
-        if found.is_empty() { Ok(()) } else { Err(Self(found)) }
+    /// Returns `Ok` if there are no findings.
+    pub fn into_result(findings: Vec<Finding>) -> Result<(), Self> {
+        if findings.is_empty() { Ok(()) } else { Err(Self(findings)) }
     }
 
-    fn joined(&self) -> String {
+    fn to_lines(&self) -> String {
         let lines: Vec<String> = self.0.iter().map(Finding::to_string).collect();
         lines.join("\n")
     }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,28 +1,28 @@
 //! Typed identifiers.
 //!
-//! Every name that crosses a process boundary has a type of its own, so that an
-//! engine cannot be passed where a program is wanted.
+//! Each kind of identifier that crosses a process boundary has its own type, so that the compiler
+//! rejects an engine identifier where a program identifier is expected.
 
 use std::borrow::Borrow;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest accepted name, in bytes, of any identifier a caller or operator chooses.
+/// Maximum length in bytes of a name chosen by a caller or operator.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Says whether `text` may be used as a name: 1 to [`MAX_NAME_BYTES`] bytes of
-/// ASCII letters, digits, `-`, `_`, `.` or `:`.
+/// Checks whether `text` is a valid name: 1 to [`MAX_NAME_BYTES`] bytes of ASCII letters, digits,
+/// `-`, `_`, `.` or `:`.
 pub fn is_valid_name(text: &str) -> bool {
-    let length_fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
-    length_fits && text.bytes().all(is_name_byte)
+    let is_valid_length = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+    is_valid_length && text.bytes().all(is_name_byte)
 }
 
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':')
 }
 
-macro_rules! text_id {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -30,17 +30,17 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name that was checked before or made by this project.
+            /// Wraps a name without validating it.
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
 
-            /// Parses a name given from outside; `None` unless [`is_valid_name`] holds.
+            /// Parses a name; returns `None` unless [`is_valid_name`] accepts it.
             pub fn parse(text: &str) -> Option<Self> {
                 is_valid_name(text).then(|| Self(text.to_owned()))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -60,53 +60,53 @@
     };
 }
 
-text_id!(
-    /// A program: a chain of dependent calls with one durable history.
+string_id!(
+    /// Identifies a program: a sequence of dependent calls that share a durable history.
     ProgramId
 );
-text_id!(
-    /// A tenant that owns programs and budgets.
+string_id!(
+    /// Identifies a tenant, which owns programs and budgets.
     TenantId
 );
-text_id!(
-    /// A model by its public name, as in `GET /v1/models`.
+string_id!(
+    /// Identifies a model by its public name, as in `GET /v1/models`.
     ModelId
 );
-text_id!(
-    /// A model engine (a back end that generates tokens).
+string_id!(
+    /// Identifies a model engine (a back end that generates tokens).
     EngineId
 );
-text_id!(
-    /// A named tool service replica set, such as the print service.
+string_id!(
+    /// Identifies a tool service, which has one or more replicas.
     ServiceId
 );
-text_id!(
-    /// A process of the fleet (store or gateway).
+string_id!(
+    /// Identifies a store or gateway process.
     NodeId
 );
-text_id!(
-    /// A zone in which machines fail together.
+string_id!(
+    /// Availability zone, a failure domain of machines.
     Zone
 );
-text_id!(
-    /// Zones that lie near each other; their data may be bound to stay there.
+string_id!(
+    /// Group of nearby zones; data may be restricted to a region.
     Region
 );
-text_id!(
-    /// A key under which a back end executes a request at most once.
+string_id!(
+    /// Key under which a back end executes a request at most once.
     IdempotencyKey
 );
-text_id!(
-    /// Identifies one operator change across resends.
+string_id!(
+    /// Identifies an operator's change across retries.
     RequestId
 );
 
-/// A call by its program and its place in that program, counted from 1.
+/// Identifies a call by its program and its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId {
-    /// The program the call belongs to.
+    /// Program that the call belongs to.
     pub program: ProgramId,
-    /// Place of the call in its program; the first call has 1.
+    /// Sequence number of the call in its program, starting at 1.
     pub sequence: u64,
 }
 
@@ -116,24 +116,24 @@
     }
 }
 
-/// One try of one call on one back end. A later attempt fences every earlier one.
+/// Identifies an attempt to run a call on a back end. A later attempt fences all earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The call being tried.
+    /// Call that is attempted.
     pub call: CallId,
-    /// Number of the try, counted from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
 }
 
 impl AttemptId {
-    /// Parses the text form `PROGRAM/SEQUENCE/NUMBER` that [`fmt::Display`] writes.
+    /// Parses the format `PROGRAM/SEQUENCE/NUMBER` written by [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('/');
         let program = ProgramId::parse(parts.next()?)?;
         let sequence = parts.next()?.parse().ok()?;
         let number = parts.next()?.parse().ok()?;
-        let ends_here = parts.next().is_none();
-        ends_here.then_some(Self { call: CallId { program, sequence }, number })
+        let is_complete = parts.next().is_none();
+        is_complete.then_some(Self { call: CallId { program, sequence }, number })
     }
 }
 
@@ -143,7 +143,7 @@
     }
 }
 
-/// Position in the one order of accepted resource changes. 0 means "none yet".
+/// Position in the total order of accepted resource changes; 0 means no change yet.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -156,7 +156,7 @@
     }
 }
 
-/// Distinguishes one start of a process from every other start of the same node.
+/// Distinguishes successive starts of the same node.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, units, resources and outcomes that every other crate shares.
+//! Identifiers, units, resources and outcomes shared by the other crates.
 //!
-//! Nothing here performs I/O, reads a clock or draws a random number.
+//! Nothing in this crate performs I/O, reads a clock or generates random numbers.
 
 pub mod backend_api;
 pub mod chat;
@@ -13,7 +13,7 @@
 pub mod resource;
 pub mod time;
 
-pub use chat::{ChatMessage, Role, Usage, count_tokens};
+pub use chat::{ChatMessage, Role, Usage, estimate_tokens};
 pub use digest::{Digest, HistoryDigest};
 pub use finding::{Finding, Findings, Place};
 pub use ids::{
--- a/crates/types/src/machine.rs
+++ b/crates/types/src/machine.rs
@@ -1,22 +1,22 @@
-//! What the platform's list of machines says of one machine.
+//! Entries of the platform's machine list.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a machine may be given work.
+/// Whether a machine accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// In service.
     Live,
-    /// Announced to go: no new work.
+    /// Scheduled for removal; gets no new work.
     Leaving,
 }
 
-/// One row of the platform's list. The list lags behind the truth.
+/// Entry of the platform's machine list. The list may be stale.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineStatus {
     /// Name of the back end on the machine.
     pub name: String,
-    /// Its state.
+    /// State of the machine.
     pub state: MachineState,
 }
--- a/crates/types/src/openai.rs
+++ b/crates/types/src/openai.rs
@@ -1,97 +1,98 @@
-//! JSON shapes of the OpenAI chat API, as far as this project speaks it, and the
-//! fields it adds. Unknown fields of requests are ignored, as clients expect.
+//! JSON types of the supported subset of the OpenAI chat API, with this project's extensions.
+//!
+//! Unknown fields of requests are ignored.
 
 use serde::{Deserialize, Serialize};
 
 use crate::chat::{ChatMessage, Role, Usage};
 use crate::finding::Finding;
 
-/// Header that names the caller's tenant.
+/// Request header with the tenant.
 pub const HEADER_TENANT: &str = "calicohoist-tenant";
-/// Header that names the call's program.
+/// Request header with the program of the call.
 pub const HEADER_PROGRAM: &str = "calicohoist-program";
-/// Header with the call's place in its program, from 1.
+/// Request header with the sequence number of the call in its program, starting at 1.
 pub const HEADER_SEQUENCE: &str = "calicohoist-sequence";
-/// Header with the caller's key for the request.
+/// Request header with the caller's idempotency key.
 pub const HEADER_KEY: &str = "idempotency-key";
-/// Header that says whether the request may run more than once.
+/// Request header that says whether the request may be executed more than once.
 pub const HEADER_REPEATABLE: &str = "calicohoist-repeatable";
-/// Header of answers that names the attempt.
+/// Response header with the attempt.
 pub const HEADER_ATTEMPT: &str = "calicohoist-attempt";
-/// Header of answers with the outcome.
+/// Response header with the outcome.
 pub const HEADER_OUTCOME: &str = "calicohoist-outcome";
-/// Header of requests to engines that names the attempt.
+/// Header of requests to engines with the attempt.
 pub const HEADER_ENGINE_ATTEMPT: &str = "x-request-id";
-/// Header of requests to engines that names the program, as a cache owner.
+/// Header of requests to engines with the program that owns the cached tokens.
 pub const HEADER_ENGINE_PROGRAM: &str = "x-cache-owner";
-/// Header of requests to engines with the priority; smaller goes first.
+/// Header of requests to engines with the priority; smaller values are served first.
 pub const HEADER_ENGINE_PRIORITY: &str = "x-priority";
 
-/// Content of a request's message.
+/// Content of a message in a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Content {
     /// Plain text.
     Text(String),
-    /// Parts, of which only text is taken.
+    /// Content parts; only text parts are accepted.
     Parts(Vec<ContentPart>),
 }
 
-/// One part of a message's content.
+/// Part of a message's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentPart {
-    /// `text` is the only kind that is taken.
+    /// Type of the part; only `text` is accepted.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The text.
+    /// Text of the part.
     #[serde(default)]
     pub text: String,
 }
 
-/// One message of a request.
+/// Message of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestMessage {
-    /// Who wrote it.
+    /// Author of the message.
     pub role: Role,
-    /// Its content.
+    /// Content of the message.
     #[serde(default)]
     pub content: Option<Content>,
 }
 
-/// `POST /v1/chat/completions`.
+/// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The messages.
+    /// Messages of the conversation.
     pub messages: Vec<RequestMessage>,
-    /// Whether the answer is wanted as a stream.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens to generate (older name).
+    /// Maximum number of generated tokens (deprecated name).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// Most tokens to generate.
+    /// Maximum number of generated tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
-    /// Options of a stream.
+    /// Options of a streamed response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream_options: Option<StreamOptions>,
-    /// To engines only: text of the answer that exists already.
+    /// Text of the answer that was already generated; used in requests to engines only.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub continuation: String,
 }
 
-/// Options of a stream.
+/// Options of a streamed response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// Whether a last chunk with the usage is wanted.
+    /// Whether a final chunk with the usage is sent.
     #[serde(default)]
     pub include_usage: bool,
 }
 
 impl ChatRequest {
-    /// A streamed request for `messages`.
+    /// Creates a streaming request.
     pub fn streamed(model: impl Into<String>, messages: &[ChatMessage]) -> Self {
         Self {
             model: model.into(),
@@ -104,31 +105,31 @@
         }
     }
 
-    /// The limit of generated tokens, under whichever name it was given.
+    /// Returns the maximum number of generated tokens from whichever field is set.
     pub fn token_limit(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 
-    /// The messages as plain text.
+    /// Converts the messages to plain text.
     ///
     /// # Errors
-    /// Every message that is empty or not text.
+    /// Returns a finding for each message without text content, or one if there are no messages.
     pub fn plain_messages(&self) -> Result<Vec<ChatMessage>, Vec<Finding>> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         let mut messages = Vec::new();
         if self.messages.is_empty() {
-            found.push(Finding::of_field("messages", "is empty", "at least one message"));
+            findings.push(Finding::of_field("messages", "is empty", "at least one message"));
         }
         for (index, message) in self.messages.iter().enumerate() {
             match plain_text(message.content.as_ref()) {
                 Some(text) => messages.push(ChatMessage::new(message.role, text)),
                 None => {
                     let field = format!("messages[{index}].content");
-                    found.push(Finding::of_field(field, "is not text", "text or text parts"));
+                    findings.push(Finding::of_field(field, "is not text", "text or text parts"));
                 }
             }
         }
-        if found.is_empty() { Ok(messages) } else { Err(found) }
+        if findings.is_empty() { Ok(messages) } else { Err(findings) }
     }
 }
 
@@ -148,24 +149,24 @@
     }
 }
 
-/// Token counts of an answer.
+/// Token usage of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageBody {
-    /// Tokens of the prompt.
+    /// Tokens of the prompt, including cached ones.
     pub prompt_tokens: u64,
     /// Generated tokens.
     pub completion_tokens: u64,
-    /// Both together.
+    /// Sum of prompt and generated tokens.
     pub total_tokens: u64,
-    /// More about the prompt.
+    /// Details of the prompt tokens.
     #[serde(default)]
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// More about the tokens of a prompt.
+/// Details of the prompt tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptDetails {
-    /// Tokens that were not computed again.
+    /// Tokens that were read from the engine's cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
@@ -191,83 +192,83 @@
     }
 }
 
-/// A whole answer.
+/// Response that is not streamed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatCompletion {
-    /// Names the answer.
+    /// Identifier of the response.
     pub id: String,
-    /// `chat.completion`.
+    /// Object type, `chat.completion`.
     pub object: String,
-    /// Seconds of Unix time.
+    /// Creation time in seconds since the Unix epoch.
     pub created: u64,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Always one.
+    /// Generated answers; always exactly one.
     pub choices: Vec<Choice>,
-    /// Tokens used.
+    /// Token usage.
     pub usage: UsageBody,
 }
 
-/// The choice of a whole answer.
+/// Generated answer of a response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
-    /// 0.
+    /// Index of the choice, always 0.
     pub index: u32,
-    /// The answer.
+    /// Message of the assistant.
     pub message: ChatMessage,
-    /// Why generation ended.
+    /// Reason why generation ended.
     pub finish_reason: String,
 }
 
-/// One chunk of a streamed answer.
+/// Chunk of a streamed response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatChunk {
-    /// Names the answer; the same in each chunk.
+    /// Identifier of the response, the same in each chunk.
     pub id: String,
-    /// `chat.completion.chunk`.
+    /// Object type, `chat.completion.chunk`.
     pub object: String,
-    /// Seconds of Unix time.
+    /// Creation time in seconds since the Unix epoch.
     pub created: u64,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// One, or none in the chunk with the usage.
+    /// One choice; empty in the chunk with the usage.
     pub choices: Vec<ChunkChoice>,
-    /// Tokens used, in the last chunk.
+    /// Token usage; only in the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<UsageBody>,
 }
 
-/// The choice of a chunk.
+/// Choice of a chunk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChunkChoice {
-    /// 0.
+    /// Index of the choice, always 0.
     pub index: u32,
-    /// What is new.
+    /// Increment to the message.
     pub delta: Delta,
-    /// Why generation ended, in the chunk that ends it.
+    /// Reason why generation ended; only in the chunk that ends it.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// What is new in a chunk.
+/// Increment to a streamed message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// In the first chunk.
+    /// Author of the message; only in the first chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<Role>,
-    /// More text.
+    /// Additional text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
 impl ChatChunk {
-    /// A chunk with more text, the end, or both.
+    /// Creates a chunk with additional text, a finish reason, or both.
     pub fn new(
         id: &str,
         created: u64,
         model: &str,
         text: Option<String>,
-        end: Option<String>,
+        finish_reason: Option<String>,
     ) -> Self {
         let delta = Delta { role: None, content: text };
         Self {
@@ -275,68 +276,68 @@
             object: "chat.completion.chunk".to_owned(),
             created,
             model: model.to_owned(),
-            choices: vec![ChunkChoice { index: 0, delta, finish_reason: end }],
+            choices: vec![ChunkChoice { index: 0, delta, finish_reason }],
             usage: None,
         }
     }
 
-    /// The text this chunk adds.
+    /// Returns the text of this chunk, empty if there is none.
     pub fn text(&self) -> &str {
         let content = self.choices.first().and_then(|choice| choice.delta.content.as_deref());
         content.unwrap_or_default()
     }
 
-    /// Why generation ended, if this chunk ends it.
+    /// Returns the reason why generation ended, if this chunk ends it.
     pub fn finish_reason(&self) -> Option<&str> {
         self.choices.first()?.finish_reason.as_deref()
     }
 }
 
-/// The body of every error.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// An error in the OpenAI shape, with what this project adds.
+/// Error as in the OpenAI API, with this project's extensions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// Human-readable message.
     pub message: String,
-    /// Kind of error, such as `invalid_request_error`.
+    /// Error type, such as `invalid_request_error`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The field at fault.
+    /// Invalid field or header, if any.
     pub param: Option<String>,
-    /// For programs.
+    /// Machine-readable error code.
     pub code: Option<String>,
-    /// Whether the request ran: `not_run`, `unknown` or `completed`.
+    /// Outcome of the request: `not_run`, `unknown` or `completed`.
     #[serde(default)]
     pub outcome: Option<String>,
-    /// Everything wrong with the request.
+    /// All validation errors of the request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
 }
 
-/// `GET /v1/models`.
+/// Response to `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelList {
-    /// `list`.
+    /// Object type, `list`.
     pub object: String,
-    /// The models.
+    /// Available models.
     pub data: Vec<ModelEntry>,
 }
 
-/// One model of a list.
+/// Entry of a model list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
-    /// Its name.
+    /// Name of the model.
     pub id: String,
-    /// `model`.
+    /// Object type, `model`.
     pub object: String,
-    /// Seconds of Unix time.
+    /// Creation time in seconds since the Unix epoch.
     pub created: u64,
-    /// Who serves it.
+    /// Owner of the model.
     pub owned_by: String,
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,23 +1,23 @@
-//! What became of a call. Only three outcomes exist, and each is a type.
+//! Outcomes of a call and the reasons why a call did not run.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The final word on a call towards its caller.
+/// Outcome of a call, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The call ran and its whole answer is stored.
+    /// The call ran and its complete answer is stored.
     Completed,
-    /// The call was durably closed before any dispatch; it never ran and never will.
+    /// The call was durably closed before it was dispatched; it never ran and never will.
     NotRun,
-    /// The call may have run; asking again with the same key is safe and may tell.
+    /// The call may have run; retrying with the same key is safe and may return its outcome.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as it stands in headers and JSON.
+    /// Returns the name used in headers and JSON.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Why a call was closed without running.
+/// Reason why a call was closed without running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
@@ -41,26 +41,26 @@
     ProgramEnded,
     /// The program was cancelled.
     ProgramCancelled,
-    /// What is left of the budget does not cover the prompt and one token.
+    /// The remaining budget does not cover the prompt and one generated token.
     BudgetExhausted,
     /// An earlier call of the program did not arrive in time.
     SequenceGap,
-    /// The program reached its limit of calls.
+    /// The program has reached its maximum number of calls.
     TooManyCalls,
-    /// No back end could take the call before its deadline.
+    /// No back end was available before the call's deadline.
     NoBackend,
     /// The queue was full.
     Overloaded,
-    /// The back end refused before it started.
+    /// The back end rejected the call before running it.
     RefusedByBackend,
-    /// The fleet is stopping.
+    /// The system is shutting down.
     ShuttingDown,
-    /// The tenant has as many programs under way as it may.
+    /// The tenant has reached its maximum number of active programs.
     TenantLimit,
 }
 
 impl NotRunReason {
-    /// The reason as it stands in JSON error codes.
+    /// Returns the name used as JSON error code.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::ProgramEnded => "program_ended",
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the same request may succeed later.
+    /// Returns whether the same request may succeed later.
     pub const fn is_transient(self) -> bool {
         matches!(
             self,
--- a/crates/types/src/resource.rs
+++ b/crates/types/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources that operators declare, and the checks each must pass.
+//! Resources declared by operators, and their validation.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use crate::finding::Finding;
 use crate::ids::{ModelId, Revision, Zone, is_valid_name};
 
-/// Largest accepted number of calls an engine or service takes at a time.
+/// Maximum number of concurrent calls of an engine or service.
 pub const MAX_SLOTS: u32 = 1_024;
-/// Largest accepted limit of generated tokens for one call.
+/// Maximum value of a model's limit on generated tokens per call.
 pub const MAX_OUTPUT_TOKENS: u64 = 100_000;
 
-/// The kinds of resources.
+/// Kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ResourceKind {
@@ -28,10 +28,10 @@
 }
 
 impl ResourceKind {
-    /// Every kind, in the order in which lists show them.
+    /// All kinds, in the order used in listings.
     pub const ALL: [Self; 4] = [Self::Model, Self::Engine, Self::Service, Self::Tenant];
 
-    /// The kind as it stands in paths and files.
+    /// Returns the name used in paths and files.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Model => "model",
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Parses the singular form.
+    /// Parses the name returned by [`ResourceKind::as_str`].
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == text)
     }
@@ -53,12 +53,12 @@
     }
 }
 
-/// A resource's kind and name: its place in the API.
+/// Identifies a resource by kind and name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceKey {
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: ResourceKind,
-    /// Its name, unique within the kind.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
@@ -72,25 +72,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Most tokens one call may generate.
+    /// Maximum number of tokens that a call may generate.
     pub max_output_tokens: u64,
-    /// Longest prompt, in tokens.
+    /// Maximum length of a prompt, in tokens.
     pub max_prompt_tokens: u64,
 }
 
-/// A model engine: where it is and what it serves.
+/// A model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSpec {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Availability zone.
     pub zone: Zone,
-    /// The model it serves.
+    /// Model that the engine serves.
     pub model: ModelId,
-    /// Calls it is given at a time; the rest wait at the engine's owner.
+    /// Maximum number of concurrent calls; further calls wait at the gateway that owns the engine.
     pub slots: u32,
-    /// Whether an operator took it out of service for new work.
+    /// Whether it is drained: it gets no new work.
     #[serde(default)]
     pub drain: bool,
 }
@@ -99,15 +99,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Name of the service it is a replica of.
+    /// Name of the service.
     pub service: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Availability zone.
     pub zone: Zone,
-    /// Requests it is given at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether an operator took it out of service for new work.
+    /// Whether it is drained: it gets no new work.
     #[serde(default)]
     pub drain: bool,
 }
@@ -116,29 +116,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Budget of a program that does not ask for one, in tokens.
+    /// Default budget of a program, in tokens.
     pub default_program_tokens: u64,
-    /// Largest budget a program may ask for, in tokens.
+    /// Maximum budget that a program may request, in tokens.
     pub max_program_tokens: u64,
-    /// Most calls of one program.
+    /// Maximum number of calls of a program.
     pub max_calls: u64,
 }
 
-/// What a resource declares, by kind.
+/// Specification of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResourceSpec {
-    /// See [`ModelSpec`].
+    /// Specification of a model.
     Model(ModelSpec),
-    /// See [`EngineSpec`].
+    /// Specification of an engine.
     Engine(EngineSpec),
-    /// See [`ServiceSpec`].
+    /// Specification of a service replica.
     Service(ServiceSpec),
-    /// See [`TenantSpec`].
+    /// Specification of a tenant.
     Tenant(TenantSpec),
 }
 
 impl ResourceSpec {
-    /// The kind this declares.
+    /// Returns the kind of the resource.
     pub const fn kind(&self) -> ResourceKind {
         match self {
             Self::Model(_) => ResourceKind::Model,
@@ -148,47 +148,47 @@
         }
     }
 
-    /// Everything that is wrong with the declaration; empty when it is accepted.
+    /// Validates the specification; the result is empty if it is valid.
     pub fn validate(&self) -> Vec<Finding> {
-        let mut found = Vec::new();
+        let mut findings = Vec::new();
         match self {
             Self::Model(spec) => {
                 check_range(
-                    &mut found,
+                    &mut findings,
                     "max_output_tokens",
                     spec.max_output_tokens,
                     MAX_OUTPUT_TOKENS,
                 );
                 check_range(
-                    &mut found,
+                    &mut findings,
                     "max_prompt_tokens",
                     spec.max_prompt_tokens,
                     u64::from(u32::MAX),
                 );
             }
             Self::Engine(spec) => {
-                check_range(&mut found, "slots", u64::from(spec.slots), u64::from(MAX_SLOTS));
-                check_name(&mut found, "model", spec.model.as_str());
-                check_name(&mut found, "zone", spec.zone.as_str());
+                check_range(&mut findings, "slots", u64::from(spec.slots), u64::from(MAX_SLOTS));
+                check_name(&mut findings, "model", spec.model.as_str());
+                check_name(&mut findings, "zone", spec.zone.as_str());
             }
             Self::Service(spec) => {
-                check_range(&mut found, "slots", u64::from(spec.slots), u64::from(MAX_SLOTS));
-                check_name(&mut found, "service", &spec.service);
-                check_name(&mut found, "zone", spec.zone.as_str());
+                check_range(&mut findings, "slots", u64::from(spec.slots), u64::from(MAX_SLOTS));
+                check_name(&mut findings, "service", &spec.service);
+                check_name(&mut findings, "zone", spec.zone.as_str());
             }
-            Self::Tenant(spec) => validate_tenant(&mut found, spec),
+            Self::Tenant(spec) => validate_tenant(&mut findings, spec),
         }
-        found
+        findings
     }
 }
 
-fn validate_tenant(found: &mut Vec<Finding>, spec: &TenantSpec) {
-    let largest = u64::from(u32::MAX);
-    check_range(found, "max_program_tokens", spec.max_program_tokens, largest);
-    check_range(found, "default_program_tokens", spec.default_program_tokens, largest);
-    check_range(found, "max_calls", spec.max_calls, largest);
+fn validate_tenant(findings: &mut Vec<Finding>, spec: &TenantSpec) {
+    let max = u64::from(u32::MAX);
+    check_range(findings, "max_program_tokens", spec.max_program_tokens, max);
+    check_range(findings, "default_program_tokens", spec.default_program_tokens, max);
+    check_range(findings, "max_calls", spec.max_calls, max);
     if spec.default_program_tokens > spec.max_program_tokens {
-        found.push(Finding::of_field(
+        findings.push(Finding::of_field(
             "default_program_tokens",
             "is larger than max_program_tokens",
             format!("at most {}", spec.max_program_tokens),
@@ -196,28 +196,28 @@
     }
 }
 
-fn check_range(found: &mut Vec<Finding>, field: &str, value: u64, largest: u64) {
-    if value == 0 || value > largest {
+fn check_range(findings: &mut Vec<Finding>, field: &str, value: u64, max: u64) {
+    if value == 0 || value > max {
         let problem = format!("{value} is out of range");
-        found.push(Finding::of_field(field, problem, format!("1 to {largest}")));
+        findings.push(Finding::of_field(field, problem, format!("1 to {max}")));
     }
 }
 
-fn check_name(found: &mut Vec<Finding>, field: &str, name: &str) {
+fn check_name(findings: &mut Vec<Finding>, field: &str, name: &str) {
     if !is_valid_name(name) {
         let problem = format!("{name:?} is not a name");
         let accepted = "1 to 128 letters, digits, '-', '_', '.' or ':'";
-        found.push(Finding::of_field(field, problem, accepted));
+        findings.push(Finding::of_field(field, problem, accepted));
     }
 }
 
-/// A declared resource with the revision that last changed it.
+/// Resource with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Kind and name.
+    /// Kind and name of the resource.
     pub key: ResourceKey,
-    /// Revision of its last change; the version to give for compare-and-set.
+    /// Revision of the last change, used as version in compare-and-set.
     pub version: Revision,
-    /// What it declares.
+    /// Specification of the resource.
     pub spec: ResourceSpec,
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,13 +1,13 @@
-//! Monotonic time as a value, so that decisions never read a clock themselves.
+//! Monotonic time as a plain value, so that code can be driven by a real or a simulated clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point of monotonic time in microseconds since an origin the process chose.
+/// Point in monotonic time, in microseconds since an origin chosen by the process.
 ///
-/// Drivers take it from the operating system; simulations advance it by hand.
+/// Real processes read it from the operating system's clock; simulations advance it explicitly.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,22 +18,22 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// A point `micros` microseconds after the origin.
+    /// Creates the moment `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the origin, rounded down.
+    /// Returns the milliseconds since the origin, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time from `earlier` to `self`; zero when `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/types/tests/digest.rs
+++ b/crates/types/tests/digest.rs
@@ -1,4 +1,4 @@
-//! Histories of different programs never share a digest.
+//! History digests depend on the program and on message boundaries.
 
 use calicohoist_types::{ChatMessage, HistoryDigest, ProgramId, Role};
 
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn the_digest_depends_on_where_messages_end() {
-    let start = HistoryDigest::empty(&ProgramId::new("a"));
-    let split = start.append(&message("ab")).append(&message("c"));
-    let other = start.append(&message("a")).append(&message("bc"));
+fn digest_depends_on_message_boundaries() {
+    let empty = HistoryDigest::empty(&ProgramId::new("a"));
+    let split = empty.append(&message("ab")).append(&message("c"));
+    let other = empty.append(&message("a")).append(&message("bc"));
     assert_ne!(split, other);
 }
