--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frame codec.
+//! Encoding and decoding of frames.
 
 use std::io::{self, Read, Write};
 
@@ -6,67 +6,69 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest accepted payload, in bytes.
+/// Maximum payload size, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
-/// Length and checksum before each payload.
+/// Size of length and checksum, which precede the payload.
 const HEADER_BYTES: usize = 8;
-/// A payload is read in pieces of this size, so that a forged length costs no memory.
-const READ_PIECE_BYTES: usize = 64 << 10;
+/// Payloads are read in chunks of this size, so that a forged length does not cause a large
+/// allocation.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// Why a frame could not be read.
+/// Error in reading or writing a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection broke.
-    #[error("connection: {0}")]
+    /// The connection failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The frame says it is longer than [`MAX_FRAME_BYTES`].
-    #[error("frame of {0} bytes is too long")]
+    /// The payload is longer than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes exceeds the size limit")]
     TooLong(usize),
     /// The checksum does not match.
     #[error("checksum mismatch")]
     Checksum,
-    /// The payload is not a message.
-    #[error("payload: {0}")]
+    /// The payload cannot be decoded.
+    #[error("cannot decode payload: {0}")]
     Decode(#[from] bincode::error::DecodeError),
-    /// What is packed in a message cannot be unpacked. The checksum has found no damage, so the sender
-    /// packs in a way unknown here.
-    #[error("packed in a way unknown here")]
+    /// A compressed message cannot be decompressed although its checksum matches, so the sender
+    /// uses an unknown format.
+    #[error("cannot decompress message")]
     Unpack,
-    /// A message cannot be encoded.
-    #[error("encode: {0}")]
+    /// The message cannot be encoded.
+    #[error("cannot encode message: {0}")]
     Encode(#[from] bincode::error::EncodeError),
 }
 
-/// Small integers take one byte, which halves the loads that every gateway gets;
-/// the frame's checksum is what catches flipped bits.
-fn codec() -> Configuration<LittleEndian, Varint, Limit<MAX_FRAME_BYTES>> {
+/// Returns the `bincode` configuration: variable-length integers, limited to [`MAX_FRAME_BYTES`].
+fn bincode_config() -> Configuration<LittleEndian, Varint, Limit<MAX_FRAME_BYTES>> {
     bincode::config::standard().with_limit::<MAX_FRAME_BYTES>()
 }
 
 /// Encodes a message without a frame header.
 ///
 /// # Errors
-/// When the message cannot be represented.
+/// Returns an error if the message cannot be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    Ok(bincode::serde::encode_to_vec(message, codec())?)
+    Ok(bincode::serde::encode_to_vec(message, bincode_config())?)
 }
 
-/// Decodes a message; bytes left over are an error.
+/// Decodes a message.
 ///
 /// # Errors
-/// When `bytes` are not exactly one message.
+/// Returns an error if `bytes` is not exactly one encoded message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
-    let (message, used) = bincode::serde::decode_from_slice(bytes, codec())?;
-    if used != bytes.len() {
-        return Err(FrameError::Decode(bincode::error::DecodeError::Other("bytes left over")));
+    let (message, consumed) = bincode::serde::decode_from_slice(bytes, bincode_config())?;
+    if consumed != bytes.len() {
+        return Err(FrameError::Decode(bincode::error::DecodeError::Other(
+            "trailing bytes after the message",
+        )));
     }
     Ok(message)
 }
 
-/// Writes one frame; does not flush.
+/// Writes one frame without flushing and returns its size in bytes.
 ///
 /// # Errors
-/// When the connection breaks or the message cannot be encoded.
+/// Returns an error if the connection fails, or the message cannot be encoded or is too long.
 pub fn write_frame<T: Serialize>(
     output: &mut impl Write,
     message: &T,
@@ -106,14 +108,14 @@
 }
 
 fn read_payload(input: &mut impl Read, length: usize) -> Result<Vec<u8>, FrameError> {
-    let mut payload = Vec::with_capacity(length.min(READ_PIECE_BYTES));
-    let mut left = length;
-    while left > 0 {
-        let piece = left.min(READ_PIECE_BYTES);
+    let mut payload = Vec::with_capacity(length.min(READ_CHUNK_BYTES));
+    let mut remaining = length;
+    while remaining > 0 {
+        let chunk = remaining.min(READ_CHUNK_BYTES);
         let start = payload.len();
-        payload.resize(start + piece, 0);
+        payload.resize(start + chunk, 0);
         input.read_exact(&mut payload[start..])?;
-        left -= piece;
+        remaining -= chunk;
     }
     Ok(payload)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Framed links between the processes of one fleet.
+//! Framed connections between store and gateway processes over blocking TCP.
 //!
-//! A frame is a length, a CRC-32C and a `bincode` payload. [`Link`] keeps one
-//! outgoing connection alive; [`FrameServer`] accepts them and answers on the
-//! connection a frame came in on. Both drop frames rather than block when their
-//! ring is full: every protocol above repeats what it must.
+//! A frame consists of a length, a CRC-32C checksum and a `bincode` payload. [`Link`] is an
+//! outgoing connection that reconnects automatically; [`FrameServer`] accepts connections and
+//! replies on them. Both drop frames instead of blocking when their queue is full, so protocols
+//! on top have to retry.
 
 pub mod frame;
 pub mod link;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! One outgoing connection that is kept alive.
+//! Outgoing connection that reconnects automatically.
 
 use std::convert::Infallible;
 use std::io::{BufReader, BufWriter, Write};
@@ -15,31 +15,31 @@
 
 use crate::frame::{FrameError, read_frame, write_frame};
 
-/// Frames that may wait for the connection.
-const RING: usize = 4_096;
+/// Capacity of the queue of outgoing frames.
+const QUEUE_CAPACITY: usize = 4_096;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// A connection to one address that reconnects by itself.
+/// Connection to one address that reconnects automatically.
 ///
-/// Frames sent while there is no connection, or while the ring is full, are dropped.
+/// Frames are dropped while the connection is down or the queue is full.
 pub struct Link<Out> {
-    /// `None` only while the link is being closed.
+    /// `None` only while the link is being dropped.
     sender: Option<Sender<Out>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl<Out: Serialize + Send + 'static> Link<Out> {
-    /// Opens a link; `on_frame` runs on a reader thread for each frame that comes back.
+    /// Opens a link; `on_frame` runs on a reader thread for each received frame.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn open<In: DeserializeOwned + Send + 'static>(
         address: SocketAddr,
         on_frame: impl Fn(In) + Send + Sync + 'static,
     ) -> std::io::Result<Self> {
-        let (sender, receiver) = bounded(RING);
+        let (sender, receiver) = bounded(QUEUE_CAPACITY);
         let stop = Arc::new(AtomicBool::new(false));
         let writer =
             LinkWriter { address, receiver, on_frame: Arc::new(on_frame), stop: stop.clone() };
@@ -48,7 +48,7 @@
         Ok(Self { sender: Some(sender), stop, thread: Some(thread) })
     }
 
-    /// Queues a frame; `false` when the ring was full and the frame was dropped.
+    /// Queues a frame; returns `false` if the queue was full and the frame was dropped.
     pub fn send(&self, frame: Out) -> bool {
         self.sender.as_ref().is_some_and(|sender| sender.try_send(frame).is_ok())
     }
@@ -57,7 +57,7 @@
 impl<Out> Drop for Link<Out> {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        // Closing the ring wakes the writer.
+        // Closing the channel wakes the writer.
         drop(self.sender.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -74,35 +74,35 @@
 
 impl<Out: Serialize, In: DeserializeOwned + Send + 'static> LinkWriter<Out, In> {
     fn run(self) {
-        while !self.stopped() {
+        while !self.is_stopped() {
             match TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT) {
                 Ok(stream) => self.serve_connection(&stream),
-                Err(_) => self.drop_frames_for(RECONNECT_PAUSE),
+                Err(_) => self.wait_and_discard_frames(RECONNECT_DELAY),
             }
         }
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
 
-    /// While nobody listens, frames are stale by the time somebody does.
-    fn drop_frames_for(&self, pause: Duration) {
-        std::thread::sleep(pause);
+    /// Waits for `delay`, then discards queued frames, which would be stale after the reconnect.
+    fn wait_and_discard_frames(&self, delay: Duration) {
+        std::thread::sleep(delay);
         while self.receiver.try_recv().is_ok() {}
     }
 
     fn serve_connection(&self, stream: &TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(reading) = stream.try_clone() else {
+        let Ok(reader_stream) = stream.try_clone() else {
             return;
         };
-        // The reader keeps one end; the other tells the writer that it has ended.
-        let (alive, reader_ended) = bounded::<Infallible>(0);
-        let reader = self.spawn_reader(reading, alive);
+        // The reader drops its end of the channel when it exits, which wakes the writer.
+        let (reader_alive, reader_exited) = bounded::<Infallible>(0);
+        let reader = self.spawn_reader(reader_stream, reader_alive);
         let mut output = BufWriter::new(stream);
-        while !self.stopped() {
-            if self.write_waiting(&mut output, &reader_ended).is_err() {
+        while !self.is_stopped() {
+            if self.write_queued(&mut output, &reader_exited).is_err() {
                 break;
             }
         }
@@ -112,15 +112,15 @@
         }
     }
 
-    fn write_waiting(
+    fn write_queued(
         &self,
         output: &mut BufWriter<&TcpStream>,
-        reader_ended: &Receiver<Infallible>,
+        reader_exited: &Receiver<Infallible>,
     ) -> Result<(), FrameError> {
-        let ended = || FrameError::Io(std::io::ErrorKind::BrokenPipe.into());
+        let closed = || FrameError::Io(std::io::ErrorKind::BrokenPipe.into());
         let frame = select! {
-            recv(self.receiver) -> frame => frame.map_err(|_| ended())?,
-            recv(reader_ended) -> _ => return Err(ended()),
+            recv(self.receiver) -> frame => frame.map_err(|_| closed())?,
+            recv(reader_exited) -> _ => return Err(closed()),
         };
         write_frame(output, &frame)?;
         while let Ok(frame) = self.receiver.try_recv() {
@@ -133,7 +133,7 @@
     fn spawn_reader(
         &self,
         stream: TcpStream,
-        alive: Sender<Infallible>,
+        reader_alive: Sender<Infallible>,
     ) -> std::io::Result<JoinHandle<()>> {
         let on_frame = self.on_frame.clone();
         let address = self.address;
@@ -144,12 +144,12 @@
                     Ok(frame) => on_frame(frame),
                     Err(FrameError::Io(_)) => break,
                     Err(error) => {
-                        emit!(Event::FrameRefused, "from {address}: {error}");
+                        emit!(Event::FrameRefused, "cannot read frame from {address}: {error}");
                         break;
                     }
                 }
             }
-            drop(alive);
+            drop(reader_alive);
         })
     }
 }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts links and answers on the connection a frame came in on.
+//! Server that accepts framed connections and replies on them.
 
 use std::convert::Infallible;
 use std::io::{BufReader, BufWriter, Write};
@@ -16,13 +16,13 @@
 
 use crate::frame::{FrameError, read_frame, write_frame};
 
-/// Replies that may wait for one connection.
-const RING: usize = 4_096;
-/// Connections accepted at a time.
+/// Capacity of a connection's queue of outgoing replies.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 2_048;
-const STOP_POLL: Duration = Duration::from_millis(20);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sends replies on the connection that a frame came in on.
+/// Sends replies on the connection on which a frame was received.
 pub struct Replier<Out> {
     sender: Sender<Out>,
 }
@@ -34,17 +34,17 @@
 }
 
 impl<Out> Replier<Out> {
-    /// Queues a reply; `false` when the peer is gone or does not read.
+    /// Queues a reply; returns `false` if the connection is closed or its queue is full.
     pub fn send(&self, reply: Out) -> bool {
         self.sender.try_send(reply).is_ok()
     }
 }
 
-/// A listening socket with a reader and a writer thread for each connection.
+/// Listening socket with a reader and a writer thread for each connection.
 pub struct FrameServer {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
-    open: Arc<OpenConnections>,
+    connections: Arc<OpenConnections>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl FrameServer {
-    /// Serves on `listener`; `on_frame` runs on the connection's reader thread.
+    /// Starts to serve on `listener`; `on_frame` runs on the connection's reader thread.
     ///
     /// # Errors
-    /// When the listener cannot be set up or a thread cannot be started.
+    /// Returns an error if the listener cannot be configured or the thread cannot be started.
     pub fn start<In, Out>(
         listener: TcpListener,
         on_frame: impl Fn(In, &Replier<Out>) + Send + Sync + 'static,
@@ -70,16 +70,16 @@
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
         let stop = Arc::new(AtomicBool::new(false));
-        let open = Arc::new(OpenConnections::default());
+        let connections = Arc::new(OpenConnections::default());
         let on_frame = Arc::new(on_frame);
-        let (stop_seen, open_seen) = (stop.clone(), open.clone());
+        let (accept_stop, accept_connections) = (stop.clone(), connections.clone());
         let thread = std::thread::Builder::new()
             .name("wire-accept".to_owned())
-            .spawn(move || accept_loop(&listener, &stop_seen, &open_seen, &on_frame))?;
-        Ok(Self { address, stop, open, thread: Some(thread) })
+            .spawn(move || accept_loop(&listener, &accept_stop, &accept_connections, &on_frame))?;
+        Ok(Self { address, stop, connections, thread: Some(thread) })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -91,7 +91,7 @@
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        for stream in self.open.streams.lock().drain(..) {
+        for stream in self.connections.streams.lock().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -100,7 +100,7 @@
 fn accept_loop<In, Out, F>(
     listener: &TcpListener,
     stop: &AtomicBool,
-    open: &Arc<OpenConnections>,
+    connections: &Arc<OpenConnections>,
     on_frame: &Arc<F>,
 ) where
     In: DeserializeOwned + Send + 'static,
@@ -109,13 +109,13 @@
 {
     while !stop.load(Ordering::SeqCst) {
         match listener.accept() {
-            Ok((stream, peer)) if open.count.load(Ordering::SeqCst) < MAX_CONNECTIONS => {
-                if serve_connection(stream, peer, open, on_frame.clone()).is_err() {
-                    emit!(Event::LinkLimitReached, "cannot serve {peer}");
+            Ok((stream, peer)) if connections.count.load(Ordering::SeqCst) < MAX_CONNECTIONS => {
+                if serve_connection(stream, peer, connections, on_frame.clone()).is_err() {
+                    emit!(Event::LinkLimitReached, "cannot serve connection from {peer}");
                 }
             }
-            Ok((_, peer)) => emit!(Event::LinkLimitReached, "refused {peer}"),
-            Err(_) => std::thread::sleep(STOP_POLL),
+            Ok((_, peer)) => emit!(Event::LinkLimitReached, "refused connection from {peer}"),
+            Err(_) => std::thread::sleep(ACCEPT_POLL_INTERVAL),
         }
     }
 }
@@ -123,7 +123,7 @@
 fn serve_connection<In, Out, F>(
     stream: TcpStream,
     peer: SocketAddr,
-    open: &Arc<OpenConnections>,
+    connections: &Arc<OpenConnections>,
     on_frame: Arc<F>,
 ) -> std::io::Result<()>
 where
@@ -133,29 +133,29 @@
 {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    let writing = stream.try_clone()?;
-    remember(open, stream.try_clone()?);
-    let (sender, receiver) = bounded(RING);
+    let writer_stream = stream.try_clone()?;
+    track_connection(connections, stream.try_clone()?);
+    let (sender, receiver) = bounded(QUEUE_CAPACITY);
     let replier = Replier { sender };
-    // The reader keeps one end; the other tells the writer that it has ended.
-    let (alive, reader_ended) = bounded::<Infallible>(0);
+    // The reader drops its end of the channel when it exits, which wakes the writer.
+    let (reader_alive, reader_exited) = bounded::<Infallible>(0);
     std::thread::Builder::new()
         .name("wire-write".to_owned())
-        .spawn(move || write_replies(&writing, &receiver, &reader_ended))?;
-    let open = open.clone();
-    open.count.fetch_add(1, Ordering::SeqCst);
+        .spawn(move || write_replies(&writer_stream, &receiver, &reader_exited))?;
+    let connections = connections.clone();
+    connections.count.fetch_add(1, Ordering::SeqCst);
     std::thread::Builder::new().name("wire-read".to_owned()).spawn(move || {
         read_frames(&stream, peer, &replier, &*on_frame);
-        drop(alive);
-        open.count.fetch_sub(1, Ordering::SeqCst);
+        drop(reader_alive);
+        connections.count.fetch_sub(1, Ordering::SeqCst);
     })?;
     Ok(())
 }
 
-/// Keeps a handle to shut the connection down at a stop, and drops those that ended.
-fn remember(open: &OpenConnections, stream: TcpStream) {
-    let mut streams = open.streams.lock();
-    streams.retain(|known| known.peer_addr().is_ok());
+/// Stores a handle for shutting the connection down on stop, and removes closed connections.
+fn track_connection(connections: &OpenConnections, stream: TcpStream) {
+    let mut streams = connections.streams.lock();
+    streams.retain(|stream| stream.peer_addr().is_ok());
     streams.push(stream);
 }
 
@@ -173,7 +173,7 @@
             Ok(frame) => on_frame(frame, replier),
             Err(FrameError::Io(_)) => break,
             Err(error) => {
-                emit!(Event::FrameRefused, "from {peer}: {error}");
+                emit!(Event::FrameRefused, "cannot read frame from {peer}: {error}");
                 break;
             }
         }
@@ -184,13 +184,13 @@
 fn write_replies<Out: Serialize>(
     stream: &TcpStream,
     receiver: &Receiver<Out>,
-    reader_ended: &Receiver<Infallible>,
+    reader_exited: &Receiver<Infallible>,
 ) {
     let mut output = BufWriter::new(stream);
     loop {
         let reply = select! {
             recv(receiver) -> reply => reply,
-            recv(reader_ended) -> _ => break,
+            recv(reader_exited) -> _ => break,
         };
         let Ok(reply) = reply else {
             break;
