--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,5 +1,5 @@
-//! A small client over `attohttpc` with typed errors that say whether a request
-//! can have reached its target.
+//! HTTP client based on `attohttpc`, whose errors tell whether a request may have reached the
+//! server.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,39 +11,39 @@
 
 use crate::events::EventReader;
 
-/// Largest reply that is read whole, in bytes.
-const MAX_REPLY_BYTES: u64 = 64 << 20;
+/// JSON responses are read up to this size, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Why a request failed.
+/// Error of a request.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection came about, so the target saw nothing of the request.
+    /// The connection could not be established; the server did not receive the request.
     #[error("cannot connect: {0}")]
     NotConnected(String),
-    /// The connection broke or timed out; the target may have acted.
-    #[error("the connection broke: {0}")]
+    /// The connection failed or timed out; the server may have processed the request.
+    #[error("connection failed or timed out: {0}")]
     Broken(String),
-    /// The target answered with another status than 200 or 201.
+    /// The server responded with a status other than 2xx.
     #[error("status {status}: {body}")]
     Status {
-        /// The status.
+        /// Status code.
         status: u16,
-        /// The start of the body.
+        /// Response body.
         body: String,
     },
-    /// The answer is not the JSON that is wanted.
-    #[error("unreadable answer: {0}")]
+    /// The response body is not valid JSON of the expected type.
+    #[error("invalid response body: {0}")]
     Malformed(String),
 }
 
 impl ClientError {
-    /// Whether the target certainly saw nothing of the request.
+    /// Returns whether the request is known not to have been response.
     pub fn never_sent(&self) -> bool {
         matches!(self, Self::NotConnected(_))
     }
 }
 
-/// Sends requests to one address.
+/// HTTP client for one server address.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     base: String,
@@ -53,7 +53,7 @@
 }
 
 impl HttpClient {
-    /// A client for `address`.
+    /// Creates a client for the server at `address`.
     pub fn new(address: SocketAddr, connect_timeout: Duration, read_timeout: Duration) -> Self {
         Self {
             base: format!("http://{address}"),
@@ -63,14 +63,14 @@
         }
     }
 
-    /// The same client with one more header on each request.
+    /// Adds a header to every request.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// `GET path` as JSON.
+    /// Sends `GET path` and parses the response as JSON.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -79,7 +79,7 @@
         read_json(response)
     }
 
-    /// `DELETE path`, the answer as JSON.
+    /// Sends `DELETE path` and parses the response as JSON.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -88,7 +88,7 @@
         read_json(response)
     }
 
-    /// `POST path` with a JSON body, the answer as JSON.
+    /// Sends `POST path` with a JSON body and parses the response as JSON.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -100,7 +100,7 @@
         self.send_json(Method::POST, path, body).and_then(read_json)
     }
 
-    /// `PUT path` with a JSON body, the answer as JSON.
+    /// Sends `PUT path` with a JSON body and parses the response as JSON.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -112,7 +112,7 @@
         self.send_json(Method::PUT, path, body).and_then(read_json)
     }
 
-    /// `POST path` with a JSON body, the answer as a stream of events.
+    /// Sends `POST path` with a JSON body and reads the response as an event stream.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -125,7 +125,7 @@
         Ok(EventReader::new(response.split().2))
     }
 
-    /// `GET path`, the answer as a stream of events.
+    /// Sends `GET path` and reads the response as an event stream.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -134,10 +134,10 @@
         Ok(EventReader::new(response.split().2))
     }
 
-    /// Sends `body` as JSON and returns the response whatever its status is.
+    /// Sends `body` as JSON and returns the response, regardless of its status.
     ///
     /// # Errors
-    /// [`ClientError::NotConnected`] or [`ClientError::Broken`].
+    /// Returns [`ClientError::NotConnected`] or [`ClientError::Broken`].
     pub fn exchange_json<B: Serialize>(
         &self,
         method: Method,
@@ -145,8 +145,8 @@
         body: &B,
     ) -> Result<attohttpc::Response, ClientError> {
         let request = self.builder(method, path);
-        let request = request.json(body).map_err(classify)?;
-        request.send().map_err(classify)
+        let request = request.json(body).map_err(classify_error)?;
+        request.send().map_err(classify_error)
     }
 
     fn send_json<B: Serialize>(
@@ -155,12 +155,12 @@
         path: &str,
         body: &B,
     ) -> Result<attohttpc::Response, ClientError> {
-        self.exchange_json(method, path, body).and_then(accept_status)
+        self.exchange_json(method, path, body).and_then(check_status)
     }
 
     fn send_empty(&self, method: Method, path: &str) -> Result<attohttpc::Response, ClientError> {
-        let sent = self.builder(method, path).send().map_err(classify);
-        sent.and_then(accept_status)
+        let response = self.builder(method, path).send().map_err(classify_error);
+        response.and_then(check_status)
     }
 
     fn builder(&self, method: Method, path: &str) -> RequestBuilder {
@@ -175,7 +175,7 @@
     }
 }
 
-fn accept_status(response: attohttpc::Response) -> Result<attohttpc::Response, ClientError> {
+fn check_status(response: attohttpc::Response) -> Result<attohttpc::Response, ClientError> {
     if response.is_success() {
         return Ok(response);
     }
@@ -187,23 +187,23 @@
 fn read_json<T: DeserializeOwned>(response: attohttpc::Response) -> Result<T, ClientError> {
     use std::io::Read;
     let mut body = Vec::new();
-    let mut reader = response.split().2.take(MAX_REPLY_BYTES);
+    let mut reader = response.split().2.take(MAX_RESPONSE_BYTES);
     reader.read_to_end(&mut body).map_err(|error| ClientError::Broken(error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| ClientError::Malformed(error.to_string()))
 }
 
-fn classify(error: attohttpc::Error) -> ClientError {
-    let text = error.to_string();
+fn classify_error(error: attohttpc::Error) -> ClientError {
+    let message = error.to_string();
     match error.kind() {
         ErrorKind::ConnectNotSupported | ErrorKind::InvalidBaseUrl | ErrorKind::InvalidUrlHost => {
-            ClientError::NotConnected(text)
+            ClientError::NotConnected(message)
         }
-        ErrorKind::Io(source) if is_connect_failure(source) => ClientError::NotConnected(text),
-        _ => ClientError::Broken(text),
+        ErrorKind::Io(source) if is_connect_failure(source) => ClientError::NotConnected(message),
+        _ => ClientError::Broken(message),
     }
 }
 
-/// Only failures that cannot happen once a connection stands.
+/// Returns whether `error` can only occur while a connection is being established.
 fn is_connect_failure(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/http/src/events.rs
+++ b/crates/http/src/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, written and read.
+//! Writing and reading of server-sent events.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 
@@ -7,13 +7,13 @@
 
 use crate::exchange::HeaderPair;
 
-/// Longest accepted line of an event stream, in bytes.
+/// Maximum length of a line of an event stream, in bytes.
 const MAX_LINE_BYTES: u64 = 8 << 20;
-/// Bytes gathered before a chunk is sent without an explicit flush.
+/// Buffer size of the chunked encoder, in bytes.
 const CHUNK_BYTES: usize = 4096;
 const DATA_FIELD: &str = "data: ";
 
-/// Writes events to a caller, each flushed at once.
+/// Writes an event stream; each event is flushed immediately.
 pub struct EventWriter {
     output: Output,
 }
@@ -45,19 +45,19 @@
         Ok(Self { output })
     }
 
-    /// Sends one event with `data` as JSON.
+    /// Sends an event with `data` encoded as JSON.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// Returns an error if the connection is closed.
     pub fn send<T: Serialize>(&mut self, data: &T) -> io::Result<()> {
         let text = serde_json::to_string(data)?;
         self.send_text(&text)
     }
 
-    /// Sends one event with `data` as it is; it must hold no line break.
+    /// Sends an event with `data`, which must not contain line breaks.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// Returns an error if the connection is closed.
     pub fn send_text(&mut self, data: &str) -> io::Result<()> {
         let event = format!("{DATA_FIELD}{data}\n\n");
         match &mut self.output {
@@ -73,21 +73,21 @@
     }
 }
 
-/// Reads the data fields of an event stream.
+/// Reads the `data` fields of an event stream.
 pub struct EventReader<R> {
     input: BufReader<R>,
 }
 
 impl<R: Read> EventReader<R> {
-    /// Reads from `input`.
+    /// Creates a reader of `input`.
     pub fn new(input: R) -> Self {
         Self { input: BufReader::new(input) }
     }
 
-    /// The next data field; `None` at the end of the stream.
+    /// Returns the next `data` field, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// When the connection breaks or a line is longer than 8 MiB.
+    /// Returns an error if the connection fails or a line is too long.
     pub fn next_data(&mut self) -> io::Result<Option<String>> {
         loop {
             let mut line = String::new();
@@ -96,7 +96,10 @@
                 return Ok(None);
             }
             if read as u64 == MAX_LINE_BYTES {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "event stream line exceeds the size limit",
+                ));
             }
             if let Some(data) = line.trim_end().strip_prefix(DATA_FIELD) {
                 return Ok(Some(data.to_owned()));
--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! HTTP request and its response.
 
 use std::io::{self, Read};
 use std::time::Duration;
@@ -9,9 +9,9 @@
 
 use crate::events::EventWriter;
 use crate::server::ServerSettings;
-use crate::slow_peer::SlowPeerWatch;
+use crate::slow_peer::BodyDeadlines;
 
-/// Bounds on a request body.
+/// Limits on a request body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
     max_bytes: usize,
@@ -24,69 +24,69 @@
     }
 }
 
-/// Why a body could not be taken.
+/// Error in reading a request body.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     #[error("the body is larger than {limit} bytes")]
     TooLarge {
-        /// The limit, in bytes.
+        /// Limit in bytes.
         limit: usize,
     },
-    /// It did not arrive whole in time, or the connection broke.
+    /// The body was not fully received in time, or the connection failed.
     #[error("the body did not arrive whole within {} ms", timeout.as_millis())]
     Incomplete {
-        /// Time the body had.
+        /// Time limit for receiving the body.
         timeout: Duration,
     },
-    /// It is not the JSON that is wanted.
+    /// The body is not valid JSON of the expected type.
     #[error("the body is not valid: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// A header of an answer: name and value.
+/// Name and value of a response header.
 pub type HeaderPair = (&'static str, String);
 
-/// One request being handled.
+/// Request that is being handled, with the means to respond to it.
 pub struct Exchange {
     request: Request,
     limits: BodyLimits,
-    watch: SlowPeerWatch,
+    body_deadlines: BodyDeadlines,
     path: String,
     query: String,
 }
 
 impl Exchange {
-    pub(crate) fn new(request: Request, limits: BodyLimits, watch: SlowPeerWatch) -> Self {
+    pub(crate) fn new(request: Request, limits: BodyLimits, body_deadlines: BodyDeadlines) -> Self {
         let url = request.url().to_owned();
         let (path, query) = url.split_once('?').unwrap_or((&url, ""));
-        Self { path: path.to_owned(), query: query.to_owned(), request, limits, watch }
+        Self { path: path.to_owned(), query: query.to_owned(), request, limits, body_deadlines }
     }
 
-    /// The method, in capitals.
+    /// Returns the method in upper case.
     pub fn method(&self) -> &str {
         self.request.method().as_str()
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// The path's segments.
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<String> {
-        let parts = self.path.split('/').filter(|part| !part.is_empty());
-        parts.map(str::to_owned).collect()
+        let segments = self.path.split('/').filter(|part| !part.is_empty());
+        segments.map(str::to_owned).collect()
     }
 
-    /// The value of `name` in the query.
+    /// Returns the first value of the query parameter `name`, without percent-decoding.
     pub fn query(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
-        let mut matching = pairs.filter(|(key, _)| *key == name);
-        matching.next().map(|(_, value)| value)
+        let mut matches = pairs.filter(|(key, _)| *key == name);
+        matches.next().map(|(_, value)| value)
     }
 
-    /// The value of the header `name`, whatever its case.
+    /// Returns the value of the header `name`, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let headers = self.request.headers();
         let found = headers
@@ -95,7 +95,7 @@
         Some(found.value.as_str())
     }
 
-    /// Reads the whole body within the server's bounds.
+    /// Reads the complete body within the server's limits.
     ///
     /// # Errors
     /// See [`BodyError`].
@@ -106,14 +106,14 @@
         }
         let timeout = self.limits.timeout;
         let peer = self.request.remote_addr().copied();
-        let guard = peer.map(|peer| self.watch.guard(peer, timeout));
+        let guard = peer.map(|peer| self.body_deadlines.guard(peer, timeout));
         let expected = self.request.body_length();
         let mut body = Vec::new();
         let mut reader = self.request.as_reader().take(limit as u64 + 1);
         let read = reader.read_to_end(&mut body);
         drop(guard);
-        let is_short = expected.is_some_and(|length| body.len() < length);
-        if read.is_err() || is_short {
+        let is_truncated = expected.is_some_and(|length| body.len() < length);
+        if read.is_err() || is_truncated {
             return Err(BodyError::Incomplete { timeout });
         }
         if body.len() > limit {
@@ -131,13 +131,13 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Answers with `body` as JSON.
+    /// Responds with `body` encoded as JSON.
     pub fn reply_json<T: Serialize>(self, status: u16, headers: &[HeaderPair], body: &T) {
         let text = serde_json::to_vec(body).unwrap_or_default();
         self.reply(status, "application/json", headers, text);
     }
 
-    /// Answers with `body` as plain text.
+    /// Responds with the text `body`.
     pub fn reply_text(self, status: u16, content_type: &str, body: impl Into<String>) {
         self.reply(status, content_type, &[], body.into().into_bytes());
     }
@@ -148,18 +148,18 @@
         for (name, value) in headers {
             add_header(&mut response, name, value);
         }
-        // What is left of an unread body is drained when the request is dropped;
-        // the guard keeps a slow sender from holding the worker there.
+        // Dropping the request reads the rest of the body. The guard bounds the time that a slow
+        // sender can block the worker.
         let peer = self.request.remote_addr().copied();
-        let guard = peer.map(|peer| self.watch.guard(peer, self.limits.timeout));
+        let guard = peer.map(|peer| self.body_deadlines.guard(peer, self.limits.timeout));
         let _ = self.request.respond(response);
         drop(guard);
     }
 
-    /// Starts an answer of server-sent events.
+    /// Starts a response of server-sent events.
     ///
     /// # Errors
-    /// When the caller is gone already.
+    /// Returns an error if the connection is closed.
     pub fn start_events(self, headers: &[HeaderPair]) -> io::Result<EventWriter> {
         let chunked = *self.request.http_version() >= tiny_http::HTTPVersion(1, 1);
         let is_head = *self.request.method() == Method::Head;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,8 @@
-//! HTTP for every role: a server with bounded workers, server-sent events, and
-//! small client helpers.
+//! Blocking HTTP server and client with support for server-sent events.
 //!
-//! The server is `tiny_http`, the client `attohttpc`. This crate adds what a
-//! service on an open port needs around them: a bounded queue in front of a
-//! fixed number of workers, a limit on body size, and deadlines for bodies.
+//! The server is based on `tiny_http`, the client on `attohttpc`. The server adds a bounded queue
+//! with a fixed number of workers, a size limit on request bodies, and a deadline for receiving
+//! them.
 
 pub mod client;
 pub mod events;
@@ -16,5 +15,5 @@
 pub use exchange::{BodyError, Exchange};
 pub use server::{Handler, HttpServer, ServerSettings};
 
-/// The last data field of a stream in the OpenAI shape.
+/// Data of the event that ends a stream of the OpenAI API.
 pub const STREAM_DONE: &str = "[DONE]";
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,6 @@
-//! The server: one duty accepts requests, a fixed set of workers handles them.
+//! HTTP server with one accepting thread and a fixed pool of workers.
 //!
-//! A request that finds the ring between them full is refused at once, so that
-//! an overloaded process answers cheaply instead of letting callers wait.
+//! Requests are rejected immediately while the queue between them is full.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,25 +14,25 @@
 use rustix::net::sockopt;
 
 use crate::exchange::{BodyLimits, Exchange};
-use crate::slow_peer::{SlowPeerWatch, Watchdog};
+use crate::slow_peer::{BodyDeadlines, Watchdog};
 
-/// How long a worker or the acceptor waits before it looks for a stop again.
-const STOP_POLL: Duration = Duration::from_millis(50);
-/// Longest silence inside one read of a connection; idle connections end with it.
-const READ_SILENCE: Duration = Duration::from_secs(30);
-/// How often the listener is woken so that its own wait stays under [`READ_SILENCE`].
-const LISTENER_WAKE: Duration = Duration::from_secs(10);
+/// Interval at which threads check whether the server is stopping.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Read timeout of connections; idle connections are closed after it.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the listener is woken, which must be shorter than [`READ_TIMEOUT`].
+const LISTENER_WAKE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSettings {
-    /// Requests handled at a time.
+    /// Number of worker threads.
     pub workers: usize,
-    /// Requests that may wait for a worker.
+    /// Capacity of the queue in front of the workers.
     pub queue: usize,
-    /// Largest accepted body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time a body may take to arrive.
+    /// Time limit for receiving a request body.
     pub body_timeout: Duration,
 }
 
@@ -48,17 +47,18 @@
     }
 }
 
-/// What a server does with requests.
+/// Request handler of a server.
 pub trait Handler: Send + Sync + 'static {
     /// Handles one request on a worker thread.
     fn handle(&self, exchange: Exchange);
 
-    /// Answers a request that found no place; runs on the accepting thread, so
-    /// it must not block.
+    /// Responds to a request that is rejected because the queue is full.
+    ///
+    /// Runs on the accepting thread and must not block.
     fn refuse_busy(&self, exchange: Exchange);
 }
 
-/// A running server. Dropping it stops it.
+/// Running server, which is stopped on drop.
 pub struct HttpServer {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -66,10 +66,10 @@
 }
 
 impl HttpServer {
-    /// Binds `address` (port 0 takes a free port) and starts to serve.
+    /// Binds `address` (port 0 selects a free port) and starts to serve.
     ///
     /// # Errors
-    /// When the address cannot be bound or a thread cannot be started.
+    /// Returns an error if the address cannot be bound or a thread cannot be started.
     pub fn start(
         address: SocketAddr,
         settings: ServerSettings,
@@ -79,20 +79,20 @@
         Self::start_on(listener, settings, handler)
     }
 
-    /// Serves on a listener that is bound already.
+    /// Starts to serve on an existing listener.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if the listener cannot be configured or a thread cannot be started.
     pub fn start_on(
         listener: TcpListener,
         settings: ServerSettings,
         handler: Arc<dyn Handler>,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        limit_silence(&listener)?;
+        set_read_timeout(&listener)?;
         let server = tiny_http::Server::from_listener(listener, None).map_err(io::Error::other)?;
         let stop = Arc::new(AtomicBool::new(false));
-        let (watch, watchdog) = Watchdog::start(stop.clone())?;
+        let (body_deadlines, watchdog) = Watchdog::start(stop.clone())?;
         let (sender, receiver) = bounded(settings.queue);
         let mut threads = vec![watchdog];
         for index in 0..settings.workers {
@@ -102,7 +102,7 @@
             server,
             sender,
             handler,
-            watch,
+            body_deadlines,
             limits: BodyLimits::from(&settings),
             stop: stop.clone(),
         };
@@ -111,12 +111,12 @@
         Ok(Self { address, stop, threads })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, waits for the requests under way, and ends all threads.
+    /// Stops accepting requests and waits until running requests and all threads have ended.
     pub fn stop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
@@ -131,25 +131,25 @@
     }
 }
 
-/// Gives accepted connections a read timeout.
+/// Sets the read timeout of accepted connections.
 ///
-/// `tiny_http` offers none. On Linux an accepted socket inherits the receive
-/// timeout of its listener, which is why the listener carries it; the listener
-/// itself is woken more often than that by [`spawn_listener_wake`].
-fn limit_silence(listener: &TcpListener) -> io::Result<()> {
-    sockopt::set_socket_timeout(listener, sockopt::Timeout::Recv, Some(READ_SILENCE))?;
+/// `tiny_http` has no such setting, but on Linux an accepted socket inherits the receive timeout
+/// of its listener. [`spawn_listener_wake`] prevents the listener itself from timing out.
+fn set_read_timeout(listener: &TcpListener) -> io::Result<()> {
+    sockopt::set_socket_timeout(listener, sockopt::Timeout::Recv, Some(READ_TIMEOUT))?;
     Ok(())
 }
 
+/// Connects to the listener at regular intervals, so that its accept does not time out.
 fn spawn_listener_wake(address: SocketAddr, stop: Arc<AtomicBool>) -> io::Result<JoinHandle<()>> {
     spawn_named("http-wake", move || {
-        let mut waited = Duration::ZERO;
+        let mut since_wake = Duration::ZERO;
         while !stop.load(Ordering::SeqCst) {
-            std::thread::sleep(STOP_POLL);
-            waited += STOP_POLL;
-            if waited >= LISTENER_WAKE {
-                waited = Duration::ZERO;
-                let _ = TcpStream::connect_timeout(&address, STOP_POLL);
+            std::thread::sleep(STOP_POLL_INTERVAL);
+            since_wake += STOP_POLL_INTERVAL;
+            if since_wake >= LISTENER_WAKE_INTERVAL {
+                since_wake = Duration::ZERO;
+                let _ = TcpStream::connect_timeout(&address, STOP_POLL_INTERVAL);
             }
         }
     })
@@ -165,19 +165,19 @@
     handler: Arc<dyn Handler>,
 ) -> io::Result<JoinHandle<()>> {
     spawn_named(&format!("http-worker-{index}"), move || {
-        // The ring is closed when the acceptor ends; an idle worker costs nothing.
+        // The channel is closed when the acceptor ends.
         while let Ok(exchange) = receiver.recv() {
             handler.handle(exchange);
         }
     })
 }
 
-/// Takes requests from `tiny_http` and hands them to the workers.
+/// Receives requests from `tiny_http` and queues them for the workers.
 struct Acceptor {
     server: tiny_http::Server,
     sender: Sender<Exchange>,
     handler: Arc<dyn Handler>,
-    watch: SlowPeerWatch,
+    body_deadlines: BodyDeadlines,
     limits: BodyLimits,
     stop: Arc<AtomicBool>,
 }
@@ -185,17 +185,25 @@
 impl Acceptor {
     fn run(self) {
         while !self.stop.load(Ordering::SeqCst) {
-            if let Ok(Some(request)) = self.server.recv_timeout(STOP_POLL) {
-                self.hand_over(Exchange::new(request, self.limits, self.watch.clone()));
+            if let Ok(Some(request)) = self.server.recv_timeout(STOP_POLL_INTERVAL) {
+                self.queue_request(Exchange::new(
+                    request,
+                    self.limits,
+                    self.body_deadlines.clone(),
+                ));
             }
         }
     }
 
-    fn hand_over(&self, exchange: Exchange) {
+    fn queue_request(&self, exchange: Exchange) {
         match self.sender.try_send(exchange) {
             Ok(()) => {}
             Err(TrySendError::Full(exchange) | TrySendError::Disconnected(exchange)) => {
-                emit!(Event::WorkersBusy, "refused {}", exchange.path());
+                emit!(
+                    Event::WorkersBusy,
+                    "rejected request for {}: no worker available",
+                    exchange.path()
+                );
                 self.handler.refuse_busy(exchange);
             }
         }
--- a/crates/http/src/slow_peer.rs
+++ b/crates/http/src/slow_peer.rs
@@ -1,8 +1,8 @@
-//! Closes connections whose request body does not arrive in time.
+//! Closes connections whose request body is not received in time.
 //!
-//! `tiny_http` reads bodies without a deadline and hands out no socket. A worker
-//! therefore registers the peer's address and a deadline before it reads, and
-//! this watchdog shuts the socket of an overdue peer down, which ends the read.
+//! `tiny_http` reads bodies without a deadline and does not expose its sockets. Workers therefore
+//! register the peer's address and a deadline before reading, and a watchdog thread shuts down the
+//! sockets of overdue peers, which ends the read.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,59 +17,62 @@
 use parking_lot::Mutex;
 use rustix::net::{Shutdown, getpeername, shutdown};
 
-/// How often deadlines are looked at.
+/// Interval at which deadlines are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Deadlines of the bodies that are being read now, by peer.
+/// Deadlines of request bodies that are being read, by peer.
 #[derive(Clone, Default)]
-pub(crate) struct SlowPeerWatch {
-    deadlines: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
+pub(crate) struct BodyDeadlines {
+    by_peer: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
 }
 
-impl SlowPeerWatch {
-    /// Watches `peer` until the guard is dropped.
-    pub(crate) fn guard(&self, peer: SocketAddr, timeout: Duration) -> WatchGuard {
-        self.deadlines.lock().insert(peer, Instant::now() + timeout);
-        WatchGuard { watch: self.clone(), peer }
+impl BodyDeadlines {
+    /// Sets the deadline of `peer`, which applies until the guard is dropped.
+    pub(crate) fn guard(&self, peer: SocketAddr, timeout: Duration) -> DeadlineGuard {
+        self.by_peer.lock().insert(peer, Instant::now() + timeout);
+        DeadlineGuard { deadlines: self.clone(), peer }
     }
 
     fn take_overdue(&self, now: Instant) -> Vec<SocketAddr> {
-        let mut deadlines = self.deadlines.lock();
+        let mut by_peer = self.by_peer.lock();
         let is_overdue = |_: &SocketAddr, deadline: &mut Instant| *deadline <= now;
-        deadlines.extract_if(is_overdue).map(|(peer, _)| peer).collect()
+        by_peer.extract_if(is_overdue).map(|(peer, _)| peer).collect()
     }
 }
 
-/// Ends the watch over one peer when dropped.
-pub(crate) struct WatchGuard {
-    watch: SlowPeerWatch,
+/// Removes the deadline of a peer on drop.
+pub(crate) struct DeadlineGuard {
+    deadlines: BodyDeadlines,
     peer: SocketAddr,
 }
 
-impl Drop for WatchGuard {
+impl Drop for DeadlineGuard {
     fn drop(&mut self) {
-        self.watch.deadlines.lock().remove(&self.peer);
+        self.deadlines.by_peer.lock().remove(&self.peer);
     }
 }
 
-/// The duty that enforces the deadlines.
+/// Thread that enforces the deadlines.
 pub(crate) struct Watchdog;
 
 impl Watchdog {
-    pub(crate) fn start(stop: Arc<AtomicBool>) -> io::Result<(SlowPeerWatch, JoinHandle<()>)> {
-        let watch = SlowPeerWatch::default();
-        let watched = watch.clone();
+    pub(crate) fn start(stop: Arc<AtomicBool>) -> io::Result<(BodyDeadlines, JoinHandle<()>)> {
+        let deadlines = BodyDeadlines::default();
+        let checked_deadlines = deadlines.clone();
         let thread =
             std::thread::Builder::new().name("http-watchdog".to_owned()).spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     std::thread::sleep(CHECK_INTERVAL);
-                    for peer in watched.take_overdue(Instant::now()) {
-                        emit!(Event::SlowBodyClosed, "closing {peer}");
+                    for peer in checked_deadlines.take_overdue(Instant::now()) {
+                        emit!(
+                            Event::SlowBodyClosed,
+                            "request body from {peer} not received in time; closing the connection"
+                        );
                         shut_down_peer(peer);
                     }
                 }
             })?;
-        Ok((watch, thread))
+        Ok((deadlines, thread))
     }
 }
 
@@ -80,29 +83,28 @@
     };
     for entry in entries.flatten() {
         let name = entry.file_name();
-        let Some(number) = name.to_str().and_then(|text| text.parse::<RawFd>().ok()) else {
+        let Some(fd) = name.to_str().and_then(|text| text.parse::<RawFd>().ok()) else {
             continue;
         };
-        shut_down_if_connected_to(number, peer);
+        shut_down_if_connected_to(fd, peer);
     }
 }
 
-fn shut_down_if_connected_to(number: RawFd, peer: SocketAddr) {
-    let Some(socket) = borrow(number) else {
+fn shut_down_if_connected_to(fd: RawFd, peer: SocketAddr) {
+    let Some(socket) = borrow_fd(fd) else {
         return;
     };
-    let Ok(Some(found)) = getpeername(socket) else {
+    let Ok(Some(peer_address)) = getpeername(socket) else {
         return;
     };
-    if SocketAddr::try_from(found) == Ok(peer) {
+    if SocketAddr::try_from(peer_address) == Ok(peer) {
         let _ = shutdown(socket, Shutdown::Both);
     }
 }
 
 #[allow(unsafe_code)]
-fn borrow(number: RawFd) -> Option<BorrowedFd<'static>> {
-    // SAFETY: the number was just listed as open. If another thread closes it in
-    // between, the calls on it fail with EBADF; if it was reused, the peer
-    // address is compared before anything is done with it.
-    (number >= 0).then(|| unsafe { BorrowedFd::borrow_raw(number) })
+fn borrow_fd(fd: RawFd) -> Option<BorrowedFd<'static>> {
+    // SAFETY: the descriptor was listed as open. If another thread has closed it since, calls
+    // on it fail with EBADF; if it was reused, the peer address is compared before it is used.
+    (fd >= 0).then(|| unsafe { BorrowedFd::borrow_raw(fd) })
 }
