--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -183,7 +183,7 @@
             CallerEvent::Failed(failure) => failure.outcome,
             _ => Outcome::Completed,
         };
-        CALLS_ENDED.count(outcome.as_str());
+        CALLS_ENDED.inc(outcome.as_str());
         if let Some(attempt) = &call.attempt
             && self.by_attempt.get(attempt) == Some(&id)
         {
--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -271,7 +271,7 @@
             return;
         };
         let kind = if call.resumes.is_some() { "resumed" } else { "new" };
-        ATTEMPTS_SENT.count(kind);
+        ATTEMPTS_SENT.inc(kind);
         call.phase = Phase::Running { progress: now };
         call.continuation = call.text.len();
         if let Some(order) = engine_order(call) {
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -73,7 +73,7 @@
             "{:?}: {failure:?}",
             call.attempt.as_ref().map(AttemptId::to_string)
         );
-        ATTEMPTS_FAILED.count(failure.as_str());
+        ATTEMPTS_FAILED.inc(failure.as_str());
         let was_lookup = matches!(call.phase, Phase::LookingUp { .. });
         if let Some(target) =
             call.target.as_ref().filter(|_| failure != BackendFailure::NothingToResume)
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -219,8 +219,8 @@
         self.send_holdings(now);
         self.tick_calls(now);
         self.finish_stop(now);
-        metrics::CALLS_UNDER_WAY.show(self.calls.len() as u64);
-        metrics::APPLIED_REVISION.show(self.view.applied().0);
+        metrics::CALLS_UNDER_WAY.set(self.calls.len() as u64);
+        metrics::APPLIED_REVISION.set(self.view.applied().0);
         self.take_actions(now)
     }
 
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -261,7 +261,7 @@
                 ANSWERED_BYTES.add(bulk, frame.len() as u64);
                 traffic::note(Peer::Gateway, bulk, self.distance, frame.len());
                 let queued = self.replies.send(frame);
-                WAITING.show(self.waiting.get() as u64);
+                WAITING.set(self.waiting.get() as u64);
                 if queued == SendOutcome::Overflowed {
                     emit!(Event::AnswersNotTaken; answer = bulk, waiting = self.waiting.get());
                 }
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -187,7 +187,7 @@
 
 /// Logs one line for each reading that shows a change, whatever the size of the fleet.
 fn log_cold(change: &ColdChange, cold: usize) {
-    COLD_REPLICAS.show(cold as u64);
+    COLD_REPLICAS.set(cold as u64);
     if *change == ColdChange::default() {
         return;
     }
--- a/crates/ledger/src/server/peers/known.rs
+++ b/crates/ledger/src/server/peers/known.rs
@@ -58,7 +58,7 @@
         let zone = card.zone.clone().or(before);
         peers.insert(card.replica.machine, KnownPeer { zone, version });
         let older = peers.values().filter(|known| known.version < NEWEST).count();
-        OLDER_MACHINES.show(older as u64);
+        OLDER_MACHINES.set(older as u64);
     }
 
     /// How far a machine is from `zone`; `None` until it has said where it is.
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -487,7 +487,7 @@
             NodeEvent::Lost { ticket } => self.answer_all(ticket, &Answered::Lost),
             NodeEvent::Leadership { is_leader, .. } => {
                 let event = if is_leader { Event::BecameLeader } else { Event::LostLeadership };
-                LEADS.show(u64::from(is_leader));
+                LEADS.set(u64::from(is_leader));
                 self.catches_up_since = is_leader.then(Instant::now);
                 emit!(event; machine = self.name, term = self.term());
             }
@@ -627,7 +627,7 @@
             return;
         };
         emit!(Event::ZonesDrained; version = drained.version, zones = drained);
-        DRAINED_ZONES.show(drained.zones.len() as u64);
+        DRAINED_ZONES.set(drained.zones.len() as u64);
         self.standing.drained = Arc::new(drained.clone());
         out.send_replace(self.standing.clone());
     }
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -132,14 +132,14 @@
         let error = match result {
             Ok(exchange) => {
                 if send_by.is_some() {
-                    COLD_REQUESTS.count("sent");
+                    COLD_REQUESTS.inc("sent");
                 }
                 trail.note_attempt();
                 return Ok(exchange);
             }
             Err(error) => error,
         };
-        ATTEMPTS_FAILED.count(&error.to_string());
+        ATTEMPTS_FAILED.inc(&error.to_string());
         emit!(
             Event::AttemptFailed;
             request = call.head.request_id,
@@ -197,7 +197,7 @@
             member.note_trouble(UNREACHABLE_PENALTY.0, UNREACHABLE_PENALTY.1);
             trail.refused_at += 1;
         }
-        ExchangeError::Lapsed => COLD_REQUESTS.count("lapsed"),
+        ExchangeError::Lapsed => COLD_REQUESTS.inc("lapsed"),
         ExchangeError::NotExecuted => {
             member.note_trouble(FULL_PENALTY.0, FULL_PENALTY.1);
             trail.refused_at += 1;
@@ -264,7 +264,7 @@
         if placed_on.holds(is_cold, now) {
             return Some((member, placed_on.send_by));
         }
-        COLD_REQUESTS.count("lapsed");
+        COLD_REQUESTS.inc("lapsed");
     }
     let wanted = WantedReplica {
         service: &service.name,
@@ -291,7 +291,7 @@
         return Refusal::Unknown;
     }
     if service.cold.is_some() && app.fleet.has_only_cold(&service.name, &call.homes()) {
-        COLD_REQUESTS.count("refused");
+        COLD_REQUESTS.inc("refused");
         return Refusal::not_run(NotRunReason::ReplicasCold, COLD_RETRY_AFTER);
     }
     if trail.refused_at == 0 {
--- a/crates/proxy/src/flow/failure.rs
+++ b/crates/proxy/src/flow/failure.rs
@@ -27,7 +27,7 @@
     tokio::spawn(async move {
         let question = Question::ReportFailure { replica: replica.clone() };
         let told = app.ledger.ask(&question, Instant::now() + PATIENCE).await;
-        REPORTS.count(if told.is_ok() { "told" } else { "no answer" });
+        REPORTS.inc(if told.is_ok() { "told" } else { "no answer" });
         app.fleet.end_report(&replica);
     });
 }
--- a/crates/proxy/src/flow/headers.rs
+++ b/crates/proxy/src/flow/headers.rs
@@ -16,7 +16,7 @@
 pub fn keep_callers(dialect: &dyn Dialect, headers: &mut HeaderMap) {
     remove_connection_headers(dialect, headers);
     for name in owned_by(dialect, headers, HeaderOwner::Gateway) {
-        HEADERS_DROPPED.count(name.as_str());
+        HEADERS_DROPPED.inc(name.as_str());
         headers.remove(name);
     }
 }
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -22,7 +22,7 @@
 
 use bytes::Bytes;
 use calicohoist_routing::{Credential, Limits, Route, RouteKind, RouteTable, Tenant};
-use calicohoist_telemetry::metrics::Times;
+use calicohoist_telemetry::metrics::DurationHistogram;
 use calicohoist_telemetry::{Event, emit};
 use hyper::body::{Body, Incoming};
 use hyper::header::HOST;
@@ -85,7 +85,7 @@
     );
 }
 
-static REQUEST_TIMES: Times = Times::new(
+static REQUEST_TIMES: DurationHistogram = DurationHistogram::new(
     "calicohoist_request_seconds",
     "Time from a request's head to the end of its answer, by outcome",
     "outcome",
@@ -93,7 +93,7 @@
 
 /// Counts a request that has ended.
 fn note_end(outcome: &str, time: Duration) {
-    REQUEST_TIMES.note(outcome, time);
+    REQUEST_TIMES.observe(outcome, time);
 }
 
 fn log_taken(call: &Call) {
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -8,7 +8,7 @@
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_limiter::{PermitAnswer, PermitRequest};
 use calicohoist_scheduler::untried_wait;
-use calicohoist_telemetry::metrics::{Counter, Times};
+use calicohoist_telemetry::metrics::{Counter, DurationHistogram};
 
 use super::call::Call;
 use super::refusal::{NotRunReason, Refusal};
@@ -23,7 +23,7 @@
     "Permits of requests that are no turns, by where they came from",
     "source",
 );
-static PERMIT_TIMES: Times = Times::new(
+static PERMIT_TIMES: DurationHistogram = DurationHistogram::new(
     "calicohoist_permit_seconds",
     "Time until the ledger answered for a permit, by outcome",
     "outcome",
@@ -86,19 +86,19 @@
     let now = Instant::now();
     let held = app.purse.lock().spend(&request.tenant, now);
     if let Some(until) = held {
-        PERMITS.count("held");
+        PERMITS.inc("held");
         return Ok(Permit::Until(until));
     }
-    PERMITS.count("asked");
+    PERMITS.inc("asked");
     let deadline = now + untried_wait(call.left(), ASK_PATIENCE);
     let answer = app.ledger.ask(&Question::Permit(request.clone()), deadline).await;
     match answer {
         Ok(Answer::Permit(answer)) => {
-            PERMIT_TIMES.note("answered", now.elapsed());
+            PERMIT_TIMES.observe("answered", now.elapsed());
             accept(app, &request, answer, now)
         }
         _ => {
-            PERMIT_TIMES.note("no answer", now.elapsed());
+            PERMIT_TIMES.observe("no answer", now.elapsed());
             Err(Refusal::not_run(NotRunReason::LedgerUnavailable, RETRY_AFTER))
         }
     }
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -13,7 +13,7 @@
 use calicohoist_ledger::{Answer, Question};
 use calicohoist_routing::PlacedReplica;
 use calicohoist_scheduler::{Decision, PlacementRequest, RunSample, TurnRun, untried_wait};
-use calicohoist_telemetry::metrics::Times;
+use calicohoist_telemetry::metrics::DurationHistogram;
 use calicohoist_telemetry::{Event, emit};
 
 use super::call::Call;
@@ -21,7 +21,7 @@
 use super::refusal::{NotRunReason, Refusal};
 use crate::app::App;
 
-static LEDGER_TIMES: Times = Times::new(
+static LEDGER_TIMES: DurationHistogram = DurationHistogram::new(
     "calicohoist_ledger_answer_seconds",
     "Time until the ledger answered, by question",
     "question",
@@ -96,7 +96,7 @@
         let began = Instant::now();
         let deadline = began + untried_wait(call.left(), RESERVE_PATIENCE);
         let answer = app.ledger.ask(&question, deadline).await;
-        LEDGER_TIMES.note("reserve", began.elapsed());
+        LEDGER_TIMES.observe("reserve", began.elapsed());
         log_reserved(call, &answer, began);
         // From here on the drop of `turn` settles what may have been reserved.
         match answer {
@@ -173,7 +173,7 @@
             Ok(Answer::Placed(decision)) => Some(decision),
             _ => None,
         };
-        LEDGER_TIMES.note("place", began.elapsed());
+        LEDGER_TIMES.observe("place", began.elapsed());
         log_placed(&self.call, decision.as_ref(), began);
         decision
     }
@@ -260,7 +260,7 @@
         let question = Question::Settle(self.settlement(Some(retained)));
         let began = Instant::now();
         let answer = self.app.ledger.ask(&question, self.call.deadline).await;
-        LEDGER_TIMES.note("settle", began.elapsed());
+        LEDGER_TIMES.observe("settle", began.elapsed());
         match answer {
             Ok(Answer::Settled) => {
                 self.is_settled = true;
--- a/crates/proxy/src/memory.rs
+++ b/crates/proxy/src/memory.rs
@@ -107,7 +107,7 @@
             return None;
         }
         *held.of(class) += bytes;
-        HELD.show(held.sum() as u64);
+        HELD.set(held.sum() as u64);
         Some(HeldBytes { budget: Arc::clone(self), class, bytes })
     }
 
@@ -127,7 +127,7 @@
     fn take_back(&self, class: ByteClass, bytes: usize) {
         let mut held = self.held.lock();
         *held.of(class) -= bytes;
-        HELD.show(held.sum() as u64);
+        HELD.set(held.sum() as u64);
         drop(held);
         self.returned.notify_waiters();
     }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -70,7 +70,7 @@
                 loads: self.app.fleet.own_loads(),
                 drained: self.app.fleet.drained_version(),
             };
-            RUNNING_IN_DRAINED.show(u64::from(self.app.fleet.running_in_drained()));
+            RUNNING_IN_DRAINED.set(u64::from(self.app.fleet.running_in_drained()));
             let deadline = Instant::now() + WATCH_PATIENCE;
             let answer = self.app.ledger.ask(&Question::Watch(seen), deadline).await;
             if answer.is_ok() {
@@ -111,7 +111,7 @@
 
     fn take_drained(&self, drained: DrainedZones) {
         let (version, zones) = (drained.version, drained.to_string());
-        DRAINED_ZONES.show(drained.zones.len() as u64);
+        DRAINED_ZONES.set(drained.zones.len() as u64);
         self.app.fleet.set_drained(drained);
         let running = self.app.fleet.running_in_drained();
         emit!(Event::DrainApplied; version = version, zones = zones, running = running);
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -127,7 +127,7 @@
         if self.pending.len() >= MAX_PENDING {
             return self.reply(client, id, StoreReply::Unavailable);
         }
-        metrics::REQUESTS.count(request.kind());
+        metrics::REQUESTS.inc(request.kind());
         match request {
             StoreRequest::Command(group, command) => {
                 self.propose(unix_millis, group, command, Pending::Command(client, id));
@@ -260,7 +260,7 @@
             emit!(Event::LostLeadership, "group {group}");
             self.leads.remove(&group);
         }
-        metrics::GROUPS_LED.show(self.leads.len() as u64);
+        metrics::GROUPS_LED.set(self.leads.len() as u64);
     }
 
     fn answer_read(&mut self, now: Moment, ticket: Ticket, group: GroupId) {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -40,7 +40,7 @@
     }
 
     /// Increments the counter for the label value `value`.
-    pub fn count(&self, value: &str) {
+    pub fn inc(&self, value: &str) {
         self.add(value, 1);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Sets the gauge to `value`.
-    pub fn show(&self, value: u64) {
+    pub fn set(&self, value: u64) {
         let registered =
             self.registered.get_or_init(|| register_int_gauge!(self.name, self.help).ok());
         if let Some(gauge) = registered {
@@ -108,21 +108,21 @@
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0];
 
 /// Histogram of durations with one label, registered on first use.
-pub struct Times {
+pub struct DurationHistogram {
     name: &'static str,
     help: &'static str,
     label: &'static str,
     registered: OnceLock<Option<HistogramVec>>,
 }
 
-impl Times {
+impl DurationHistogram {
     /// Creates a histogram with the given name, help text and label name.
     pub const fn new(name: &'static str, help: &'static str, label: &'static str) -> Self {
         Self { name, help, label, registered: OnceLock::new() }
     }
 
     /// Records one duration under the label value `value`.
-    pub fn note(&self, value: &str, duration: Duration) {
+    pub fn observe(&self, value: &str, duration: Duration) {
         let registered = self.registered.get_or_init(|| {
             let buckets = DURATION_BUCKETS.to_vec();
             register_histogram_vec!(self.name, self.help, &[self.label], buckets).ok()
--- a/crates/transport/src/refusal.rs
+++ b/crates/transport/src/refusal.rs
@@ -51,7 +51,7 @@
     }
 
     fn report(&self, peer: impl Display, error: impl Display) {
-        FRAMES_REFUSED.count(self.link);
+        FRAMES_REFUSED.inc(self.link);
         let now = Instant::now();
         let mut last_logged = self.last_logged.lock();
         if last_logged.is_some_and(|at| now < at + LOG_INTERVAL) {
