--- a/crates/calicohoist/src/cli/operator.rs
+++ b/crates/calicohoist/src/cli/operator.rs
@@ -152,7 +152,7 @@
     let Declared { line, kind, name, spec } = resource;
     let path = format!("/apis/v1/{kind}/{name}?dry_run={dry_run}");
     let sender = client(target).with_header(HEADER_REQUEST, request_id());
-    let response = sender.exchange_json(Method::PUT, &path, spec)?;
+    let response = sender.request_json(Method::PUT, &path, spec)?;
     if response.is_success() {
         return Ok(Vec::new());
     }
--- a/crates/calicohoist/src/roles.rs
+++ b/crates/calicohoist/src/roles.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         exchange.reply_text(503, "text/plain", "busy\n");
     }
 }
--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -189,7 +189,7 @@
     }
 
     fn stream(&self, exchange: Exchange, attempt: &AttemptId, model: &str, from_piece: usize) {
-        let Ok(mut events) = exchange.start_events(&[]) else {
+        let Ok(mut events) = exchange.start_event_stream(&[]) else {
             return;
         };
         let id = attempt.to_string();
@@ -356,7 +356,7 @@
         }
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         refuse(exchange, 503, "too many requests");
     }
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         exchange.reply_json(503, &[], &json!({ "error": "too many requests" }));
     }
 }
--- a/crates/emulator/src/weights.rs
+++ b/crates/emulator/src/weights.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         exchange.reply_json(503, &[], &json!({ "error": "too many requests" }));
     }
 }
--- a/crates/gateway/src/backend/engine.rs
+++ b/crates/gateway/src/backend/engine.rs
@@ -41,7 +41,7 @@
         .with_header(HEADER_ENGINE_ATTEMPT, order.attempt.to_string())
         .with_header(HEADER_ENGINE_PROGRAM, order.attempt.call.program.as_str())
         .with_header(HEADER_ENGINE_PRIORITY, order.priority.to_string());
-    client.post_events("/v1/chat/completions", &request).map_err(|error| failure_of(&error))
+    client.post_event_stream("/v1/chat/completions", &request).map_err(|error| failure_of(&error))
 }
 
 fn resume(
@@ -49,7 +49,8 @@
     earlier: &AttemptId,
     read_timeout: Duration,
 ) -> Result<Events, BackendFailure> {
-    let opened = client(order.address, read_timeout).get_events(&format!("/v1/attempts/{earlier}"));
+    let opened =
+        client(order.address, read_timeout).get_event_stream(&format!("/v1/attempts/{earlier}"));
     opened.map_err(|_| BackendFailure::NothingToResume)
 }
 
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -92,7 +92,7 @@
 
     fn stream(&self, exchange: Exchange, ring: &CallerRing, style: &Style, attempt: &AttemptId) {
         let headers = call_headers(attempt);
-        let Ok(mut events) = exchange.start_events(&headers) else {
+        let Ok(mut events) = exchange.start_event_stream(&headers) else {
             return self.caller_gone(ring.ticket());
         };
         let id = answer_id(attempt);
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -147,7 +147,7 @@
         self.respond(exchange);
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         emit!(Event::RequestRefused, "busy: {}", exchange.path());
         let has_key = exchange.header(calicohoist_types::openai::HEADER_KEY).is_some();
         ApiError::busy(has_key).reply(exchange);
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub fn post_events<B: Serialize>(
+    pub fn post_event_stream<B: Serialize>(
         &self,
         path: &str,
         body: &B,
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub fn get_events(&self, path: &str) -> Result<EventReader<ResponseReader>, ClientError> {
+    pub fn get_event_stream(&self, path: &str) -> Result<EventReader<ResponseReader>, ClientError> {
         let response = self.send_empty(Method::GET, path)?;
         Ok(EventReader::new(response.split().2))
     }
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     /// Returns [`ClientError::NotConnected`] or [`ClientError::Broken`].
-    pub fn exchange_json<B: Serialize>(
+    pub fn request_json<B: Serialize>(
         &self,
         method: Method,
         path: &str,
@@ -155,7 +155,7 @@
         path: &str,
         body: &B,
     ) -> Result<attohttpc::Response, ClientError> {
-        self.exchange_json(method, path, body).and_then(check_status)
+        self.request_json(method, path, body).and_then(check_status)
     }
 
     fn send_empty(&self, method: Method, path: &str) -> Result<attohttpc::Response, ClientError> {
--- a/crates/http/src/exchange.rs
+++ b/crates/http/src/exchange.rs
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     /// Returns an error if the connection is closed.
-    pub fn start_events(self, headers: &[HeaderPair]) -> io::Result<EventWriter> {
+    pub fn start_event_stream(self, headers: &[HeaderPair]) -> io::Result<EventWriter> {
         let chunked = *self.request.http_version() >= tiny_http::HTTPVersion(1, 1);
         let is_head = *self.request.method() == Method::Head;
         EventWriter::start(self.request.into_writer(), chunked && !is_head, headers)
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -55,7 +55,7 @@
     /// Responds to a request that is rejected because the queue is full.
     ///
     /// Runs on the accepting thread and must not block.
-    fn refuse_busy(&self, exchange: Exchange);
+    fn handle_overload(&self, exchange: Exchange);
 }
 
 /// Running server, which is stopped on drop.
@@ -204,7 +204,7 @@
                     "rejected request for {}: no worker available",
                     exchange.path()
                 );
-                self.handler.refuse_busy(exchange);
+                self.handler.handle_overload(exchange);
             }
         }
     }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -139,7 +139,7 @@
 
 fn time_stream(client: &HttpClient, request: &ChatRequest) -> Result<u64> {
     let begin = Instant::now();
-    let mut events = client.post_events("/v1/chat/completions", request)?;
+    let mut events = client.post_event_stream("/v1/chat/completions", request)?;
     let mut is_done = false;
     while let Some(data) = events.next_data()? {
         is_done |= data == calicohoist_http::STREAM_DONE;
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -190,13 +190,13 @@
             Asked::Model { model, messages } => {
                 let request = ChatRequest::streamed(model, messages);
                 let path = "/v1/chat/completions";
-                let response = sender.exchange_json(Method::POST, path, &request);
+                let response = sender.request_json(Method::POST, path, &request);
                 self.read_answer(response, gateway, sequence, hang_up)
             }
             Asked::Service { service, input } => {
                 let request = ServiceRequest { input: input.clone() };
                 let path = format!("/v1/services/{service}");
-                read_service(sender.exchange_json(Method::POST, &path, &request))
+                read_service(sender.request_json(Method::POST, &path, &request))
             }
         };
         std::thread::sleep(self.context.delay);
@@ -242,7 +242,7 @@
             self.program,
             text.len()
         );
-        let response = self.client(gateway).exchange_json(Method::GET, &path, &());
+        let response = self.client(gateway).request_json(Method::GET, &path, &());
         match response {
             Ok(response) if response.is_success() => read_stream(response, &mut text, false),
             Ok(response) => refusal(response),
