--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -17,7 +17,7 @@
 use calicohoist_store::protocol::{StoreBack, StoreFrame};
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_types::{Moment, NodeId};
-use calicohoist_wire::{FrameServer, Link, Replier};
+use calicohoist_wire::{FrameServer, Link, ReplySender};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
 
@@ -182,7 +182,9 @@
     std::thread::Builder::new().name(name.to_owned()).spawn(run)
 }
 
-fn peer_handler(core: Sender<CoreInput>) -> impl Fn(PeerFrame, &Replier<PeerFrame>) + Send + Sync {
+fn peer_handler(
+    core: Sender<CoreInput>,
+) -> impl Fn(PeerFrame, &ReplySender<PeerFrame>) + Send + Sync {
     move |frame, _| {
         let _ = core
             .try_send(CoreInput::Input(Input::Peer { from: frame.from, message: frame.message }));
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -120,7 +120,7 @@
     ) -> Result<Self, FrameError> {
         match version {
             ProtocolVersion::LEGACY => frames.next().await,
-            _ => frames.next::<PeerFrame>().await?.open().ok_or(FrameError::Unpack),
+            _ => frames.next::<PeerFrame>().await?.open().ok_or(FrameError::Decompress),
         }
     }
 }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -16,7 +16,7 @@
 };
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_types::Moment;
-use calicohoist_wire::{FrameServer, Link, Replier};
+use calicohoist_wire::{FrameServer, Link, ReplySender};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use rand::RngExt;
 
@@ -63,8 +63,8 @@
 
 enum Input {
     Peer { from: ReplicaId, messages: Vec<GroupMessage> },
-    Request { client: u64, id: u64, request: StoreRequest, replier: Replier<StoreBack> },
-    AskStarted { replier: Replier<StoreBack> },
+    Request { client: u64, id: u64, request: StoreRequest, replier: ReplySender<StoreBack> },
+    AskStarted { replier: ReplySender<StoreBack> },
     Started { machine: u32, started: bool },
 }
 
@@ -159,7 +159,9 @@
     Ok(links)
 }
 
-fn frame_handler(sender: Sender<Input>) -> impl Fn(StoreFrame, &Replier<StoreBack>) + Send + Sync {
+fn frame_handler(
+    sender: Sender<Input>,
+) -> impl Fn(StoreFrame, &ReplySender<StoreBack>) + Send + Sync {
     let next_client = AtomicU64::new(1);
     move |frame, replier| {
         let input = match frame {
@@ -185,7 +187,7 @@
     settings: StoreSettings,
     links: BTreeMap<u32, Link<StoreFrame>>,
     receiver: Receiver<Input>,
-    clients: BTreeMap<u64, Replier<StoreBack>>,
+    clients: BTreeMap<u64, ReplySender<StoreBack>>,
     /// Identity of the data folder, once it is settled.
     disk: u32,
     origin: Instant,
@@ -273,7 +275,7 @@
         }
     }
 
-    fn tell_started(&self, replier: &Replier<StoreBack>, started: bool) {
+    fn tell_started(&self, replier: &ReplySender<StoreBack>, started: bool) {
         let machine = self.settings.machine;
         replier.send(StoreBack::Started { machine, started });
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -32,7 +32,7 @@
     /// A compressed message cannot be decompressed although its checksum matches, so the sender
     /// uses an unknown format.
     #[error("cannot decompress message")]
-    Unpack,
+    Decompress,
     /// The message cannot be encoded.
     #[error("cannot encode message: {0}")]
     Encode(#[from] bincode::error::EncodeError),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -11,4 +11,4 @@
 
 pub use frame::{FrameError, MAX_FRAME_BYTES, decode, encode, read_frame, write_frame};
 pub use link::Link;
-pub use server::{FrameServer, Replier};
+pub use server::{FrameServer, ReplySender};
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -23,17 +23,17 @@
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Sends replies on the connection on which a frame was received.
-pub struct Replier<Out> {
+pub struct ReplySender<Out> {
     sender: Sender<Out>,
 }
 
-impl<Out> Clone for Replier<Out> {
+impl<Out> Clone for ReplySender<Out> {
     fn clone(&self) -> Self {
         Self { sender: self.sender.clone() }
     }
 }
 
-impl<Out> Replier<Out> {
+impl<Out> ReplySender<Out> {
     /// Queues a reply; returns `false` if the connection is closed or its queue is full.
     pub fn send(&self, reply: Out) -> bool {
         self.sender.try_send(reply).is_ok()
@@ -61,7 +61,7 @@
     /// Returns an error if the listener cannot be configured or the thread cannot be started.
     pub fn start<In, Out>(
         listener: TcpListener,
-        on_frame: impl Fn(In, &Replier<Out>) + Send + Sync + 'static,
+        on_frame: impl Fn(In, &ReplySender<Out>) + Send + Sync + 'static,
     ) -> std::io::Result<Self>
     where
         In: DeserializeOwned + Send + 'static,
@@ -105,7 +105,7 @@
 ) where
     In: DeserializeOwned + Send + 'static,
     Out: Serialize + Send + 'static,
-    F: Fn(In, &Replier<Out>) + Send + Sync + 'static,
+    F: Fn(In, &ReplySender<Out>) + Send + Sync + 'static,
 {
     while !stop.load(Ordering::SeqCst) {
         match listener.accept() {
@@ -129,14 +129,14 @@
 where
     In: DeserializeOwned + Send + 'static,
     Out: Serialize + Send + 'static,
-    F: Fn(In, &Replier<Out>) + Send + Sync + 'static,
+    F: Fn(In, &ReplySender<Out>) + Send + Sync + 'static,
 {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
     let writer_stream = stream.try_clone()?;
     track_connection(connections, stream.try_clone()?);
     let (sender, receiver) = bounded(QUEUE_CAPACITY);
-    let replier = Replier { sender };
+    let replies = ReplySender { sender };
     // The reader drops its end of the channel when it exits, which wakes the writer.
     let (reader_alive, reader_exited) = bounded::<Infallible>(0);
     std::thread::Builder::new()
@@ -145,7 +145,7 @@
     let connections = connections.clone();
     connections.count.fetch_add(1, Ordering::SeqCst);
     std::thread::Builder::new().name("wire-read".to_owned()).spawn(move || {
-        read_frames(&stream, peer, &replier, &*on_frame);
+        read_frames(&stream, peer, &replies, &*on_frame);
         drop(reader_alive);
         connections.count.fetch_sub(1, Ordering::SeqCst);
     })?;
@@ -162,15 +162,15 @@
 fn read_frames<In, Out>(
     stream: &TcpStream,
     peer: SocketAddr,
-    replier: &Replier<Out>,
-    on_frame: &impl Fn(In, &Replier<Out>),
+    replies: &ReplySender<Out>,
+    on_frame: &impl Fn(In, &ReplySender<Out>),
 ) where
     In: DeserializeOwned,
 {
     let mut input = BufReader::new(stream);
     loop {
         match read_frame(&mut input) {
-            Ok(frame) => on_frame(frame, replier),
+            Ok(frame) => on_frame(frame, replies),
             Err(FrameError::Io(_)) => break,
             Err(error) => {
                 emit!(Event::FrameRefused, "cannot read frame from {peer}: {error}");
