--- a/crates/calicohoist/src/cli/serve.rs
+++ b/crates/calicohoist/src/cli/serve.rs
@@ -60,7 +60,7 @@
         NodeRole::Ledger(settings) => (settings.name.clone(), IpAddr::V4(settings.ip)),
     };
     log.node = name;
-    logging::install_bounded(log)?;
+    logging::install_non_blocking(log)?;
     // One thread carries all sockets: on a fraction of a core, threads only take turns.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(async {
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Returns an error if a logger is already installed or the writer thread cannot be started.
-pub fn install_bounded(settings: LogSettings) -> Result<()> {
+pub fn install_non_blocking(settings: LogSettings) -> Result<()> {
     let level = settings.level;
     let output = NonBlockingWriter::start(std::io::stdout())?;
     let write = move |record: &Record<'_>| {
