--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use calicohoist_types::backend_api::{
-    CacheEvent, EngineInstruction, EngineRole, ExportedCache, FencedOrder, LoadReport, OrderReply,
+    CacheEvent, CommandReply, EngineCommand, EngineRole, ExportedCache, FencedCommand, LoadReport,
 };
 use calicohoist_types::{AttemptId, ChatMessage, ModelId, Moment, ProgramId, Usage};
 use rand::{RngExt, SeedableRng};
@@ -456,19 +456,19 @@
     }
 
     /// Obeys an order if it is newer than all before.
-    pub fn order(&mut self, order: &FencedOrder) -> OrderReply {
+    pub fn order(&mut self, order: &FencedCommand) -> CommandReply {
         let number = (order.epoch, order.sequence);
         let accepted = number > self.fence;
         if accepted {
             self.fence = number;
             match &order.order {
-                EngineInstruction::LoadModel { model, .. } => self.loading = Some(model.clone()),
-                EngineInstruction::LoadAdapter { adapter } => self.adapters.push(adapter.clone()),
-                EngineInstruction::SetRole { role } => self.role = *role,
-                EngineInstruction::Leave => self.leaving = true,
+                EngineCommand::LoadModel { model, .. } => self.loading = Some(model.clone()),
+                EngineCommand::LoadAdapter { adapter } => self.adapters.push(adapter.clone()),
+                EngineCommand::SetRole { role } => self.role = *role,
+                EngineCommand::Leave => self.leaving = true,
             }
         }
-        OrderReply { accepted, epoch: self.fence.0, sequence: self.fence.1 }
+        CommandReply { accepted, epoch: self.fence.0, sequence: self.fence.1 }
     }
 
     /// The model whose weights are on their way.
--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -8,7 +8,7 @@
 
 use calicohoist_http::{Exchange, Handler, HttpClient, HttpServer, STREAM_DONE, ServerSettings};
 use calicohoist_types::backend_api::{
-    CacheListing, CacheReleased, CachedProgram, ExportedCache, FencedOrder, TransferReply,
+    CacheListing, CacheReleased, CachedProgram, ExportedCache, FencedCommand, TransferReply,
     TransferRequest,
 };
 use calicohoist_types::openai::{
@@ -268,7 +268,7 @@
     }
 
     fn order(&self, mut exchange: Exchange) {
-        match exchange.read_json::<FencedOrder>() {
+        match exchange.read_json::<FencedCommand>() {
             Ok(order) => {
                 let reply = self.model.lock().order(&order);
                 if reply.accepted {
--- a/crates/types/src/backend_api.rs
+++ b/crates/types/src/backend_api.rs
@@ -67,19 +67,19 @@
 /// Body of `POST /v1/orders` of an engine: a command that is executed only if its epoch and
 /// sequence number are newer than those of all earlier commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FencedOrder {
+pub struct FencedCommand {
     /// Epoch of the sender.
     pub epoch: u64,
     /// Sequence number within the epoch.
     pub sequence: u64,
     /// Command to execute.
-    pub order: EngineInstruction,
+    pub order: EngineCommand,
 }
 
 /// Command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum EngineInstruction {
+pub enum EngineCommand {
     /// Replaces the loaded model.
     LoadModel {
         /// Model to load.
@@ -114,9 +114,9 @@
     Decode,
 }
 
-/// Response to [`FencedOrder`].
+/// Response to [`FencedCommand`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderReply {
+pub struct CommandReply {
     /// Whether the command was newer than all earlier ones and is executed.
     pub accepted: bool,
     /// Highest epoch seen.
