--- a/crates/calicohoist/src/settings/reader.rs
+++ b/crates/calicohoist/src/settings/reader.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
 
-use calicohoist_types::{Finding, Place, is_valid_name};
+use calicohoist_types::{Finding, Location, is_valid_name};
 use toml_edit::{Document, Item, Table, TableLike};
 
 /// What a name may look like.
@@ -58,7 +58,7 @@
     ) {
         let position = span.map(|span| self.position(span.start));
         self.findings.push(Finding {
-            place: Place {
+            place: Location {
                 file: self.file.to_owned(),
                 line: position.map(|(line, _)| line),
                 column: position.map(|(_, column)| column),
--- a/crates/types/src/finding.rs
+++ b/crates/types/src/finding.rs
@@ -6,7 +6,7 @@
 
 /// Location in an input. Lines and columns are numbered from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     /// File name or other name of the input; empty for a request body.
     pub file: String,
     /// Line, if the input is a text file.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
     /// Location in the input.
-    pub place: Place,
+    pub place: Location,
     /// Description of the error.
     pub problem: String,
     /// Description of the accepted values.
@@ -35,7 +35,7 @@
         problem: impl Into<String>,
         accepted: impl Into<String>,
     ) -> Self {
-        let place = Place { field: field.into(), ..Place::default() };
+        let place = Location { field: field.into(), ..Location::default() };
         Self { place, problem: problem.into(), accepted: accepted.into() }
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use chat::{ChatMessage, Role, Usage, estimate_tokens};
 pub use digest::{Digest, HistoryDigest};
-pub use finding::{Finding, Findings, Place};
+pub use finding::{Finding, Findings, Location};
 pub use ids::{
     AttemptId, CallId, EngineId, IdempotencyKey, Incarnation, ModelId, NodeId, ProgramId, Region,
     RequestId, Revision, ServiceId, TenantId, Zone, is_valid_name,
