--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -8,7 +8,7 @@
 
 use calicohoist_http::{Exchange, Handler, HttpClient, HttpServer, STREAM_DONE, ServerSettings};
 use calicohoist_types::backend_api::{
-    CacheListing, CacheReleased, CachedProgram, ExportedCache, FencedOrder, TransferReply,
+    CacheListing, CacheReleased, CachedProgram, ExportedCache, FencedCommand, TransferReply,
     TransferRequest,
 };
 use calicohoist_types::openai::{
@@ -189,7 +189,7 @@
     }
 
     fn stream(&self, exchange: Exchange, attempt: &AttemptId, model: &str, from_piece: usize) {
-        let Ok(mut events) = exchange.start_events(&[]) else {
+        let Ok(mut events) = exchange.start_event_stream(&[]) else {
             return;
         };
         let id = attempt.to_string();
@@ -268,7 +268,7 @@
     }
 
     fn order(&self, mut exchange: Exchange) {
-        match exchange.read_json::<FencedOrder>() {
+        match exchange.read_json::<FencedCommand>() {
             Ok(order) => {
                 let reply = self.model.lock().order(&order);
                 if reply.accepted {
@@ -356,7 +356,7 @@
         }
     }
 
-    fn refuse_busy(&self, exchange: Exchange) {
+    fn handle_overload(&self, exchange: Exchange) {
         refuse(exchange, 503, "too many requests");
     }
 }
--- a/crates/ledger/src/server/gateways/mod.rs
+++ b/crates/ledger/src/server/gateways/mod.rs
@@ -265,7 +265,7 @@
                 ANSWERED_BYTES.add(kind, frame.len() as u64);
                 traffic::record(Peer::Gateway, kind, self.distance, frame.len());
                 let queued = self.replies.send(frame);
-                QUEUED_BYTES.show(self.queued_bytes.get() as u64);
+                QUEUED_BYTES.set(self.queued_bytes.get() as u64);
                 if queued == SendOutcome::Overflowed {
                     emit!(Event::AnswersNotTaken; answer = kind, waiting = self.queued_bytes.get());
                 }
--- a/crates/ledger/src/server/list.rs
+++ b/crates/ledger/src/server/list.rs
@@ -197,7 +197,7 @@
 
 /// Logs a change of the cold replicas.
 fn log_cold_change(change: &ColdChange, cold: usize) {
-    COLD_REPLICAS.show(cold as u64);
+    COLD_REPLICAS.set(cold as u64);
     if *change == ColdChange::default() {
         return;
     }
--- a/crates/ledger/src/server/peers/frame.rs
+++ b/crates/ledger/src/server/peers/frame.rs
@@ -121,7 +121,7 @@
     ) -> Result<Self, FrameError> {
         match version {
             ProtocolVersion::LEGACY => frames.next().await,
-            _ => frames.next::<PeerFrame>().await?.open().ok_or(FrameError::Unpack),
+            _ => frames.next::<PeerFrame>().await?.open().ok_or(FrameError::Decompress),
         }
     }
 }
--- a/crates/ledger/src/server/peers/known.rs
+++ b/crates/ledger/src/server/peers/known.rs
@@ -58,7 +58,7 @@
         let zone = info.zone.clone().or(previous_zone);
         peers.insert(info.replica.machine, KnownPeer { zone, version });
         let older = peers.values().filter(|known| known.version < LATEST_VERSION).count();
-        OLDER_MACHINES.show(older as u64);
+        OLDER_MACHINES.set(older as u64);
     }
 
     /// Returns the distance of a machine from `zone`, or `None` if the machine's zone is unknown.
--- a/crates/ledger/src/server/replica/mod.rs
+++ b/crates/ledger/src/server/replica/mod.rs
@@ -488,7 +488,7 @@
             NodeEvent::Lost { ticket } => self.answer_all(ticket, &Outcome::Lost),
             NodeEvent::Leadership { is_leader, .. } => {
                 let event = if is_leader { Event::BecameLeader } else { Event::LostLeadership };
-                IS_LEADER.show(u64::from(is_leader));
+                IS_LEADER.set(u64::from(is_leader));
                 self.catching_up_since = is_leader.then(Instant::now);
                 emit!(event; machine = self.name, term = self.term());
             }
@@ -634,7 +634,7 @@
             return;
         };
         emit!(Event::ZonesDrained; version = drained.version, zones = drained);
-        DRAINED_ZONES.show(drained.zones.len() as u64);
+        DRAINED_ZONES.set(drained.zones.len() as u64);
         self.status.drained = Arc::new(drained.clone());
         out.send_replace(self.status.clone());
     }
