--- a/crates/store/src/broken.rs
+++ b/crates/store/src/broken.rs
@@ -1,30 +1,30 @@
-//! Rules that a test breaks on purpose, to show that the simulator notices.
+//! Fault injection: disables single rules to verify that the simulator detects violations.
 //!
-//! Only builds with the feature `broken-rules` can break one, and only the tests
-//! of the lab ask for that feature: in a product build [`is_broken`] is a constant.
+//! Rules can only be broken with the feature `broken-rules`, which is enabled by the lab's
+//! tests alone. In all other builds [`is_broken`] is a constant.
 
-/// A rule on which a promise rests.
+/// A rule that the simulator's invariants depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A call waits for the one before it.
+    /// A call waits until the preceding call of its program has finished.
     WaitForTurn,
-    /// An answer joins the history of its program.
+    /// The answer of a call is appended to the history of its program.
     KeepAnswers,
     /// An attempt whose answer was lost is charged to the budget.
     ChargeLostAttempts,
-    /// Engines are told to release the memory of ended programs.
+    /// Engines release the memory of ended programs.
     ReleaseMemory,
-    /// A resumed answer goes on where its caller lost it.
+    /// A resumed response stream continues at the offset requested by the caller.
     ResumeAtOffset,
-    /// A call that may have run is not closed as not run.
+    /// A call that may have run is never closed as not run.
     KeepMayHaveRun,
-    /// What must not repeat is not tried again.
+    /// A non-repeatable call is not retried once it may have run.
     RepeatOnlyRepeatable,
-    /// Leaving engines get no new work.
+    /// Draining engines receive no new calls.
     AvoidLeaving,
-    /// A planned stop waits for the calls under way.
+    /// A graceful shutdown waits for the running calls.
     FinishCalls,
-    /// Limits are those of the configuration in force.
+    /// A gateway applies limits only from a current configuration.
     UseCurrentLimits,
 }
 
@@ -38,12 +38,12 @@
         static BROKEN: Cell<Option<Rule>> = const { Cell::new(None) };
     }
 
-    /// Breaks a rule in this thread, or none.
+    /// Sets the rule to break in the current thread; `None` restores all rules.
     pub fn break_rule(rule: Option<Rule>) {
         BROKEN.set(rule);
     }
 
-    /// Whether a rule is broken.
+    /// Returns whether `rule` is broken in the current thread.
     pub fn is_broken(rule: Rule) -> bool {
         BROKEN.get() == Some(rule)
     }
@@ -52,7 +52,7 @@
 #[cfg(feature = "broken-rules")]
 pub use switch::{break_rule, is_broken};
 
-/// Whether a rule is broken: never, in this build.
+/// Returns `false`: no rule can be broken in this build.
 #[cfg(not(feature = "broken-rules"))]
 pub const fn is_broken(_rule: Rule) -> bool {
     false
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: everything that changes replicated state, each with its result.
+//! Commands that change replicated state, and their results.
 
 pub mod program;
 pub mod resource;
@@ -11,17 +11,17 @@
 /// A command for either kind of group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// For group 0.
+    /// Command for [`RESOURCE_GROUP`](crate::state::RESOURCE_GROUP).
     Resource(ResourceCommand),
-    /// For a group of programs.
+    /// Command for a program group.
     Program(ProgramCommand),
 }
 
-/// A command with the time at which its leader proposed it. State machines have
-/// no other clock.
+/// A command with the time at which the leader proposed it. State machines use this
+/// timestamp as their only clock, which keeps replicas deterministic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamped {
-    /// Milliseconds of Unix time.
+    /// Proposal time in Unix milliseconds.
     pub at: u64,
     /// The command.
     pub command: Command,
@@ -30,10 +30,10 @@
 /// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Output {
-    /// Of a [`ResourceCommand`].
+    /// Result of a [`ResourceCommand`].
     Resource(ResourceOutput),
-    /// Of a [`ProgramCommand`].
+    /// Result of a [`ProgramCommand`].
     Program(ProgramOutput),
-    /// The group does not take this command.
+    /// The command cannot be decoded, or the group does not support it.
     Unsupported,
 }
--- a/crates/store/src/commands/program.rs
+++ b/crates/store/src/commands/program.rs
@@ -1,8 +1,9 @@
-//! Changes of programs and their calls.
+//! Commands that change programs and their calls.
 //!
-//! A call goes `Admitted → Dispatched → Completed`, or is closed as *not run*
-//! before its dispatch. Every step names its attempt and gateway, so that a
-//! gateway that was replaced while it was silent changes nothing any more.
+//! The states of a call are `Admitted → Dispatched → Completed`; before dispatch it can also
+//! be closed as *not run*, and a dispatched call whose answer is lost becomes *unknown*.
+//! Every transition carries its attempt and gateway, so that commands of a gateway whose call
+//! was taken over are rejected as stale.
 
 use calicohoist_types::{
     AttemptId, CallId, ChatMessage, EngineId, HistoryDigest, IdempotencyKey, NotRunReason,
@@ -18,224 +19,225 @@
     StoredAnswer, depth_of, root_of,
 };
 
-/// Ended programs are kept this long, in milliseconds, for callers that ask again.
+/// Retention period of ended programs, in milliseconds.
 pub const RETENTION_MILLIS: u64 = 10 * 60 * 1_000;
-/// Most programs that one housekeeping command touches.
+/// Maximum number of programs that one housekeeping command cancels, and that it removes.
 const HOUSEKEEPING_BATCH: usize = 256;
 
-/// A program to create.
+/// Parameters of a new program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewProgram {
-    /// Name of a root. The name of a sub-agent is given by its parent's record.
+    /// Id of a root program; ignored for sub-agents, whose ids are derived from the parent's.
     pub id: ProgramId,
-    /// The program that starts it.
+    /// The program that starts this one, if it is a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Identifies the creation across resends.
+    /// Request id, used to deduplicate resends.
     pub request: RequestId,
-    /// Its tenant.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// Most tokens of the whole tree; not used for sub-agents.
+    /// Token budget of the whole tree; ignored for sub-agents.
     pub budget_tokens: u64,
-    /// Most calls.
+    /// Maximum number of calls.
     pub max_calls: u64,
-    /// Cancelled this long after creation, in milliseconds.
+    /// Time after creation at which the program is cancelled, in milliseconds.
     pub lifetime_millis: Option<u64>,
 }
 
-/// A call that asks to be admitted.
+/// Request to admit a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginCall {
     /// The program.
     pub program: ProgramId,
-    /// Creates the program first if it is missing.
+    /// Program to create first if it does not exist.
     pub create: Option<NewProgram>,
-    /// The caller's tenant; another tenant's program is as good as missing.
+    /// The caller's tenant; programs of other tenants are reported as missing.
     pub tenant: TenantId,
-    /// Place of the call; `None` takes the next.
+    /// Sequence number; `None` selects the call with the same key or else the next number.
     pub sequence: Option<u64>,
-    /// The caller's key, or one made for this request.
+    /// Idempotency key supplied by the caller or generated for this request.
     pub key: IdempotencyKey,
-    /// What it asks for.
+    /// Target of the call.
     pub target: CallTarget,
-    /// Whether it may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// Messages to add to the history.
+    /// Messages to append to the history.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Longest prompt the model takes, in tokens.
+    /// Maximum prompt length of the model, in tokens.
     pub max_prompt_tokens: u64,
-    /// The gateway that will run it.
+    /// The gateway that will run the call.
     pub by: NodeRef,
 }
 
-/// Commands for a group of programs.
+/// Commands for a program group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramCommand {
     /// Creates a program.
     Create(NewProgram),
     /// Admits a call.
     Begin(Box<BeginCall>),
-    /// Marks an attempt as possibly sent. Must be durable before the first byte is.
+    /// Marks an attempt as possibly sent. Must be committed before the first byte is sent.
     Dispatch {
         /// The attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
-        /// Where it will be sent.
+        /// Backend that the attempt will be sent to.
         backend: Backend,
-        /// It only asks for the rest of an attempt that was sent there before.
+        /// Whether the attempt resumes the response of an earlier one on the same backend.
         resumes: bool,
     },
-    /// Starts another attempt after one that failed.
+    /// Starts a new attempt after a failed one.
     Retry {
         /// The failed attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
-        /// The back end certainly saw nothing of it.
+        /// Whether the failed attempt is known not to have reached its backend.
         never_sent: bool,
     },
-    /// Takes a call over from a gateway that is gone.
+    /// Takes over a call from a gateway that has failed.
     Claim {
-        /// The attempt of the other gateway.
+        /// The attempt of the failed gateway.
         attempt: AttemptId,
-        /// The gateway that takes over.
+        /// The gateway that takes over the call.
         by: NodeRef,
     },
-    /// Stores the answer.
+    /// Completes a call and stores its answer.
     Complete {
         /// The attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
         /// The answer.
         answer: StoredAnswer,
-        /// Ends the program, too.
+        /// Whether to end the program as well.
         ends_program: bool,
     },
-    /// Closes a call that was not dispatched.
+    /// Closes a call that was not dispatched as not run.
     Close {
         /// The attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
-        /// Why.
+        /// Reason why the call is not run.
         reason: NotRunReason,
     },
-    /// Closes a place for a key that was never admitted.
+    /// Closes the key of a call that was not admitted, so that it can no longer run.
     Refuse {
         /// The call.
         call: CallId,
         /// The caller's tenant.
         tenant: TenantId,
-        /// The key.
+        /// The idempotency key.
         key: IdempotencyKey,
-        /// Why.
+        /// Reason why the call is not run.
         reason: NotRunReason,
     },
-    /// Gives up on learning what became of a dispatched attempt.
+    /// Marks a call as unknown because the outcome of an attempt cannot be determined.
     GiveUp {
         /// The attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
     },
-    /// Ends a program without a call under way.
+    /// Ends a program that has no running call, and cancels its sub-agents.
     End {
         /// The program.
         program: ProgramId,
         /// The caller's tenant.
         tenant: TenantId,
     },
-    /// Cancels a program with its sub-agents and calls.
+    /// Cancels a program, its sub-agents and their running calls.
     Cancel {
         /// The program.
         program: ProgramId,
         /// The caller's tenant.
         tenant: TenantId,
     },
-    /// An engine confirmed that it holds nothing of a program any more.
+    /// Records that an engine has released the memory of a program.
     Released {
         /// The engine.
         engine: EngineId,
         /// The program.
         program: ProgramId,
     },
-    /// Cancels programs past their deadline and forgets those that ended long ago.
+    /// Cancels programs past their deadline and removes those past the retention period.
     Housekeeping,
 }
 
-/// What an admitted call needs to run.
+/// Parameters for running an admitted call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Admission {
     /// The attempt to run.
     pub attempt: AttemptId,
-    /// What it asks for.
+    /// Target of the call.
     pub target: CallTarget,
-    /// Whether it may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// The whole prompt: the history and the call's own messages.
+    /// Full prompt: for models, the history followed by the call's messages.
     pub prompt: Vec<ChatMessage>,
-    /// Tokens of the whole prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Digest of the whole prompt.
+    /// Digest of the history followed by the call's messages.
     pub digest: HistoryDigest,
-    /// Most tokens to generate, cut to what the budget allows.
+    /// Maximum number of tokens to generate, limited by the available budget.
     pub max_tokens: u64,
-    /// Engines that may hold the history, with prompt tokens last sent there.
+    /// Engines that may cache the history, with the number of tokens last recorded there.
     pub holdings: Vec<(EngineId, u64)>,
-    /// Tokens computed for the program so far.
+    /// Tokens computed for the program so far (attained service).
     pub attained_tokens: u64,
-    /// Where an attempt that was taken over had been sent.
+    /// Backend that the taken-over attempt had been dispatched to.
     pub previous: Option<Backend>,
 }
 
-/// Answer to [`ProgramCommand::Begin`] and [`ProgramCommand::Claim`].
+/// Outcome of [`ProgramCommand::Begin`], [`ProgramCommand::Claim`] and
+/// [`ProgramCommand::Refuse`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BeginOutcome {
-    /// Run it.
+    /// The call was admitted and can run.
     Admitted(Box<Admission>),
-    /// It ran before.
+    /// The call has already completed.
     Answered(AttemptId, StoredAnswer),
-    /// It was closed and will not run.
+    /// The call was closed and will not run.
     NotRun(CallId, NotRunReason),
-    /// It may have run.
+    /// The call may have run; its outcome is unknown.
     Unknown(AttemptId),
-    /// Another request of this call is under way.
+    /// The call is already running for another request.
     Running {
         /// The attempt.
         attempt: AttemptId,
-        /// Its gateway.
+        /// Gateway of the attempt.
         by: NodeRef,
     },
-    /// An earlier call has not finished or not arrived; ask again.
+    /// An earlier call has not arrived or not finished; the request should be retried.
     NotYet {
-        /// The place whose turn it is.
+        /// Sequence number of the next call to run.
         expected: u64,
-        /// Whether the call in that place is under way.
+        /// Whether a call of the program is running.
         is_running: bool,
     },
 }
 
-/// Why a command was refused. Nothing was changed.
+/// Reason why a command was rejected. Calls and budgets remain unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramError {
-    /// There is no such program for this tenant.
+    /// The program or call does not exist for this tenant.
     Missing,
-    /// The name is taken by another creation.
+    /// The id is in use by a program that another request created.
     Exists,
     /// The program has ended or was cancelled.
     NotActive(ProgramState),
-    /// A call is under way.
+    /// The call with this sequence number is running.
     Busy(u64),
-    /// The place was used under another key.
+    /// The sequence number was used with a different idempotency key.
     KeyMismatch,
-    /// The attempt is not the newest one, or not under way.
+    /// The attempt is not current or not in the required state.
     Stale,
-    /// The call may not be tried again.
+    /// The call may have run and must not be retried.
     NotRepeatable,
-    /// The budget does not pay for another attempt.
+    /// The budget does not cover another attempt.
     BudgetExhausted,
     /// An earlier attempt may have run, so the call cannot be closed as not run.
     MayHaveRun,
@@ -243,34 +245,34 @@
     TooDeep,
     /// The program has started too many sub-agents.
     TooManyChildren,
-    /// The prompt is longer than the model takes, in tokens.
+    /// The prompt exceeds the model's maximum length; holds its length in tokens.
     PromptTooLong(u64),
 }
 
 /// Result of a [`ProgramCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramOutput {
-    /// The program exists under this name.
+    /// The program exists under this id.
     Created(ProgramId),
-    /// What became of a call that asked to be admitted.
+    /// Outcome of admitting, claiming or refusing a call.
     Begin(BeginOutcome),
-    /// The next attempt.
+    /// The new attempt.
     Retry(AttemptId),
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// The program was cancelled; these attempts were under way.
+    /// The program was cancelled; holds the attempts that were running and their gateways.
     Cancelled(Vec<(AttemptId, NodeRef)>),
-    /// Refused.
+    /// The command was rejected.
     Refused(ProgramError),
 }
 
-type Applied = Result<ProgramOutput, ProgramError>;
+type CommandResult = Result<ProgramOutput, ProgramError>;
 
 impl ProgramShard {
-    /// Applies one command at `at`, in milliseconds of Unix time.
+    /// Applies a command that was proposed at `at`, in Unix milliseconds.
     pub(crate) fn apply(&mut self, at: u64, command: ProgramCommand) -> ProgramOutput {
         self.clock = self.clock.max(at);
-        let applied = match command {
+        let result = match command {
             ProgramCommand::Create(new) => self.create(new).map(ProgramOutput::Created),
             ProgramCommand::Begin(begin) => self.begin(*begin).map(ProgramOutput::Begin),
             ProgramCommand::Dispatch { attempt, by, backend, resumes } => {
@@ -291,7 +293,7 @@
             ProgramCommand::End { program, tenant } => self.end(&program, &tenant),
             ProgramCommand::Cancel { program, tenant } => self.cancel(&program, &tenant),
             ProgramCommand::Released { engine, program } => {
-                self.released(&engine, &program);
+                self.confirm_release(&engine, &program);
                 Ok(ProgramOutput::Done)
             }
             ProgramCommand::Housekeeping => {
@@ -299,7 +301,7 @@
                 Ok(ProgramOutput::Done)
             }
         };
-        applied.unwrap_or_else(ProgramOutput::Refused)
+        result.unwrap_or_else(ProgramOutput::Refused)
     }
 
     fn create(&mut self, new: NewProgram) -> Result<ProgramId, ProgramError> {
@@ -311,13 +313,13 @@
 
     fn create_root(&mut self, new: NewProgram) -> Result<ProgramId, ProgramError> {
         if let Some(existing) = self.programs.get(&new.id) {
-            // The creation itself is remembered as the child "of nobody".
+            // A root is listed among its own children, keyed by its creation request.
             let is_resend = existing.children.get(&new.request) == Some(&new.id);
             return if is_resend { Ok(new.id) } else { Err(ProgramError::Exists) };
         }
         let id = new.id.clone();
         let request = new.request.clone();
-        self.insert(id.clone(), new);
+        self.insert_program(id.clone(), new);
         if let Some(record) = self.programs.get_mut(&id) {
             record.children.insert(request, id.clone());
         }
@@ -329,7 +331,7 @@
         parent: &ProgramId,
         mut new: NewProgram,
     ) -> Result<ProgramId, ProgramError> {
-        let record = self.active(parent, &new.tenant)?;
+        let record = self.active_record_mut(parent, &new.tenant)?;
         if let Some(existing) = record.children.get(&new.request) {
             return Ok(existing.clone());
         }
@@ -343,11 +345,11 @@
         let id = ProgramId::new(format!("{parent}{CHILD_SEPARATOR}{number}"));
         record.children.insert(new.request.clone(), id.clone());
         new.budget_tokens = 0;
-        self.insert(id.clone(), new);
+        self.insert_program(id.clone(), new);
         Ok(id)
     }
 
-    fn insert(&mut self, id: ProgramId, new: NewProgram) {
+    fn insert_program(&mut self, id: ProgramId, new: NewProgram) {
         let deadline_at = new.lifetime_millis.map(|lifetime| self.clock + lifetime);
         if let Some(deadline) = deadline_at {
             self.deadlines.insert((deadline, id.clone()));
@@ -372,22 +374,22 @@
         self.programs.insert(id, record);
     }
 
-    fn visible(
+    fn visible_record_mut(
         &mut self,
         program: &ProgramId,
         tenant: &TenantId,
     ) -> Result<&mut ProgramRecord, ProgramError> {
-        let found = self.programs.get_mut(program);
-        let visible = found.filter(|record| record.tenant == *tenant);
+        let record = self.programs.get_mut(program);
+        let visible = record.filter(|record| record.tenant == *tenant);
         visible.ok_or(ProgramError::Missing)
     }
 
-    fn active(
+    fn active_record_mut(
         &mut self,
         program: &ProgramId,
         tenant: &TenantId,
     ) -> Result<&mut ProgramRecord, ProgramError> {
-        let record = self.visible(program, tenant)?;
+        let record = self.visible_record_mut(program, tenant)?;
         match record.state {
             ProgramState::Active => Ok(record),
             state => Err(ProgramError::NotActive(state)),
@@ -400,18 +402,18 @@
         {
             self.create(new)?;
         }
-        let record = self.visible(&begin.program, &begin.tenant)?;
+        let record = self.visible_record_mut(&begin.program, &begin.tenant)?;
         let sequence = begin.sequence.unwrap_or_else(|| {
             let same_key = record.calls.iter().find(|(_, call)| call.key == begin.key);
             same_key.map_or(record.next_sequence, |(sequence, _)| *sequence)
         });
         let call = CallId { program: begin.program.clone(), sequence };
-        if let Some(known) = record.calls.get(&sequence)
-            && let Some(outcome) = known_outcome(&call, known, &begin.key)?
+        if let Some(existing) = record.calls.get(&sequence)
+            && let Some(outcome) = recorded_outcome(&call, existing, &begin.key)?
         {
             return Ok(outcome);
         }
-        if let Some(reason) = reason_to_refuse(record) {
+        if let Some(reason) = refusal_reason(record) {
             return Ok(self.close_key(call, begin, reason));
         }
         if sequence > record.next_sequence && !is_broken(Rule::WaitForTurn) {
@@ -427,8 +429,8 @@
             return Err(ProgramError::Missing);
         };
         let is_model = matches!(begin.target, CallTarget::Model(_));
-        let own_tokens: u64 = begin.messages.iter().map(ChatMessage::tokens).sum();
-        let prompt_tokens = if is_model { record.history_tokens + own_tokens } else { 0 };
+        let message_tokens: u64 = begin.messages.iter().map(ChatMessage::tokens).sum();
+        let prompt_tokens = if is_model { record.history_tokens + message_tokens } else { 0 };
         if prompt_tokens > begin.max_prompt_tokens {
             return Err(ProgramError::PromptTooLong(prompt_tokens));
         }
@@ -441,9 +443,10 @@
         if let Some(budget) = self.budget_mut(&call.program) {
             budget.reserved += reserved;
         }
-        let earlier = self.call_mut(&call);
-        let closed = earlier.map(|earlier| std::mem::take(&mut earlier.closed)).unwrap_or_default();
-        let previous_attempt = self.call_mut(&call).map_or(0, |earlier| earlier.attempt);
+        let existing = self.call_mut(&call);
+        let closed =
+            existing.map(|existing| std::mem::take(&mut existing.closed)).unwrap_or_default();
+        let previous_attempt = self.call_mut(&call).map_or(0, |existing| existing.attempt);
         let record = CallRecord {
             target: begin.target,
             repeatable: begin.repeatable,
@@ -457,42 +460,43 @@
             closed,
         };
         let program = call.program.clone();
-        if let Some(found) = self.programs.get_mut(&program) {
-            found.calls.insert(call.sequence, record);
+        if let Some(program_record) = self.programs.get_mut(&program) {
+            program_record.calls.insert(call.sequence, record);
         }
         self.admission(&call, None)
     }
 
-    /// What the newest attempt of `call` needs to run.
+    /// Builds the admission for the current attempt of `call`.
     fn admission(
         &self,
         call: &CallId,
         previous: Option<Backend>,
     ) -> Result<BeginOutcome, ProgramError> {
         let record = self.programs.get(&call.program).ok_or(ProgramError::Missing)?;
-        let found = record.calls.get(&call.sequence).ok_or(ProgramError::Missing)?;
-        let is_model = matches!(found.target, CallTarget::Model(_));
-        // A service gets only its own input, not the conversation.
+        let call_record = record.calls.get(&call.sequence).ok_or(ProgramError::Missing)?;
+        let is_model = matches!(call_record.target, CallTarget::Model(_));
+        // Services receive only the call's messages, without the history.
         let history = record.history.iter().take(if is_model { usize::MAX } else { 0 });
-        let prompt: Vec<ChatMessage> = history.chain(&found.messages).cloned().collect();
-        let own_tokens: u64 = found.messages.iter().map(ChatMessage::tokens).sum();
-        let prompt_tokens = if is_model { record.history_tokens + own_tokens } else { own_tokens };
+        let prompt: Vec<ChatMessage> = history.chain(&call_record.messages).cloned().collect();
+        let message_tokens: u64 = call_record.messages.iter().map(ChatMessage::tokens).sum();
+        let prompt_tokens =
+            if is_model { record.history_tokens + message_tokens } else { message_tokens };
         let holdings = record.holdings.iter().map(|(engine, tokens)| (engine.clone(), *tokens));
         Ok(BeginOutcome::Admitted(Box::new(Admission {
-            attempt: AttemptId { call: call.clone(), number: found.attempt },
-            target: found.target.clone(),
-            repeatable: found.repeatable,
-            digest: record.digest.append_all(&found.messages),
+            attempt: AttemptId { call: call.clone(), number: call_record.attempt },
+            target: call_record.target.clone(),
+            repeatable: call_record.repeatable,
+            digest: record.digest.append_all(&call_record.messages),
             prompt,
             prompt_tokens,
-            max_tokens: found.reserved.saturating_sub(prompt_tokens),
+            max_tokens: call_record.reserved.saturating_sub(prompt_tokens),
             holdings: holdings.collect(),
             attained_tokens: record.attained_tokens,
             previous,
         })))
     }
 
-    /// Closes `begin`'s key at its place, so that a late duplicate cannot run.
+    /// Closes the key of `begin`, so that a delayed duplicate of the request cannot run.
     fn close_key(&mut self, call: CallId, begin: BeginCall, reason: NotRunReason) -> BeginOutcome {
         let Some(record) = self.programs.get_mut(&call.program) else {
             return BeginOutcome::NotRun(call, reason);
@@ -510,7 +514,7 @@
             earlier: None,
             closed: Vec::new(),
         });
-        remember_closed(entry, closed);
+        push_closed_key(entry, closed);
         BeginOutcome::NotRun(call, reason)
     }
 
@@ -520,10 +524,10 @@
         tenant: &TenantId,
         key: IdempotencyKey,
         reason: NotRunReason,
-    ) -> Applied {
-        let record = self.visible(&call.program, tenant)?;
-        if let Some(known) = record.calls.get(&call.sequence)
-            && let Some(outcome) = known_outcome(&call, known, &key)?
+    ) -> CommandResult {
+        let record = self.visible_record_mut(&call.program, tenant)?;
+        if let Some(existing) = record.calls.get(&call.sequence)
+            && let Some(outcome) = recorded_outcome(&call, existing, &key)?
         {
             return Ok(ProgramOutput::Begin(outcome));
         }
@@ -549,12 +553,12 @@
         by: &NodeRef,
         backend: Backend,
         resumes: bool,
-    ) -> Applied {
+    ) -> CommandResult {
         let program = &attempt.call.program;
         let state = self.programs.get(program).map(|record| record.state);
-        let call = self.current(attempt, by).ok_or(ProgramError::Stale)?;
+        let call = self.current_call_mut(attempt, by).ok_or(ProgramError::Stale)?;
         match &call.state {
-            CallState::Dispatched(known) if *known == backend => return Ok(ProgramOutput::Done),
+            CallState::Dispatched(prior) if *prior == backend => return Ok(ProgramOutput::Done),
             CallState::Admitted => {}
             _ => return Err(ProgramError::Stale),
         }
@@ -564,37 +568,37 @@
         if !resumes {
             self.charge_lost_attempt(&attempt.call)?;
         }
-        let call = self.current(attempt, by).ok_or(ProgramError::Stale)?;
+        let call = self.current_call_mut(attempt, by).ok_or(ProgramError::Stale)?;
         call.state = CallState::Dispatched(backend.clone());
-        let own: u64 = call.messages.iter().map(ChatMessage::tokens).sum();
+        let message_tokens: u64 = call.messages.iter().map(ChatMessage::tokens).sum();
         if let (Backend::Engine(engine), Some(record)) = (backend, self.programs.get_mut(program)) {
-            record.holdings.insert(engine, record.history_tokens + own);
+            record.holdings.insert(engine, record.history_tokens + message_tokens);
         }
         Ok(ProgramOutput::Done)
     }
 
-    /// Charges the budget for an attempt that was sent and whose answer was lost:
-    /// it may have used all that was set aside for it. What is set aside then
-    /// covers the next attempt.
-    fn charge_lost_attempt(&mut self, place: &CallId) -> Result<(), ProgramError> {
-        let call = self.call_mut(place).ok_or(ProgramError::Missing)?;
+    /// Charges the budget for an earlier attempt whose answer was lost. The attempt may have
+    /// used its whole reservation, so that amount is spent; the reservation itself is kept for
+    /// the next attempt.
+    fn charge_lost_attempt(&mut self, call_id: &CallId) -> Result<(), ProgramError> {
+        let call = self.call_mut(call_id).ok_or(ProgramError::Missing)?;
         let is_uncharged = call.earlier.as_ref().is_some_and(|earlier| !earlier.charged);
         let reserved = if is_uncharged { call.reserved } else { 0 };
-        let budget = self.budget_mut(&place.program).ok_or(ProgramError::Missing)?;
+        let budget = self.budget_mut(&call_id.program).ok_or(ProgramError::Missing)?;
         if budget.available() < reserved {
             return Err(ProgramError::BudgetExhausted);
         }
         if !is_broken(Rule::ChargeLostAttempts) {
             budget.spent += reserved;
         }
-        let earlier = self.call_mut(place).and_then(|call| call.earlier.as_mut());
+        let earlier = self.call_mut(call_id).and_then(|call| call.earlier.as_mut());
         if let Some(earlier) = earlier {
             earlier.charged = true;
         }
         Ok(())
     }
 
-    fn retry(&mut self, attempt: &AttemptId, by: &NodeRef, never_sent: bool) -> Applied {
+    fn retry(&mut self, attempt: &AttemptId, by: &NodeRef, never_sent: bool) -> CommandResult {
         let call = self.call_mut(&attempt.call).ok_or(ProgramError::Missing)?;
         let next = AttemptId { call: attempt.call.clone(), number: attempt.number + 1 };
         let is_resend = call.attempt == next.number && call.by == *by && call.is_running();
@@ -616,7 +620,7 @@
         Ok(ProgramOutput::Retry(next))
     }
 
-    fn claim(&mut self, attempt: &AttemptId, by: NodeRef) -> Applied {
+    fn claim(&mut self, attempt: &AttemptId, by: NodeRef) -> CommandResult {
         let call = self.call_mut(&attempt.call).ok_or(ProgramError::Missing)?;
         let previous = match &call.state {
             CallState::Dispatched(backend) | CallState::Unknown(backend) => Some(backend.clone()),
@@ -630,8 +634,7 @@
             }
             call.attempt += 1;
             call.by = by;
-            // A request that must not run twice keeps its mark: only its back end
-            // can tell what became of it.
+            // A non-repeatable call stays dispatched, since only its backend knows the outcome.
             if call.repeatable && call.is_running() {
                 if let Some(backend) = previous.clone() {
                     call.earlier = Some(EarlierAttempt { backend, charged: false });
@@ -648,7 +651,7 @@
         by: &NodeRef,
         answer: StoredAnswer,
         ends_program: bool,
-    ) -> Applied {
+    ) -> CommandResult {
         let program = attempt.call.program.clone();
         let call = self.call_mut(&attempt.call).ok_or(ProgramError::Missing)?;
         if call.attempt != attempt.number || call.by != *by {
@@ -664,7 +667,7 @@
         let messages = call.messages.clone();
         let is_model = matches!(call.target, CallTarget::Model(_));
         call.state = CallState::Completed(answer.clone());
-        self.settle(&program, reserved, answer.usage.total());
+        self.settle_reservation(&program, reserved, answer.usage.total());
         let Some(record) = self.programs.get_mut(&program) else {
             return Err(ProgramError::Missing);
         };
@@ -682,43 +685,43 @@
         }
         let is_active = record.state == ProgramState::Active;
         if !is_active {
-            self.release_all(&program);
+            self.schedule_releases(&program);
         } else if ends_program {
-            self.finish(&program, ProgramState::Ended);
+            self.finish_program(&program, ProgramState::Ended);
         }
         Ok(ProgramOutput::Done)
     }
 
-    fn settle(&mut self, program: &ProgramId, reserved: u64, spent: u64) {
+    fn settle_reservation(&mut self, program: &ProgramId, reserved: u64, spent: u64) {
         if let Some(budget) = self.budget_mut(program) {
             budget.reserved = budget.reserved.saturating_sub(reserved);
             budget.spent += spent;
         }
     }
 
-    fn close(&mut self, attempt: &AttemptId, by: &NodeRef, reason: NotRunReason) -> Applied {
+    fn close(&mut self, attempt: &AttemptId, by: &NodeRef, reason: NotRunReason) -> CommandResult {
         let call = self.call_mut(&attempt.call).ok_or(ProgramError::Missing)?;
         if call.state == CallState::NotRun(reason) && call.attempt == attempt.number {
             return Ok(ProgramOutput::Done);
         }
-        let call = self.current(attempt, by).ok_or(ProgramError::Stale)?;
-        let may_close = is_broken(Rule::KeepMayHaveRun);
-        if !may_close && !matches!(call.state, CallState::Admitted) {
+        let call = self.current_call_mut(attempt, by).ok_or(ProgramError::Stale)?;
+        let skip_checks = is_broken(Rule::KeepMayHaveRun);
+        if !skip_checks && !matches!(call.state, CallState::Admitted) {
             return Err(ProgramError::Stale);
         }
-        if !may_close && call.earlier.is_some() {
+        if !skip_checks && call.earlier.is_some() {
             return Err(ProgramError::MayHaveRun);
         }
         let reserved = std::mem::take(&mut call.reserved);
         call.messages.clear();
         call.state = CallState::NotRun(reason);
         let key = call.key.clone();
-        remember_closed(call, ClosedKey { key, reason });
-        self.settle(&attempt.call.program, reserved, 0);
+        push_closed_key(call, ClosedKey { key, reason });
+        self.settle_reservation(&attempt.call.program, reserved, 0);
         Ok(ProgramOutput::Done)
     }
 
-    fn give_up(&mut self, attempt: &AttemptId, by: &NodeRef) -> Applied {
+    fn give_up(&mut self, attempt: &AttemptId, by: &NodeRef) -> CommandResult {
         let call = self.call_mut(&attempt.call).ok_or(ProgramError::Missing)?;
         if call.attempt != attempt.number || call.by != *by {
             return Err(ProgramError::Stale);
@@ -740,8 +743,8 @@
         Ok(ProgramOutput::Done)
     }
 
-    fn end(&mut self, program: &ProgramId, tenant: &TenantId) -> Applied {
-        let record = self.visible(program, tenant)?;
+    fn end(&mut self, program: &ProgramId, tenant: &TenantId) -> CommandResult {
+        let record = self.visible_record_mut(program, tenant)?;
         match record.state {
             ProgramState::Ended => return Ok(ProgramOutput::Done),
             ProgramState::Cancelled => {
@@ -752,19 +755,19 @@
         if let Some((sequence, _)) = record.running_call() {
             return Err(ProgramError::Busy(sequence));
         }
-        // Sub-agents that were left running have no one to report to any more.
+        // The results of sub-agents that are still active can no longer be used.
         self.cancel_tree(program, false);
-        self.finish(program, ProgramState::Ended);
+        self.finish_program(program, ProgramState::Ended);
         Ok(ProgramOutput::Done)
     }
 
-    fn cancel(&mut self, program: &ProgramId, tenant: &TenantId) -> Applied {
-        self.visible(program, tenant)?;
+    fn cancel(&mut self, program: &ProgramId, tenant: &TenantId) -> CommandResult {
+        self.visible_record_mut(program, tenant)?;
         Ok(ProgramOutput::Cancelled(self.cancel_tree(program, true)))
     }
 
-    /// Cancels the sub-agents of `program`, and itself if `with_root`; returns
-    /// the attempts that were under way.
+    /// Cancels the sub-agents of `program`, and `program` itself if `with_root`. Returns the
+    /// attempts that were running.
     fn cancel_tree(&mut self, program: &ProgramId, with_root: bool) -> Vec<(AttemptId, NodeRef)> {
         let prefix = format!("{program}{CHILD_SEPARATOR}");
         let is_in_tree =
@@ -775,10 +778,10 @@
             .filter(|id| is_in_tree(id))
             .cloned()
             .collect();
-        members.iter().filter_map(|member| self.cancel_one(member)).collect()
+        members.iter().filter_map(|member| self.cancel_program(member)).collect()
     }
 
-    fn cancel_one(&mut self, program: &ProgramId) -> Option<(AttemptId, NodeRef)> {
+    fn cancel_program(&mut self, program: &ProgramId) -> Option<(AttemptId, NodeRef)> {
         let record = self.programs.get_mut(program)?;
         if record.state != ProgramState::Active {
             return None;
@@ -791,18 +794,18 @@
             (attempt, call.by.clone())
         });
         if let Some((attempt, by)) = &running {
-            // Not dispatched: it never ran. Dispatched: nobody knows yet, and the
-            // reservation stays until its gateway reports what was used.
+            // A call that was not dispatched is closed as not run. Otherwise its outcome is
+            // unknown, and its reservation is kept until its gateway reports the usage.
             let closed = self.close(attempt, by, NotRunReason::ProgramCancelled);
             if closed.is_err() {
                 let _ = self.give_up(attempt, by);
             }
         }
-        self.finish(program, ProgramState::Cancelled);
+        self.finish_program(program, ProgramState::Cancelled);
         running
     }
 
-    fn finish(&mut self, program: &ProgramId, state: ProgramState) {
+    fn finish_program(&mut self, program: &ProgramId, state: ProgramState) {
         let clock = self.clock;
         let Some(record) = self.programs.get_mut(program) else {
             return;
@@ -812,20 +815,20 @@
             self.deadlines.remove(&(deadline, program.clone()));
         }
         self.ended.insert((clock, program.clone()));
-        self.release_all(program);
+        self.schedule_releases(program);
     }
 
-    fn release_all(&mut self, program: &ProgramId) {
+    fn schedule_releases(&mut self, program: &ProgramId) {
         let Some(record) = self.programs.get(program) else {
             return;
         };
         let engines: Vec<EngineId> = record.holdings.keys().cloned().collect();
         for engine in engines {
-            self.order_release(engine, program.clone());
+            self.schedule_release(engine, program.clone());
         }
     }
 
-    fn released(&mut self, engine: &EngineId, program: &ProgramId) {
+    fn confirm_release(&mut self, engine: &EngineId, program: &ProgramId) {
         if let Some(programs) = self.releases.get_mut(engine) {
             programs.remove(program);
             if programs.is_empty() {
@@ -840,23 +843,22 @@
     }
 
     fn housekeeping(&mut self) {
-        let due = (self.clock, ProgramId::new(""));
-        let overdue = self.deadlines.range(..due).take(HOUSEKEEPING_BATCH);
+        let now = (self.clock, ProgramId::new(""));
+        let overdue = self.deadlines.range(..now).take(HOUSEKEEPING_BATCH);
         let overdue: Vec<ProgramId> = overdue.map(|(_, program)| program.clone()).collect();
         for program in overdue {
             self.cancel_tree(&program, true);
         }
-        let oldest = (self.clock.saturating_sub(RETENTION_MILLIS), ProgramId::new(""));
-        let old: Vec<(u64, ProgramId)> =
-            self.ended.range(..oldest).take(HOUSEKEEPING_BATCH).cloned().collect();
-        for (at, program) in old {
-            self.forget(at, &program);
+        let cutoff = (self.clock.saturating_sub(RETENTION_MILLIS), ProgramId::new(""));
+        let expired: Vec<(u64, ProgramId)> =
+            self.ended.range(..cutoff).take(HOUSEKEEPING_BATCH).cloned().collect();
+        for (at, program) in expired {
+            self.remove_ended(at, &program);
         }
     }
 
-    /// Forgets an ended program unless an engine has still to release its memory
-    /// or its tree still runs.
-    fn forget(&mut self, at: u64, program: &ProgramId) {
+    /// Removes an ended program unless an engine has yet to release its memory.
+    fn remove_ended(&mut self, at: u64, program: &ProgramId) {
         let holds_memory =
             self.programs.get(program).is_some_and(|record| !record.holdings.is_empty());
         if holds_memory {
@@ -878,37 +880,37 @@
     }
 }
 
-fn remember_closed(call: &mut CallRecord, closed: ClosedKey) {
+fn push_closed_key(call: &mut CallRecord, closed: ClosedKey) {
     if call.closed.len() >= MAX_CLOSED_KEYS {
         call.closed.remove(0);
     }
     call.closed.push(closed);
 }
 
-/// What an earlier request at the same place means for `key`; `None` when the
-/// place is free for it.
-fn known_outcome(
+/// Returns the outcome that a call already recorded at this sequence number implies for
+/// `key`, or `None` if `key` may be admitted.
+fn recorded_outcome(
     call: &CallId,
-    known: &CallRecord,
+    existing: &CallRecord,
     key: &IdempotencyKey,
 ) -> Result<Option<BeginOutcome>, ProgramError> {
-    if let Some(closed) = known.closed.iter().find(|closed| closed.key == *key) {
+    if let Some(closed) = existing.closed.iter().find(|closed| closed.key == *key) {
         return Ok(Some(BeginOutcome::NotRun(call.clone(), closed.reason)));
     }
-    let attempt = AttemptId { call: call.clone(), number: known.attempt };
-    let has_same_key = known.key == *key;
-    match &known.state {
+    let attempt = AttemptId { call: call.clone(), number: existing.attempt };
+    let has_same_key = existing.key == *key;
+    match &existing.state {
         CallState::NotRun(_) => Ok(None),
         _ if !has_same_key => Err(ProgramError::KeyMismatch),
         CallState::Admitted | CallState::Dispatched(_) => {
-            Ok(Some(BeginOutcome::Running { attempt, by: known.by.clone() }))
+            Ok(Some(BeginOutcome::Running { attempt, by: existing.by.clone() }))
         }
         CallState::Completed(answer) => Ok(Some(BeginOutcome::Answered(attempt, answer.clone()))),
         CallState::Unknown(_) => Ok(Some(BeginOutcome::Unknown(attempt))),
     }
 }
 
-fn reason_to_refuse(record: &ProgramRecord) -> Option<NotRunReason> {
+fn refusal_reason(record: &ProgramRecord) -> Option<NotRunReason> {
     match record.state {
         ProgramState::Ended => Some(NotRunReason::ProgramEnded),
         ProgramState::Cancelled => Some(NotRunReason::ProgramCancelled),
@@ -919,7 +921,7 @@
     }
 }
 
-/// Whether `program` may be chosen by a caller as the name of a root.
+/// Returns whether callers may use `program` as the id of a root program.
 pub fn is_root_name(program: &ProgramId) -> bool {
     !program.as_str().contains(CHILD_SEPARATOR) && root_of(program) == *program
 }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -1,7 +1,8 @@
-//! Threads, sockets and disk around a [`StoreService`].
+//! Runs a [`StoreService`] with threads, sockets and disk I/O.
 //!
-//! One duty (`store`) owns service and disk. Connections put what they read on
-//! its ring; it takes all that waits, syncs once, and answers.
+//! A single worker thread (`store`) owns the service and the log. Connections push received
+//! frames into its input queue; the worker processes queued inputs in batches, syncs the log
+//! once per batch and then sends the replies.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -24,40 +25,41 @@
 use crate::service::{StoreAction, StoreService};
 use crate::state::GroupMap;
 
-/// Inputs that may wait for the duty.
-const RING: usize = 16_384;
-/// Inputs taken before one sync.
+/// Capacity of the worker's input queue.
+const INPUT_QUEUE_CAPACITY: usize = 16_384;
+/// Maximum number of inputs processed per log sync.
 const MAX_BATCH: usize = 1_024;
-/// How often time passes for the service.
-const TICK: Duration = Duration::from_millis(10);
-/// How often an empty folder asks the other machines whether the fleet has started.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time a planned stop waits for its groups to be led elsewhere.
-const HAND_OVER_PATIENCE: Duration = Duration::from_secs(3);
+/// Interval between ticks of the service.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a machine without stored state asks the others whether the fleet has
+/// started.
+const START_QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum time that a graceful shutdown waits for leadership transfers.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Settings of a store machine.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// Number of this machine.
     pub machine: u32,
-    /// All machines, this one included, with their addresses.
+    /// Addresses of all machines, including this one.
     pub machines: BTreeMap<u32, SocketAddr>,
-    /// Folder for log and snapshots.
+    /// Directory for the log and snapshots.
     pub data_folder: PathBuf,
-    /// Groups that hold programs.
+    /// Number of program groups.
     pub program_groups: u32,
-    /// Timing and sizes.
+    /// Replication settings.
     pub node: NodeSettings,
 }
 
-/// Why a store machine could not start.
+/// Error while starting a store machine.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its log cannot be used.
+    /// The log cannot be opened.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// A socket or thread cannot be had.
-    #[error("socket or thread: {0}")]
+    /// A socket or thread cannot be created.
+    #[error("failed to create a socket or thread: {0}")]
     Io(#[from] std::io::Error),
 }
 
@@ -68,64 +70,64 @@
     Started { machine: u32, started: bool },
 }
 
-/// A running store machine. Dropping it stops it at once, as a crash would.
+/// A running store machine. Dropping it stops it without transferring leadership.
 pub struct StoreServer {
     address: SocketAddr,
     stop: Arc<AtomicBool>,
-    hand_over: Arc<AtomicBool>,
+    graceful_stop: Arc<AtomicBool>,
     failed: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
     _server: FrameServer,
 }
 
 impl StoreServer {
-    /// Opens the data folder and starts to serve on `listener`.
+    /// Opens the data directory and starts serving on `listener`.
     ///
     /// # Errors
-    /// When the log is damaged, or a socket or thread cannot be had.
+    /// Returns an error if the log cannot be opened, or a socket or thread cannot be created.
     pub fn start(settings: StoreSettings, listener: TcpListener) -> Result<Self, StartError> {
         let address = listener.local_addr()?;
         let disk = DirectoryDisk::open(&settings.data_folder)?;
         let (log, recovered) = DiskLog::open(disk)?;
-        let (sender, receiver) = bounded(RING);
+        let (sender, receiver) = bounded(INPUT_QUEUE_CAPACITY);
         let links = open_links(&settings, &sender)?;
         let server = FrameServer::start(listener, frame_handler(sender))?;
         let stop = Arc::new(AtomicBool::new(false));
-        let hand_over = Arc::new(AtomicBool::new(false));
+        let graceful_stop = Arc::new(AtomicBool::new(false));
         let failed = Arc::new(AtomicBool::new(false));
-        let duty = StoreDuty {
+        let worker = StoreWorker {
             settings,
             links,
             receiver,
-            clients: BTreeMap::new(),
+            repliers: BTreeMap::new(),
             disk: 0,
-            origin: Instant::now(),
+            started_at: Instant::now(),
             stop: stop.clone(),
-            hand_over: hand_over.clone(),
+            graceful_stop: graceful_stop.clone(),
         };
-        let failed_seen = failed.clone();
+        let worker_failed = failed.clone();
         let thread = std::thread::Builder::new().name("store".to_owned()).spawn(move || {
-            if let Err(error) = duty.run(log, recovered) {
-                failed_seen.store(true, Ordering::SeqCst);
+            if let Err(error) = worker.run(log, recovered) {
+                worker_failed.store(true, Ordering::SeqCst);
                 emit!(Event::DiskFailed, "{error}");
             }
         })?;
-        Ok(Self { address, stop, hand_over, failed, thread: Some(thread), _server: server })
+        Ok(Self { address, stop, graceful_stop, failed, thread: Some(thread), _server: server })
     }
 
-    /// The bound address.
+    /// Returns the address that the server is bound to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it stopped taking part since its disk failed.
+    /// Returns whether the server has stopped because of a disk error.
     pub fn has_failed(&self) -> bool {
         self.failed.load(Ordering::SeqCst)
     }
 
-    /// Hands leadership over, then stops.
+    /// Transfers leadership of all groups to other machines, then stops.
     pub fn stop_gracefully(mut self) {
-        self.hand_over.store(true, Ordering::SeqCst);
+        self.graceful_stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -180,22 +182,22 @@
     }
 }
 
-/// The duty that owns service and disk.
-struct StoreDuty {
+/// Worker that owns the service and the log.
+struct StoreWorker {
     settings: StoreSettings,
     links: BTreeMap<u32, Link<StoreFrame>>,
     receiver: Receiver<Input>,
-    clients: BTreeMap<u64, Replier<StoreBack>>,
-    /// Identity of the data folder, once it is settled.
+    repliers: BTreeMap<u64, Replier<StoreBack>>,
+    /// Identity of the data directory; 0 until it is determined.
     disk: u32,
-    origin: Instant,
+    started_at: Instant,
     stop: Arc<AtomicBool>,
-    hand_over: Arc<AtomicBool>,
+    graceful_stop: Arc<AtomicBool>,
 }
 
-impl StoreDuty {
+impl StoreWorker {
     fn now(&self) -> Moment {
-        let elapsed = self.origin.elapsed().as_micros();
+        let elapsed = self.started_at.elapsed().as_micros();
         Moment::from_micros(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
@@ -204,7 +206,7 @@
         mut log: DiskLog<DirectoryDisk>,
         recovered: calicohoist_replication::Recovered,
     ) -> Result<(), DiskError> {
-        let Some(disk) = self.settle_identity(&mut log, recovered.disk)? else {
+        let Some(disk) = self.resolve_identity(&mut log, recovered.disk)? else {
             return Ok(());
         };
         self.disk = disk;
@@ -224,61 +226,61 @@
         log: &mut DiskLog<DirectoryDisk>,
     ) -> Result<(), DiskError> {
         let mut next_tick = self.now();
-        let mut leave_by = None;
+        let mut transfer_deadline = None;
         while !self.stop.load(Ordering::SeqCst) {
-            self.take_batch(service);
+            self.process_batch(service);
             let now = self.now();
             if now >= next_tick {
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
                 service.tick(now, unix_millis());
             }
-            if self.hand_over.load(Ordering::SeqCst) {
-                let deadline = *leave_by.get_or_insert(now + HAND_OVER_PATIENCE);
+            if self.graceful_stop.load(Ordering::SeqCst) {
+                let deadline = *transfer_deadline.get_or_insert(now + LEADERSHIP_TRANSFER_TIMEOUT);
                 if !service.leads_any() || now >= deadline {
                     return Ok(());
                 }
-                service.hand_over(now);
+                service.transfer_leadership(now);
             }
             for action in service.flush(now, log)? {
-                self.perform(action);
+                self.execute(action);
             }
         }
         Ok(())
     }
 
-    fn take_batch(&mut self, service: &mut StoreService) {
-        let first = match self.receiver.recv_timeout(TICK) {
+    fn process_batch(&mut self, service: &mut StoreService) {
+        let first = match self.receiver.recv_timeout(TICK_INTERVAL) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return,
         };
-        self.take(service, first);
+        self.handle_input(service, first);
         for _ in 1..MAX_BATCH {
             match self.receiver.try_recv() {
-                Ok(input) => self.take(service, input),
+                Ok(input) => self.handle_input(service, input),
                 Err(_) => break,
             }
         }
     }
 
-    fn take(&mut self, service: &mut StoreService, input: Input) {
+    fn handle_input(&mut self, service: &mut StoreService, input: Input) {
         let now = self.now();
         match input {
             Input::Peer { from, messages } => service.receive(now, from, messages),
             Input::Request { client, id, request, replier } => {
-                self.clients.insert(client, replier);
+                self.repliers.insert(client, replier);
                 service.request(now, unix_millis(), client, id, request);
             }
-            Input::AskStarted { replier } => self.tell_started(&replier, service.has_started()),
+            Input::AskStarted { replier } => self.reply_started(&replier, service.has_started()),
             Input::Started { .. } => {}
         }
     }
 
-    fn tell_started(&self, replier: &Replier<StoreBack>, started: bool) {
+    fn reply_started(&self, replier: &Replier<StoreBack>, started: bool) {
         let machine = self.settings.machine;
         replier.send(StoreBack::Started { machine, started });
     }
 
-    fn perform(&mut self, action: StoreAction) {
+    fn execute(&mut self, action: StoreAction) {
         match action {
             StoreAction::SendPeer { to, messages } => {
                 let from = ReplicaId { machine: self.settings.machine, disk: self.disk };
@@ -287,28 +289,27 @@
                 }
             }
             StoreAction::Reply { client, id, reply } => {
-                if let Some(replier) = self.clients.remove(&client) {
+                if let Some(replier) = self.repliers.remove(&client) {
                     replier.send(StoreBack::Reply { id, reply });
                 }
             }
         }
     }
 
-    /// The identity of the data folder.
+    /// Determines the identity of the data directory; `None` if stopped meanwhile.
     ///
-    /// A folder that was never used belongs to the first start only if *every*
-    /// other machine says that it has not started either; if any has, this
-    /// machine lost its disk and must come back under a new identity, since the
-    /// old one may have voted and acknowledged.
-    fn settle_identity(
+    /// An empty directory gets the initial identity 0 only if *every* other machine confirms
+    /// that the fleet has not started. Otherwise this machine has lost its disk and must rejoin
+    /// under a new identity, since the old one may have voted and acknowledged entries.
+    fn resolve_identity(
         &self,
         log: &mut DiskLog<DirectoryDisk>,
-        found: Option<u32>,
+        recovered_identity: Option<u32>,
     ) -> Result<Option<u32>, DiskError> {
-        if found.is_some() {
-            return Ok(found);
+        if recovered_identity.is_some() {
+            return Ok(recovered_identity);
         }
-        let Some(has_started) = self.ask_whether_started() else {
+        let Some(has_started) = self.query_fleet_started() else {
             return Ok(None);
         };
         let disk = if has_started { rand::rng().random_range(1..=u32::MAX) } else { 0 };
@@ -316,25 +317,26 @@
         Ok(Some(disk))
     }
 
-    /// Asks the other machines until the answer is certain; `None` when stopped.
-    fn ask_whether_started(&self) -> Option<bool> {
+    /// Asks the other machines until one reports that the fleet has started or all report that
+    /// it has not; `None` if stopped meanwhile.
+    fn query_fleet_started(&self) -> Option<bool> {
         let mut not_started = std::collections::BTreeSet::new();
         let machine = self.settings.machine;
         while not_started.len() < self.links.len() {
-            if self.stop.load(Ordering::SeqCst) || self.hand_over.load(Ordering::SeqCst) {
+            if self.stop.load(Ordering::SeqCst) || self.graceful_stop.load(Ordering::SeqCst) {
                 return None;
             }
             for link in self.links.values() {
                 link.send(StoreFrame::AskStarted { machine });
             }
-            let deadline = Instant::now() + ASK_INTERVAL;
+            let deadline = Instant::now() + START_QUERY_INTERVAL;
             while let Ok(input) = self.receiver.recv_deadline(deadline) {
                 match input {
                     Input::Started { started: true, .. } => return Some(true),
                     Input::Started { machine, .. } => {
                         not_started.insert(machine);
                     }
-                    Input::AskStarted { replier } => self.tell_started(&replier, false),
+                    Input::AskStarted { replier } => self.reply_started(&replier, false),
                     Input::Request { id, replier, .. } => {
                         let reply = StoreReply::NotLeader(None);
                         replier.send(StoreBack::Reply { id, reply });
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,12 @@
 //! Durable program records and resources over the replicated log.
 //!
-//! - [`state`]: what the groups replicate;
-//! - [`commands`]: everything that changes it, each with its result;
-//! - [`queries`]: everything that reads it;
-//! - [`nodes`]: leases of gateways, held by the leader of group 0 in memory;
+//! - [`state`]: replicated state of each Raft group;
+//! - [`commands`]: commands that change the state, with their results;
+//! - [`queries`]: read-only queries and their answers;
+//! - [`nodes`]: gateway leases, kept in memory by the leader of group 0;
 //! - [`service`]: one store machine as a state machine without I/O;
-//! - [`router`]: the client side of it: finds leaders, repeats, gives up;
-//! - [`driver`]: threads, sockets and disk around the service.
+//! - [`router`]: client-side routing with leader discovery, retries and timeouts;
+//! - [`driver`]: threads, sockets and disk I/O of the service.
 
 pub mod broken;
 pub mod commands;
--- a/crates/store/src/loads.rs
+++ b/crates/store/src/loads.rs
@@ -1,8 +1,7 @@
-//! Loads of all engines, published at intervals, as changes for those who know
-//! an earlier version.
+//! Loads of all engines, published at a fixed interval.
 //!
-//! Every gateway hears of every engine, so the traffic grows with the product of
-//! both: sent whole with each heartbeat it was the largest part of control.
+//! Every gateway receives the load of every engine. To limit control traffic, gateways
+//! receive only the changes since the version they know.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,61 +10,61 @@
 
 use crate::protocol::{EngineLoad, LoadsUpdate};
 
-/// Time between published versions.
+/// Interval at which new versions are published.
 pub const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A load, or its absence, with the version that brought it.
+/// A published load, or `None` for a removed engine, with the version of its last change.
 #[derive(Debug)]
-struct Published {
+struct PublishedLoad {
     load: Option<EngineLoad>,
     version: u64,
 }
 
-/// The published loads.
+/// Versioned table of published engine loads.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    engines: BTreeMap<EngineId, Published>,
-    /// The first version of this leader; earlier ones are of another.
-    first: u64,
+    engines: BTreeMap<EngineId, PublishedLoad>,
+    /// First version of this leader; lower versions stem from earlier leaders.
+    first_version: u64,
     version: u64,
-    next: Moment,
+    next_publish_at: Moment,
 }
 
 impl LoadTable {
-    /// Starts anew when leadership was won.
-    pub fn start(&mut self, now: Moment) {
+    /// Resets the table after this machine was elected leader.
+    pub fn reset(&mut self, now: Moment) {
         self.engines.clear();
-        // Versions of different leaders must not be equal by chance.
-        self.first = now.as_micros();
-        self.version = self.first;
-        self.next = now;
+        // Starts at the current time, so that versions of different leaders do not collide.
+        self.first_version = now.as_micros();
+        self.version = self.first_version;
+        self.next_publish_at = now;
     }
 
-    /// Whether it is time for a new version.
+    /// Returns whether the next version is due.
     pub fn is_due(&self, now: Moment) -> bool {
-        now >= self.next
+        now >= self.next_publish_at
     }
 
-    /// Publishes what differs from the last version.
+    /// Publishes the current loads as a new version if any load has changed.
     pub fn publish<'a>(&mut self, now: Moment, current: impl Iterator<Item = &'a EngineLoad>) {
-        self.next = now + PUBLISH_INTERVAL;
+        self.next_publish_at = now + PUBLISH_INTERVAL;
         let version = self.version + 1;
-        let mut missing: Vec<EngineId> = Vec::new();
+        let mut removed: Vec<EngineId> = Vec::new();
         let current: BTreeMap<&EngineId, &EngineLoad> =
             current.map(|load| (&load.engine, load)).collect();
-        for (engine, known) in &self.engines {
-            if known.load.is_some() && !current.contains_key(engine) {
-                missing.push(engine.clone());
+        for (engine, published) in &self.engines {
+            if published.load.is_some() && !current.contains_key(engine) {
+                removed.push(engine.clone());
             }
         }
-        let mut is_changed = !missing.is_empty();
-        for engine in missing {
-            self.engines.insert(engine, Published { load: None, version });
+        let mut is_changed = !removed.is_empty();
+        for engine in removed {
+            self.engines.insert(engine, PublishedLoad { load: None, version });
         }
         for (engine, load) in current {
-            let known = self.engines.get(engine).and_then(|known| known.load.as_ref());
-            if known != Some(load) {
-                let published = Published { load: Some(load.clone()), version };
+            let published = self.engines.get(engine).and_then(|published| published.load.as_ref());
+            if published != Some(load) {
+                let published = PublishedLoad { load: Some(load.clone()), version };
                 self.engines.insert(engine.clone(), published);
                 is_changed = true;
             }
@@ -75,13 +74,14 @@
         }
     }
 
-    /// What somebody who knows version `known` lacks.
-    pub fn after(&self, known: u64) -> LoadsUpdate {
-        let is_whole = known < self.first || known > self.version;
-        let since = if is_whole { 0 } else { known };
+    /// Returns an update for a receiver at version `known_version`. If that version is not from this
+    /// leader, the update contains all loads.
+    pub fn changes_since(&self, known_version: u64) -> LoadsUpdate {
+        let is_whole = known_version < self.first_version || known_version > self.version;
+        let since = if is_whole { 0 } else { known_version };
         let mut update =
             LoadsUpdate { version: self.version, is_whole, changed: Vec::new(), gone: Vec::new() };
-        for (engine, published) in self.engines.iter().filter(|(_, known)| known.version > since) {
+        for (engine, published) in self.engines.iter().filter(|(_, entry)| entry.version > since) {
             match &published.load {
                 Some(load) => update.changed.push(load.clone()),
                 None if !is_whole => update.gone.push(engine.clone()),
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -1,14 +1,14 @@
-//! What a store machine counts.
+//! Metrics of a store machine.
 
 use calicohoist_telemetry::metrics::{Counter, Gauge};
 
-/// Requests of gateways and tools, by kind.
+/// Requests from gateways and tools, by kind.
 pub(crate) static REQUESTS: Counter = Counter::new(
     "calicohoist_store_requests_total",
     "Requests of gateways and tools, by kind",
     "kind",
 );
 
-/// Groups that this machine leads.
+/// Number of groups that this machine leads.
 pub(crate) static GROUPS_LED: Gauge =
     Gauge::new("calicohoist_store_groups_led", "Groups that this machine leads");
--- a/crates/store/src/nodes.rs
+++ b/crates/store/src/nodes.rs
@@ -1,8 +1,8 @@
-//! Leases of gateways, held by the leader of group 0 in memory.
+//! Gateway leases, kept in memory by the leader of group 0.
 //!
-//! Nothing here is replicated. A new leader knows no lease that its predecessor
-//! gave, so for one lease time it calls its table incomplete: until then no
-//! gateway may be taken for gone, and no revision for being in force.
+//! Leases are not replicated, so a new leader does not know those granted by its
+//! predecessor. It reports its table as incomplete for one lease duration; until then no
+//! gateway may be considered failed, and the revision in force does not advance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::loads::LoadTable;
 use crate::protocol::{EngineLoad, Heartbeat, LoadsUpdate, NodeInfo, NodeRef};
 
-/// How long a lease runs from the sending of its heartbeat.
+/// Duration of a lease, counted from the time its heartbeat was sent.
 pub const LEASE: Duration = Duration::from_millis(1_500);
-/// The leader waits this much longer, for clocks that run at other speeds.
-const LEASE_MARGIN: Duration = Duration::from_millis(150);
+/// Extra time before the leader expires a lease, to tolerate clock drift.
+const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(150);
 
 #[derive(Clone, Debug)]
 struct NodeEntry {
@@ -25,41 +25,41 @@
     expires: Moment,
 }
 
-/// All leases this leader gave.
+/// Leases granted by this leader.
 #[derive(Debug, Default)]
 pub struct NodeTable {
     nodes: BTreeMap<NodeId, NodeEntry>,
     version: u64,
-    complete_from: Moment,
+    complete_at: Moment,
     in_force: Revision,
     loads: LoadTable,
 }
 
 impl NodeTable {
-    /// Starts anew when leadership was won.
-    pub fn start(&mut self, now: Moment) {
+    /// Resets the table after this machine was elected leader.
+    pub fn reset(&mut self, now: Moment) {
         self.nodes.clear();
-        // Versions of different leaders must not be equal by chance.
+        // Starts at the current time, so that versions of different leaders do not collide.
         self.version = now.as_micros();
-        self.complete_from = now + LEASE + LEASE_MARGIN;
-        self.loads.start(now);
+        self.complete_at = now + LEASE + CLOCK_DRIFT_MARGIN;
+        self.loads.reset(now);
     }
 
-    /// Whether every lease that may be valid is in the table.
+    /// Returns whether the table contains every lease that may still be valid.
     pub fn is_complete(&self, now: Moment) -> bool {
-        now >= self.complete_from
+        now >= self.complete_at
     }
 
-    /// Version of the list of nodes.
+    /// Returns the version of the node list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Renews a lease. `false` when a newer start of the same node holds it.
+    /// Renews the sender's lease. Returns `false` if a later incarnation of the node holds it.
     pub fn renew(&mut self, now: Moment, heartbeat: &Heartbeat) -> bool {
         let node = &heartbeat.from;
-        let known = self.nodes.get(&node.node);
-        if known.is_some_and(|known| known.info.node.incarnation > node.incarnation) {
+        let existing = self.nodes.get(&node.node);
+        if existing.is_some_and(|existing| existing.info.node.incarnation > node.incarnation) {
             return false;
         }
         let info = NodeInfo {
@@ -68,24 +68,24 @@
             zone: heartbeat.zone.clone(),
             stopping: heartbeat.stopping,
         };
-        if known.is_none_or(|known| known.info != info) {
+        if existing.is_none_or(|existing| existing.info != info) {
             self.version += 1;
         }
         let entry = NodeEntry {
             info,
             applied: heartbeat.applied,
             loads: heartbeat.loads.clone(),
-            expires: now + LEASE + LEASE_MARGIN,
+            expires: now + LEASE + CLOCK_DRIFT_MARGIN,
         };
         self.nodes.insert(node.node.clone(), entry);
         true
     }
 
-    /// Drops leases that ran out, and publishes loads when it is time.
+    /// Removes expired leases and publishes the engine loads if due.
     pub fn expire(&mut self, now: Moment) {
-        let before = self.nodes.len();
+        let previous_len = self.nodes.len();
         self.nodes.retain(|_, entry| entry.expires > now);
-        if self.nodes.len() != before {
+        if self.nodes.len() != previous_len {
             self.version += 1;
         }
         if self.loads.is_due(now) {
@@ -94,23 +94,24 @@
         }
     }
 
-    /// All nodes with a lease.
+    /// Returns all nodes that hold a lease.
     pub fn nodes(&self) -> Vec<NodeInfo> {
         self.nodes.values().map(|entry| entry.info.clone()).collect()
     }
 
-    /// The nodes with the revision each acts on.
+    /// Returns all nodes that hold a lease, with the revision each has applied.
     pub fn revisions(&self) -> Vec<(NodeRef, Revision)> {
-        let pair = |entry: &NodeEntry| (entry.info.node.clone(), entry.applied);
-        self.nodes.values().map(pair).collect()
+        let node_and_revision = |entry: &NodeEntry| (entry.info.node.clone(), entry.applied);
+        self.nodes.values().map(node_and_revision).collect()
     }
 
-    /// What a gateway that knows version `known` of the loads lacks.
-    pub fn loads_after(&self, known: u64) -> LoadsUpdate {
-        self.loads.after(known)
+    /// Returns the changes of the engine loads since version `known`.
+    pub fn loads_since(&self, since: u64) -> LoadsUpdate {
+        self.loads.changes_since(since)
     }
 
-    /// The highest revision that every node with a lease acts on. Never goes back.
+    /// Returns the highest revision that every node with a lease has applied; `newest` if there
+    /// are no nodes. Never decreases.
     pub fn in_force(&mut self, now: Moment, newest: Revision) -> Revision {
         if self.is_complete(now) {
             let lowest = self.nodes.values().map(|entry| entry.applied).min();
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What gateways and store machines say to each other.
+//! Messages exchanged between gateways, tools and store machines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,100 +11,100 @@
 use crate::queries::resource::Update;
 use crate::queries::{Answer, Query};
 
-/// One start of one gateway.
+/// Identifies one run of a gateway process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeRef {
     /// The gateway.
     pub node: NodeId,
-    /// Its start.
+    /// Distinguishes restarts of the same gateway.
     pub incarnation: Incarnation,
 }
 
 impl NodeRef {
-    /// Stands where no gateway took part.
+    /// Returns a placeholder for records that no gateway is assigned to.
     pub fn nobody() -> Self {
         Self { node: NodeId::new("nobody"), incarnation: Incarnation(0) }
     }
 }
 
-/// Load of one engine as its owner sees it.
+/// Load of one engine as reported by the gateway that owns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The engine.
     pub engine: EngineId,
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls waiting at the owner.
+    /// Number of calls queued at the owner.
     pub waiting: u32,
-    /// Prompt tokens of the calls waiting.
+    /// Total prompt tokens of the queued calls.
     pub waiting_tokens: u64,
-    /// Whether it takes new work.
+    /// Whether the engine accepts new calls.
     pub accepts: bool,
 }
 
-/// What a gateway tells the leader of group 0 a few times a second.
+/// Periodic message from a gateway to the leader of group 0 that renews its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The gateway.
+    /// The sending gateway.
     pub from: NodeRef,
-    /// Where other gateways reach it.
+    /// Address at which other gateways reach the sender.
     pub peer_address: SocketAddr,
-    /// Its zone.
+    /// Availability zone of the sender.
     pub zone: Zone,
-    /// Revision of the configuration it acts on.
+    /// Configuration revision that the sender has applied.
     pub applied: Revision,
-    /// Version of the list of nodes it knows.
+    /// Version of the node list that the sender has.
     pub nodes_version: u64,
-    /// Load of the engines it owns.
+    /// Loads of the engines that the sender owns.
     pub loads: Vec<EngineLoad>,
-    /// Version of the loads of all engines it knows.
+    /// Version of the engine loads that the sender has.
     pub loads_version: u64,
-    /// It is stopping: it takes no new work and owns no engine.
+    /// Whether the sender is shutting down; it then accepts no new work and owns no engine.
     pub stopping: bool,
 }
 
-/// A gateway as others see it.
+/// Public information about a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     /// The gateway.
     pub node: NodeRef,
-    /// Where other gateways reach it.
+    /// Address at which other gateways reach it.
     pub peer_address: SocketAddr,
-    /// Its zone.
+    /// Availability zone.
     pub zone: Zone,
-    /// It is stopping.
+    /// Whether the gateway is shutting down.
     pub stopping: bool,
 }
 
-/// What brings a gateway's loads from one version to a later one.
+/// Incremental or full update of the engine loads known to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadsUpdate {
-    /// The version it brings to.
+    /// Version of the loads after applying the update.
     pub version: u64,
-    /// Whether `changed` is everything, so that other loads are to be forgotten.
+    /// Whether `changed` holds all loads and replaces those known before.
     pub is_whole: bool,
-    /// Loads that are new or changed.
+    /// New and changed loads.
     pub changed: Vec<EngineLoad>,
-    /// Engines without a load any more.
+    /// Engines that no longer report a load.
     pub gone: Vec<EngineId>,
 }
 
-/// Answer to a [`Heartbeat`].
+/// Response to a [`Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The lease runs this long from the sending of the heartbeat.
+    /// Lease duration, counted from the time the heartbeat was sent.
     pub lease: Duration,
     /// Version of `nodes`.
     pub nodes_version: u64,
-    /// All gateways with a lease; `None` when the receiver knows this version.
+    /// All gateways that hold a lease; `None` if the receiver already has this version.
     pub nodes: Option<Vec<NodeInfo>>,
-    /// Whether a gateway that is not listed certainly has no lease.
+    /// Whether gateways missing from `nodes` are known to hold no lease.
     pub nodes_complete: bool,
-    /// Loads of engines that the gateway lacks.
+    /// Engine loads that changed since the receiver's version.
     pub loads: LoadsUpdate,
-    /// Changes of the configuration that the gateway lacks.
+    /// Configuration changes since the receiver's revision.
     pub update: Update,
-    /// Every node acts on this revision or a later one.
+    /// Highest revision that every node has applied.
     pub in_force: Revision,
 }
 
@@ -113,50 +113,50 @@
 pub struct GroupStatus {
     /// The group.
     pub group: GroupId,
-    /// Whether the machine leads it.
+    /// Whether this machine leads the group.
     pub is_leader: bool,
-    /// The machine that leads it, as far as known.
+    /// Machine number of the leader, if known.
     pub leader: Option<u32>,
-    /// Its term.
+    /// Current Raft term.
     pub term: u64,
-    /// Highest committed index.
+    /// Highest committed log index.
     pub commit: u64,
-    /// Voters.
+    /// Voting replicas.
     pub voters: Vec<ReplicaId>,
-    /// Replicas that catch up.
+    /// Non-voting replicas that are catching up.
     pub learners: Vec<ReplicaId>,
-    /// Every machine has a caught-up voter: another may be lost.
+    /// Whether every machine has a caught-up voter.
     pub fully_replicated: bool,
 }
 
-/// Status of the fleet as the leader of group 0 sees it.
+/// Status of the fleet as known to the leader of group 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// Newest accepted revision.
+    /// Latest accepted revision.
     pub revision: Revision,
-    /// Every node acts on this revision or a later one.
+    /// Highest revision that every node has applied.
     pub in_force: Revision,
-    /// Nodes with a lease, with the revision each acts on.
+    /// Nodes that hold a lease, with the revision each has applied.
     pub nodes: Vec<(NodeRef, Revision)>,
 }
 
 /// A request to a store machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Changes state; needs a majority.
+    /// Changes state; requires a quorum.
     Command(GroupId, Command),
-    /// Reads state from the leader.
+    /// Reads state through the leader.
     Query(GroupId, Query),
     /// Renews a gateway's lease.
     Heartbeat(Box<Heartbeat>),
-    /// Asks the leader of group 0 about nodes and revisions.
+    /// Requests nodes and revisions from the leader of group 0.
     FleetStatus,
-    /// Asks this machine about its groups.
+    /// Requests the status of all groups on the receiving machine.
     GroupStatus,
 }
 
 impl StoreRequest {
-    /// Name of its kind, for metrics.
+    /// Returns the request kind, used as a metric label.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Command(..) => "command",
@@ -167,66 +167,66 @@
     }
 }
 
-/// Answer to a [`StoreRequest`].
+/// Response to a [`StoreRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
     /// Result of a command.
     Output(Output),
     /// Answer to a query.
     Answer(Answer),
-    /// The lease.
+    /// Response to a heartbeat.
     Heartbeat(Box<HeartbeatReply>),
-    /// The fleet.
+    /// Status of the fleet.
     FleetStatus(FleetStatus),
-    /// The groups.
+    /// Status of all groups on the machine.
     GroupStatus(Vec<GroupStatus>),
-    /// Ask the machine named, or any other.
+    /// The machine does not lead the group; holds the leader's machine number if known.
     NotLeader(Option<u32>),
-    /// The command may or may not take effect.
+    /// The outcome of the request is unknown; a command may still take effect.
     Lost,
-    /// The machine takes no writes (for instance since its disk is full).
+    /// The machine cannot serve the request.
     Unavailable,
 }
 
-/// One frame on a link to a store machine.
+/// Frame sent to a store machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreFrame {
-    /// From another store machine.
+    /// Replication messages from another store machine.
     Peer {
         /// The sender.
         from: ReplicaId,
-        /// Messages of its groups.
+        /// Messages of one or more groups.
         messages: Vec<GroupMessage>,
     },
-    /// From a gateway or tool.
+    /// Request from a gateway or tool.
     Request {
-        /// Names the request on this connection.
+        /// Request id, unique per connection.
         id: u64,
         /// The request.
         request: StoreRequest,
     },
-    /// From a store machine with an empty folder: has this fleet started before?
+    /// Asks whether the fleet has started before. Sent by a machine without stored state.
     AskStarted {
-        /// The machine that asks.
+        /// The asking machine.
         machine: u32,
     },
 }
 
-/// One frame back on a link to a store machine.
+/// Frame sent back by a store machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreBack {
-    /// Answer to [`StoreFrame::Request`].
+    /// Response to [`StoreFrame::Request`].
     Reply {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The answer.
+        /// The response.
         reply: StoreReply,
     },
-    /// Answer to [`StoreFrame::AskStarted`].
+    /// Response to [`StoreFrame::AskStarted`].
     Started {
-        /// The machine that answers.
+        /// The responding machine.
         machine: u32,
-        /// Its log holds entries, so the fleet has started before.
+        /// Whether its log holds entries, which means that the fleet has started before.
         started: bool,
     },
 }
--- a/crates/store/src/queries/mod.rs
+++ b/crates/store/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Queries: everything that reads replicated state.
+//! Queries that read replicated state.
 
 pub mod program;
 pub mod resource;
@@ -12,20 +12,20 @@
 /// A query for either kind of group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// For group 0.
+    /// Query for [`RESOURCE_GROUP`](crate::state::RESOURCE_GROUP).
     Resource(ResourceQuery),
-    /// For a group of programs.
+    /// Query for a program group.
     Program(ProgramQuery),
 }
 
 /// Answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To a [`ResourceQuery`].
+    /// Answer to a [`ResourceQuery`].
     Resource(ResourceAnswer),
-    /// To a [`ProgramQuery`].
+    /// Answer to a [`ProgramQuery`].
     Program(ProgramAnswer),
-    /// The group does not take this query.
+    /// The group does not support the query.
     Unsupported,
 }
 
--- a/crates/store/src/queries/program.rs
+++ b/crates/store/src/queries/program.rs
@@ -1,4 +1,4 @@
-//! Reading programs and calls.
+//! Queries for programs and calls.
 
 use calicohoist_types::{
     CallId, ChatMessage, EngineId, NotRunReason, Outcome, ProgramId, TenantId, Usage,
@@ -10,95 +10,95 @@
     Budget, CallRecord, CallState, ProgramRecord, ProgramShard, ProgramState, StoredAnswer, root_of,
 };
 
-/// Queries for a group of programs.
+/// Queries for a program group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramQuery {
-    /// A program as its caller may see it.
+    /// Returns a program.
     Get {
         /// The program.
         program: ProgramId,
         /// The caller's tenant.
         tenant: TenantId,
     },
-    /// The conversation of a program.
+    /// Returns the conversation history of a program.
     History {
         /// The program.
         program: ProgramId,
         /// The caller's tenant.
         tenant: TenantId,
     },
-    /// One call.
+    /// Returns a call with its answer.
     Call {
         /// The call.
         call: CallId,
         /// The caller's tenant.
         tenant: TenantId,
     },
-    /// Ended programs that engines have still to release.
+    /// Returns ended programs whose memory the engines have yet to release.
     Releases {
         /// The engines.
         engines: Vec<EngineId>,
-        /// Most programs of one engine.
+        /// Maximum number of programs per engine.
         limit: usize,
     },
-    /// Which of these programs are not active.
+    /// Returns those of the given programs that are not active.
     NotActive(Vec<ProgramId>),
 }
 
 /// Answers to [`ProgramQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProgramAnswer {
-    /// There is no such program or call for this tenant.
+    /// The program or call does not exist for this tenant.
     Missing,
     /// A program.
     Program(ProgramView),
-    /// A conversation.
+    /// A conversation history.
     History(Vec<ChatMessage>),
     /// A call.
     Call(CallView),
-    /// Engines with programs to release.
+    /// Pairs of an engine and a program whose memory it has to release.
     Releases(Vec<(EngineId, ProgramId)>),
-    /// Programs.
+    /// Programs that are not active.
     Programs(Vec<ProgramId>),
 }
 
-/// A program as its caller may see it.
+/// The caller-visible part of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramView {
-    /// Its name.
+    /// Id of the program.
     pub id: ProgramId,
-    /// Its state.
+    /// Lifecycle state.
     pub state: ProgramState,
-    /// The program that started it.
+    /// The program that started this one, if it is a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Place of the next call.
+    /// Sequence number of the next call.
     pub next_sequence: u64,
-    /// Tokens of its whole tree.
+    /// Token budget of the whole tree.
     pub budget: Budget,
-    /// Messages in its conversation.
+    /// Number of messages in the history.
     pub history_messages: usize,
-    /// Engines that may hold its history.
+    /// Engines that may cache the history.
     pub engines: Vec<EngineId>,
-    /// Its calls.
+    /// Calls, without their answers.
     pub calls: Vec<CallView>,
 }
 
-/// A call as its caller may see it.
+/// The caller-visible part of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallView {
-    /// Its place.
+    /// Sequence number.
     pub sequence: u64,
-    /// What became of it; `None` while it runs.
+    /// Outcome; `None` while the call is running.
     pub outcome: Option<Outcome>,
-    /// Why it was not run.
+    /// Reason why the call was not run.
     pub reason: Option<NotRunReason>,
-    /// Attempts so far.
+    /// Number of attempts.
     pub attempts: u32,
-    /// The gateway that runs or ran it.
+    /// The gateway of the latest attempt.
     pub by: NodeRef,
-    /// The answer, when only one call was asked for.
+    /// The answer; omitted in a [`ProgramView`].
     pub answer: Option<StoredAnswer>,
-    /// Tokens used.
+    /// Token usage of a completed call.
     pub usage: Option<Usage>,
 }
 
@@ -125,7 +125,7 @@
 impl ProgramShard {
     pub(crate) fn answer(&self, query: ProgramQuery) -> ProgramAnswer {
         match query {
-            ProgramQuery::Get { program, tenant } => self.view(&program, &tenant),
+            ProgramQuery::Get { program, tenant } => self.program_view(&program, &tenant),
             ProgramQuery::History { program, tenant } => {
                 let record = self.visible_record(&program, &tenant);
                 record.map_or(ProgramAnswer::Missing, |record| {
@@ -135,8 +135,8 @@
             ProgramQuery::Call { call, tenant } => self.call_view(&call, &tenant),
             ProgramQuery::Releases { engines, limit } => self.pending_releases(&engines, limit),
             ProgramQuery::NotActive(programs) => {
-                let is_over = |program: &ProgramId| !self.is_active(program);
-                ProgramAnswer::Programs(programs.into_iter().filter(is_over).collect())
+                let is_not_active = |program: &ProgramId| !self.is_active(program);
+                ProgramAnswer::Programs(programs.into_iter().filter(is_not_active).collect())
             }
         }
     }
@@ -151,7 +151,7 @@
         state == Some(ProgramState::Active)
     }
 
-    fn view(&self, program: &ProgramId, tenant: &TenantId) -> ProgramAnswer {
+    fn program_view(&self, program: &ProgramId, tenant: &TenantId) -> ProgramAnswer {
         let Some(record) = self.visible_record(program, tenant) else {
             return ProgramAnswer::Missing;
         };
@@ -171,9 +171,9 @@
 
     fn call_view(&self, call: &CallId, tenant: &TenantId) -> ProgramAnswer {
         let record = self.visible_record(&call.program, tenant);
-        let found = record.and_then(|record| record.calls.get(&call.sequence));
-        found.map_or(ProgramAnswer::Missing, |found| {
-            ProgramAnswer::Call(CallView::new(call.sequence, found, true))
+        let call_record = record.and_then(|record| record.calls.get(&call.sequence));
+        call_record.map_or(ProgramAnswer::Missing, |call_record| {
+            ProgramAnswer::Call(CallView::new(call.sequence, call_record, true))
         })
     }
 
--- a/crates/store/src/queries/resource.rs
+++ b/crates/store/src/queries/resource.rs
@@ -1,32 +1,32 @@
-//! Reading resources, and watching them from a revision.
+//! Queries that list resources or watch their changes.
 
 use calicohoist_types::{Resource, ResourceKey, ResourceKind, Revision};
 use serde::{Deserialize, Serialize};
 
 use crate::state::resources::{Change, ResourceTable};
 
-/// Most resources or changes in one answer.
-pub const MAX_PAGE: usize = 1_000;
+/// Maximum number of resources or changes per answer.
+pub const MAX_PAGE_SIZE: usize = 1_000;
 
-/// Queries for group 0.
+/// Queries for [`RESOURCE_GROUP`](crate::state::RESOURCE_GROUP).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResourceQuery {
-    /// One resource.
+    /// Returns one resource.
     Get(ResourceKey),
-    /// Resources of a kind, by name.
+    /// Lists the resources of a kind, ordered by name.
     List {
         /// The kind.
         kind: ResourceKind,
-        /// Only names after this one.
+        /// Name after which the page starts.
         after: Option<String>,
-        /// Most resources to return.
+        /// Maximum number of resources.
         limit: usize,
     },
-    /// Changes after a revision.
+    /// Returns the changes since a revision.
     Changes {
-        /// The revision.
+        /// The last revision known to the watcher.
         after: Revision,
-        /// Most changes to return.
+        /// Maximum number of changes.
         limit: usize,
     },
 }
@@ -34,34 +34,34 @@
 /// Answers to [`ResourceQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResourceAnswer {
-    /// The resource, if there is one.
+    /// The resource, if it exists.
     Resource(Option<Resource>),
     /// One page of resources.
     Page {
         /// The resources.
         resources: Vec<Resource>,
-        /// Whether there are more.
+        /// Whether more resources follow the page.
         has_more: bool,
-        /// Revision that the page shows.
+        /// Revision at which the page was read.
         revision: Revision,
     },
-    /// What a watcher lacks.
+    /// Update for a watcher.
     Changes(Update),
 }
 
-/// What brings a watcher from one revision to a later one.
+/// Brings a watcher from the revision it knows to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The revision it brings to.
+    /// Revision of the watcher after applying the update.
     pub revision: Revision,
-    /// The content.
+    /// Incremental changes or a snapshot.
     pub content: UpdateContent,
 }
 
-/// Changes, or the whole state when the changes are no longer kept.
+/// Content of an update: incremental, or a snapshot if the changes are no longer retained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateContent {
-    /// The changes in order.
+    /// Changes in revision order.
     Changes(Vec<Change>),
     /// All resources.
     Whole(Vec<Resource>),
@@ -73,33 +73,33 @@
             ResourceQuery::Get(key) => ResourceAnswer::Resource(self.resources.get(&key).cloned()),
             ResourceQuery::List { kind, after, limit } => self.list(kind, after.as_deref(), limit),
             ResourceQuery::Changes { after, limit } => {
-                ResourceAnswer::Changes(self.update_after(after, limit))
+                ResourceAnswer::Changes(self.update_since(after, limit))
             }
         }
     }
 
     fn list(&self, kind: ResourceKind, after: Option<&str>, limit: usize) -> ResourceAnswer {
-        let of_kind = self.resources.values().filter(|resource| resource.key.kind == kind);
-        let is_after =
+        let matching = self.resources.values().filter(|resource| resource.key.kind == kind);
+        let is_past_cursor =
             |resource: &&Resource| after.is_none_or(|after| resource.key.name.as_str() > after);
-        let limit = limit.clamp(1, MAX_PAGE);
+        let limit = limit.clamp(1, MAX_PAGE_SIZE);
         let mut resources: Vec<Resource> =
-            of_kind.filter(is_after).take(limit + 1).cloned().collect();
+            matching.filter(is_past_cursor).take(limit + 1).cloned().collect();
         let has_more = resources.len() > limit;
         resources.truncate(limit);
         ResourceAnswer::Page { resources, has_more, revision: self.revision }
     }
 
-    /// What a watcher at `after` lacks.
-    pub fn update_after(&self, after: Revision, limit: usize) -> Update {
-        if after < self.oldest_watchable() {
+    /// Returns an update for a watcher at revision `after`.
+    pub fn update_since(&self, after: Revision, limit: usize) -> Update {
+        if after < self.oldest_watchable_revision() {
             return Update {
                 revision: self.revision,
                 content: UpdateContent::Whole(self.resources.values().cloned().collect()),
             };
         }
         let newer = self.changes.iter().filter(|change| change.revision > after);
-        let changes: Vec<Change> = newer.take(limit.clamp(1, MAX_PAGE)).cloned().collect();
+        let changes: Vec<Change> = newer.take(limit.clamp(1, MAX_PAGE_SIZE)).cloned().collect();
         let revision = changes.last().map_or(after, |change| change.revision);
         Update { revision, content: UpdateContent::Changes(changes) }
     }
--- a/crates/store/src/router.rs
+++ b/crates/store/src/router.rs
@@ -1,7 +1,7 @@
-//! The client side of the store: finds leaders, repeats, gives up in time.
+//! Client-side request routing with leader discovery, retries and timeouts.
 //!
-//! Every command is safe to repeat (it names its request, attempt or key), so an
-//! answer that does not come is asked for again, from the next machine.
+//! Commands are idempotent, since each carries a request id, attempt or idempotency key. A
+//! request without a timely reply is therefore resent to the next machine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,134 +12,141 @@
 use crate::protocol::{StoreReply, StoreRequest};
 use crate::state::RESOURCE_GROUP;
 
-/// Silence after which a request is sent to another machine.
-const TRY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before a machine is asked again that knew no leader.
-const REDIRECT_PAUSE: Duration = Duration::from_millis(30);
+/// Time without a reply after which a request is resent to another machine.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a request is retried when no leader is known or the request failed.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// What the router asks of its driver, or reports.
+/// Output of the router to its driver.
 #[derive(Debug, PartialEq)]
 pub enum RouterEvent {
-    /// Send this frame to a store machine.
+    /// Sends a request to a store machine.
     Send {
-        /// The machine.
+        /// The receiving machine.
         machine: u32,
-        /// Names the try.
+        /// Id of the attempt; the reply carries the same id.
         id: u64,
         /// The request.
         request: StoreRequest,
     },
-    /// A request has its answer.
+    /// Reports the completion of a request.
     Done {
-        /// Names the request.
+        /// Token of the request.
         token: u64,
-        /// The answer; `None` when none came before the deadline.
+        /// The reply; `None` if the request timed out.
         reply: Option<StoreReply>,
     },
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     request: StoreRequest,
     deadline: Moment,
-    /// The try that is out, and where.
-    sent: Option<(u64, u32)>,
-    /// When to send, or send again.
-    next_try: Moment,
+    /// Id and target machine of the attempt in flight.
+    in_flight: Option<(u64, u32)>,
+    /// Time of the next attempt.
+    next_attempt_at: Moment,
 }
 
-/// Requests under way to the store machines.
+/// Routes requests to the leaders of their groups.
 #[derive(Debug)]
 pub struct StoreRouter {
     machines: Vec<u32>,
     leaders: BTreeMap<GroupId, u32>,
-    waiting: BTreeMap<u64, Waiting>,
-    tries: BTreeMap<u64, u64>,
+    pending: BTreeMap<u64, PendingRequest>,
+    attempts: BTreeMap<u64, u64>,
     next_id: u64,
     next_machine: usize,
     events: Vec<RouterEvent>,
 }
 
 impl StoreRouter {
-    /// A router over `machines`. `offset` spreads first tries over the machines.
+    /// Creates a router over `machines`. `offset` selects the machine to try first, to distribute
+    /// the routers of different gateways.
     pub fn new(machines: Vec<u32>, offset: usize) -> Self {
         Self {
             machines,
             leaders: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            tries: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             next_id: 0,
             next_machine: offset,
             events: Vec::new(),
         }
     }
 
-    /// Sends `request`; its answer comes as [`RouterEvent::Done`] with `token`.
-    pub fn ask(&mut self, now: Moment, token: u64, request: StoreRequest, patience: Duration) {
-        let waiting = Waiting { request, deadline: now + patience, sent: None, next_try: now };
-        self.waiting.insert(token, waiting);
+    /// Sends `request`. Its reply is reported as [`RouterEvent::Done`] with `token`.
+    pub fn ask(&mut self, now: Moment, token: u64, request: StoreRequest, timeout: Duration) {
+        let pending = PendingRequest {
+            request,
+            deadline: now + timeout,
+            in_flight: None,
+            next_attempt_at: now,
+        };
+        self.pending.insert(token, pending);
         self.send(now, token);
     }
 
-    /// Takes what the steps so far ask for.
+    /// Returns and clears the queued events.
     pub fn take_events(&mut self) -> Vec<RouterEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes an answer to a try.
+    /// Handles the reply to the attempt `id`.
     pub fn on_reply(&mut self, now: Moment, id: u64, reply: StoreReply) {
-        let Some(token) = self.tries.remove(&id) else {
+        let Some(token) = self.attempts.remove(&id) else {
             return;
         };
-        let Some(waiting) = self.waiting.get_mut(&token) else {
+        let Some(pending) = self.pending.get_mut(&token) else {
             return;
         };
-        if waiting.sent.map(|(sent, _)| sent) != Some(id) {
+        if pending.in_flight.map(|(attempt, _)| attempt) != Some(id) {
             return;
         }
-        let group = group_of(&waiting.request);
+        let group = group_of(&pending.request);
         match reply {
             StoreReply::NotLeader(leader) => {
-                waiting.sent = None;
+                pending.in_flight = None;
                 match leader {
                     Some(leader) => {
                         self.leaders.insert(group, leader);
                         self.send(now, token);
                     }
                     None => {
-                        waiting.next_try = now + REDIRECT_PAUSE;
+                        pending.next_attempt_at = now + RETRY_DELAY;
                         self.leaders.remove(&group);
                     }
                 }
             }
             StoreReply::Lost | StoreReply::Unavailable => {
-                waiting.sent = None;
-                waiting.next_try = now + REDIRECT_PAUSE;
+                pending.in_flight = None;
+                pending.next_attempt_at = now + RETRY_DELAY;
                 self.leaders.remove(&group);
             }
             reply => self.finish(token, Some(reply)),
         }
     }
 
-    /// Lets time pass: repeats and gives up.
+    /// Resends requests that are due and completes those past their deadline.
     pub fn tick(&mut self, now: Moment) {
-        let due = |waiting: &Waiting| now >= waiting.next_try || now >= waiting.deadline;
+        let is_due =
+            |pending: &PendingRequest| now >= pending.next_attempt_at || now >= pending.deadline;
         let tokens: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| due(waiting))
+            .filter(|(_, pending)| is_due(pending))
             .map(|(token, _)| *token)
             .collect();
         for token in tokens {
-            let Some(waiting) = self.waiting.get(&token) else {
+            let Some(pending) = self.pending.get(&token) else {
                 continue;
             };
-            if now >= waiting.deadline {
+            if now >= pending.deadline {
                 self.finish(token, None);
                 continue;
             }
-            if waiting.sent.is_some() {
-                let group = group_of(&waiting.request);
+            if pending.in_flight.is_some() {
+                let group = group_of(&pending.request);
                 self.leaders.remove(&group);
             }
             self.send(now, token);
@@ -147,36 +154,36 @@
     }
 
     fn finish(&mut self, token: u64, reply: Option<StoreReply>) {
-        if let Some(waiting) = self.waiting.remove(&token)
-            && let Some((id, _)) = waiting.sent
+        if let Some(pending) = self.pending.remove(&token)
+            && let Some((id, _)) = pending.in_flight
         {
-            self.tries.remove(&id);
+            self.attempts.remove(&id);
         }
         self.events.push(RouterEvent::Done { token, reply });
     }
 
     fn send(&mut self, now: Moment, token: u64) {
-        let Some(waiting) = self.waiting.get_mut(&token) else {
+        let Some(pending) = self.pending.get_mut(&token) else {
             return;
         };
-        let group = group_of(&waiting.request);
-        let known = self.leaders.get(&group).copied();
-        let machine = known.unwrap_or_else(|| {
+        let group = group_of(&pending.request);
+        let known_leader = self.leaders.get(&group).copied();
+        let machine = known_leader.unwrap_or_else(|| {
             self.next_machine += 1;
             self.machines[self.next_machine % self.machines.len()]
         });
-        // The guess holds for the requests after this one, too.
+        // Subsequent requests to the group use the same machine until it proves wrong.
         self.leaders.insert(group, machine);
         self.next_id += 1;
-        if let Some((old, _)) = waiting.sent.replace((self.next_id, machine)) {
-            self.tries.remove(&old);
+        if let Some((previous, _)) = pending.in_flight.replace((self.next_id, machine)) {
+            self.attempts.remove(&previous);
         }
-        waiting.next_try = now + TRY_TIMEOUT;
-        self.tries.insert(self.next_id, token);
+        pending.next_attempt_at = now + ATTEMPT_TIMEOUT;
+        self.attempts.insert(self.next_id, token);
         self.events.push(RouterEvent::Send {
             machine,
             id: self.next_id,
-            request: waiting.request.clone(),
+            request: pending.request.clone(),
         });
     }
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,8 +1,8 @@
 //! One store machine as a state machine without I/O.
 //!
-//! The driver hands requests and peer messages in, and calls
-//! [`StoreService::flush`] after each batch; whatever depends on durability
-//! comes back only from there.
+//! The driver passes in requests and peer messages, and calls [`StoreService::flush`] after
+//! each batch. Replies and messages are returned only by `flush`, once the entries they
+//! depend on are durable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,34 +22,34 @@
     FleetStatus, GroupStatus, Heartbeat, HeartbeatReply, StoreReply, StoreRequest,
 };
 use crate::queries::Query;
-use crate::queries::resource::MAX_PAGE;
+use crate::queries::resource::MAX_PAGE_SIZE;
 use crate::state::{GroupMap, GroupState, RESOURCE_GROUP};
 
-/// Time between housekeeping commands of a group's leader.
+/// Interval at which group leaders propose housekeeping commands.
 const HOUSEKEEPING_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
-/// Requests under way on one machine; more are told to come back.
+/// Maximum number of pending requests; further ones are answered as unavailable.
 const MAX_PENDING: usize = 65_536;
 
-/// Names the connection a request came in on.
+/// Identifies the recipient of a reply; assigned by the driver.
 pub type ClientId = u64;
 
-/// What the driver must do.
+/// Action to be executed by the driver.
 #[derive(Debug)]
 pub enum StoreAction {
-    /// Send messages to another store machine in one frame.
+    /// Sends messages to another store machine in one frame.
     SendPeer {
-        /// The receiver.
+        /// The receiving replica.
         to: ReplicaId,
         /// The messages.
         messages: Vec<GroupMessage>,
     },
-    /// Answer a request.
+    /// Replies to a request.
     Reply {
-        /// The connection.
+        /// The recipient.
         client: ClientId,
-        /// The request on that connection.
+        /// Id of the request.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
 }
@@ -63,12 +63,12 @@
     Housekeeping,
 }
 
-/// One store machine.
+/// State machine of one store machine, without I/O.
 pub struct StoreService {
     node: Node<GroupState>,
     groups: GroupMap,
     nodes: NodeTable,
-    leads: BTreeSet<GroupId>,
+    led_groups: BTreeSet<GroupId>,
     pending: BTreeMap<Ticket, Pending>,
     next_ticket: Ticket,
     actions: Vec<StoreAction>,
@@ -76,7 +76,7 @@
 }
 
 impl StoreService {
-    /// Starts from what was recovered.
+    /// Creates the service from the recovered log.
     pub fn new(
         id: ReplicaId,
         settings: NodeSettings,
@@ -90,7 +90,7 @@
             node,
             groups,
             nodes: NodeTable::default(),
-            leads: BTreeSet::new(),
+            led_groups: BTreeSet::new(),
             pending: BTreeMap::new(),
             next_ticket: 0,
             actions: Vec::new(),
@@ -98,24 +98,24 @@
         }
     }
 
-    /// The groups' protocol state and state machines.
+    /// Returns the replication node with the protocol state and state machine of each group.
     pub fn node(&self) -> &Node<GroupState> {
         &self.node
     }
 
-    /// Whether the log holds anything, so that the fleet has started before.
+    /// Returns whether any log holds entries, which means that the fleet has started before.
     pub fn has_started(&self) -> bool {
         let last =
             |group| self.node.raft(group).map_or(0, calicohoist_replication::Raft::last_index);
         self.groups.all().into_iter().any(|group| last(group) > 0)
     }
 
-    /// Takes a frame from another store machine.
+    /// Handles messages from another store machine.
     pub fn receive(&mut self, now: Moment, from: ReplicaId, messages: Vec<GroupMessage>) {
         self.node.receive(now, from, messages);
     }
 
-    /// Takes a request.
+    /// Handles a request from a gateway or tool.
     pub fn request(
         &mut self,
         now: Moment,
@@ -152,16 +152,16 @@
         self.actions.push(StoreAction::Reply { client, id, reply });
     }
 
-    fn ticket(&mut self, pending: Pending) -> Ticket {
+    fn add_pending(&mut self, pending: Pending) -> Ticket {
         self.next_ticket += 1;
         self.pending.insert(self.next_ticket, pending);
         self.next_ticket
     }
 
     fn propose(&mut self, at: u64, group: GroupId, command: Command, pending: Pending) {
-        let ticket = self.ticket(pending);
+        let ticket = self.add_pending(pending);
         let Ok(bytes) = encode(&Stamped { at, command }) else {
-            return self.fail(ticket, StoreReply::Output(Output::Unsupported));
+            return self.complete_request(ticket, StoreReply::Output(Output::Unsupported));
         };
         if self.node.propose(group, bytes, ticket).is_err() {
             self.redirect(group, ticket);
@@ -169,19 +169,19 @@
     }
 
     fn read(&mut self, group: GroupId, pending: Pending) {
-        let ticket = self.ticket(pending);
+        let ticket = self.add_pending(pending);
         if self.node.read(group, ticket).is_err() {
             self.redirect(group, ticket);
         }
     }
 
     fn redirect(&mut self, group: GroupId, ticket: Ticket) {
-        let own = self.node.id().machine;
-        let leader = self.node.leader_machine(group).filter(|leader| *leader != own);
-        self.fail(ticket, StoreReply::NotLeader(leader));
+        let own_machine = self.node.id().machine;
+        let leader = self.node.leader_machine(group).filter(|leader| *leader != own_machine);
+        self.complete_request(ticket, StoreReply::NotLeader(leader));
     }
 
-    fn fail(&mut self, ticket: Ticket, reply: StoreReply) {
+    fn complete_request(&mut self, ticket: Ticket, reply: StoreReply) {
         match self.pending.remove(&ticket) {
             Some(
                 Pending::Command(client, id)
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances timers, expires leases and proposes housekeeping commands.
     pub fn tick(&mut self, now: Moment, unix_millis: u64) {
         self.node.tick(now);
         self.nodes.expire(now);
@@ -201,27 +201,27 @@
             return;
         }
         self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
-        let led: Vec<GroupId> = self.leads.iter().copied().collect();
+        let led: Vec<GroupId> = self.led_groups.iter().copied().collect();
         for group in led.into_iter().filter(|group| *group != RESOURCE_GROUP) {
             let command = Command::Program(ProgramCommand::Housekeeping);
             self.propose(unix_millis, group, command, Pending::Housekeeping);
         }
     }
 
-    /// Gives leadership away, for a planned stop.
-    pub fn hand_over(&mut self, now: Moment) {
+    /// Transfers leadership to other machines, for a graceful shutdown.
+    pub fn transfer_leadership(&mut self, now: Moment) {
         self.node.transfer_leadership(now);
     }
 
-    /// Whether this machine leads any group.
+    /// Returns whether this machine leads any group.
     pub fn leads_any(&self) -> bool {
         self.node.leads_any()
     }
 
-    /// Makes everything durable, and returns what may be said then.
+    /// Persists all pending log entries and returns the resulting actions.
     ///
     /// # Errors
-    /// When the disk fails: this machine must stop taking part.
+    /// Returns an error if the disk fails. The machine must then stop participating.
     pub fn flush<D: Disk>(
         &mut self,
         now: Moment,
@@ -239,10 +239,10 @@
                 self.actions.push(StoreAction::SendPeer { to, messages });
             }
             NodeEvent::Applied { ticket, output } => {
-                self.fail(ticket, StoreReply::Output(output));
+                self.complete_request(ticket, StoreReply::Output(output));
             }
             NodeEvent::ReadReady { ticket, group } => self.answer_read(now, ticket, group),
-            NodeEvent::Lost { ticket } => self.fail(ticket, StoreReply::Lost),
+            NodeEvent::Lost { ticket } => self.complete_request(ticket, StoreReply::Lost),
             NodeEvent::Leadership { group, is_leader } => {
                 self.on_leadership(now, group, is_leader);
             }
@@ -252,15 +252,15 @@
     fn on_leadership(&mut self, now: Moment, group: GroupId, is_leader: bool) {
         if is_leader {
             emit!(Event::BecameLeader, "group {group}");
-            self.leads.insert(group);
+            self.led_groups.insert(group);
             if group == RESOURCE_GROUP {
-                self.nodes.start(now);
+                self.nodes.reset(now);
             }
         } else {
             emit!(Event::LostLeadership, "group {group}");
-            self.leads.remove(&group);
+            self.led_groups.remove(&group);
         }
-        metrics::GROUPS_LED.show(self.leads.len() as u64);
+        metrics::GROUPS_LED.show(self.led_groups.len() as u64);
     }
 
     fn answer_read(&mut self, now: Moment, ticket: Ticket, group: GroupId) {
@@ -293,7 +293,7 @@
         let Some(GroupState::Resources(table)) = self.node.machine(RESOURCE_GROUP) else {
             return StoreReply::Unavailable;
         };
-        let update = table.update_after(heartbeat.applied, MAX_PAGE);
+        let update = table.update_since(heartbeat.applied, MAX_PAGE_SIZE);
         let version = self.nodes.version();
         let is_known = heartbeat.nodes_version == version;
         StoreReply::Heartbeat(Box::new(HeartbeatReply {
@@ -301,7 +301,7 @@
             nodes_version: version,
             nodes: (!is_known).then(|| self.nodes.nodes()),
             nodes_complete: self.nodes.is_complete(now),
-            loads: self.nodes.loads_after(heartbeat.loads_version),
+            loads: self.nodes.loads_since(heartbeat.loads_version),
             in_force: self.nodes.in_force(now, table.revision()),
             update,
         }))
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Status of every group on this machine.
+    /// Returns the status of every group on this machine.
     pub fn group_status(&self, now: Moment) -> Vec<GroupStatus> {
         let groups = self.groups.all();
         let rafts = groups.into_iter().filter_map(|group| Some((group, self.node.raft(group)?)));
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the groups replicate.
+//! Replicated state of the Raft groups.
 
 pub mod programs;
 pub mod resources;
@@ -12,23 +12,23 @@
 use programs::ProgramShard;
 use resources::ResourceTable;
 
-/// The group of resources and node leases.
+/// The group that stores resources; its leader also manages node leases.
 pub const RESOURCE_GROUP: GroupId = GroupId(0);
 
-/// Which group holds a program: a hash of its root, so that a tree of sub-agents
-/// shares one group and one budget.
+/// Assigns programs to groups by a hash of the root program's id, so that a program and all
+/// its sub-agents are stored in the same group and can share one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupMap {
     program_groups: u32,
 }
 
 impl GroupMap {
-    /// A map over `program_groups` groups, at least one.
+    /// Creates a map over `program_groups` groups, at least one.
     pub fn new(program_groups: u32) -> Self {
         Self { program_groups: program_groups.max(1) }
     }
 
-    /// The group of `program`.
+    /// Returns the group that stores `program`.
     pub fn group_of(&self, program: &ProgramId) -> GroupId {
         let hash = blake3::hash(programs::root_of(program).as_str().as_bytes());
         let mut first = [0; 4];
@@ -36,12 +36,12 @@
         GroupId(u32::from_le_bytes(first) % self.program_groups + 1)
     }
 
-    /// Every group that holds programs.
+    /// Returns all groups that store programs.
     pub fn program_groups(&self) -> impl Iterator<Item = GroupId> + use<> {
         (1..=self.program_groups).map(GroupId)
     }
 
-    /// Every group.
+    /// Returns all groups, including [`RESOURCE_GROUP`].
     pub fn all(&self) -> Vec<GroupId> {
         std::iter::once(RESOURCE_GROUP).chain(self.program_groups()).collect()
     }
@@ -50,9 +50,9 @@
 /// State of one group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GroupState {
-    /// Group 0.
+    /// State of [`RESOURCE_GROUP`].
     Resources(ResourceTable),
-    /// Every other group.
+    /// State of any other group.
     Programs(ProgramShard),
 }
 
--- a/crates/store/src/state/programs.rs
+++ b/crates/store/src/state/programs.rs
@@ -1,4 +1,4 @@
-//! Programs: records, calls, histories, budgets and engine memory.
+//! State of programs: calls, conversation histories, token budgets and engine memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,191 +11,192 @@
 use crate::broken::{Rule, is_broken};
 use crate::protocol::NodeRef;
 
-/// Separates the names of a program and its sub-agent.
+/// Separates the name of a program from the number of its sub-agent.
 pub const CHILD_SEPARATOR: char = '.';
-/// Deepest nesting of sub-agents; a root has depth 0.
+/// Maximum nesting depth of sub-agents; a root has depth 0.
 pub const MAX_DEPTH: usize = 4;
-/// Most sub-agents that one program may start.
+/// Maximum number of direct sub-agents per program.
 pub const MAX_CHILDREN: u64 = 64;
-/// Closed keys remembered for one place in a program.
+/// Maximum number of closed keys retained per call.
 pub const MAX_CLOSED_KEYS: usize = 64;
 
-/// The root of a program's tree.
+/// Returns the root of the tree that `program` belongs to.
 pub fn root_of(program: &ProgramId) -> ProgramId {
     let text = program.as_str();
     let root = text.split(CHILD_SEPARATOR).next().unwrap_or(text);
     ProgramId::new(root)
 }
 
-/// How many parents a program has.
+/// Returns the nesting depth of `program`.
 pub fn depth_of(program: &ProgramId) -> usize {
     program.as_str().matches(CHILD_SEPARATOR).count()
 }
 
-/// Life of a program.
+/// Lifecycle state of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProgramState {
-    /// It takes calls.
+    /// The program accepts calls.
     Active,
-    /// Its caller ended it.
+    /// The program was ended by its caller.
     Ended,
-    /// It was cancelled, or passed its deadline.
+    /// The program was cancelled or exceeded its deadline.
     Cancelled,
 }
 
-/// Tokens of a whole tree of programs.
+/// Token budget shared by a root program and all its sub-agents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Most tokens the tree may use.
+    /// Maximum number of tokens the tree may use.
     pub limit: u64,
-    /// Tokens used by finished calls.
+    /// Tokens used by finished calls or charged for lost attempts.
     pub spent: u64,
-    /// Tokens set aside for calls under way or of unknown outcome.
+    /// Tokens reserved for running calls and calls of unknown outcome.
     pub reserved: u64,
 }
 
 impl Budget {
-    /// Tokens neither used nor set aside.
+    /// Returns the tokens that are neither spent nor reserved.
     pub fn available(&self) -> u64 {
         self.limit.saturating_sub(self.spent + self.reserved)
     }
 }
 
-/// What a call asks for.
+/// Target of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallTarget {
-    /// Generation by a model.
+    /// Text generation by a model.
     Model(ModelId),
     /// A request to a tool service.
     Service(ServiceId),
 }
 
-/// A back end an attempt was sent to.
+/// Backend that executes an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Backend {
     /// A model engine.
     Engine(EngineId),
-    /// A replica of a service, by the name of its resource.
+    /// A replica of a service, identified by its resource name.
     Replica(String),
 }
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallState {
-    /// Admitted; nothing was sent to a back end in this attempt.
+    /// The current attempt has not been sent to a backend.
     Admitted,
-    /// The attempt may have reached this back end.
+    /// The current attempt may have reached this backend.
     Dispatched(Backend),
-    /// It ran; the answer is stored.
+    /// The call completed and its answer is stored.
     Completed(StoredAnswer),
-    /// It did not run and never will under its present key.
+    /// The call did not run and will not run under its current key.
     NotRun(NotRunReason),
-    /// It may have run, on this back end.
+    /// The outcome is unknown: the call may have run on this backend.
     Unknown(Backend),
 }
 
-/// The stored answer of a completed call.
+/// Answer of a completed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// The whole text.
+    /// The complete text.
     pub text: String,
-    /// Why generation ended, in the OpenAI shape (`stop`, `length`).
+    /// Finish reason as defined by the OpenAI API, such as `stop` or `length`.
     pub finish_reason: String,
-    /// Tokens used.
+    /// Token usage.
     pub usage: Usage,
-    /// Where it ran.
+    /// Backend that executed the call.
     pub backend: Backend,
 }
 
 /// One call of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// What it asks for.
+    /// Target of the call.
     pub target: CallTarget,
-    /// Whether it may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// The caller's key.
+    /// Idempotency key of the call.
     pub key: IdempotencyKey,
-    /// Number of the newest attempt.
+    /// Number of the current attempt.
     pub attempt: u32,
-    /// The gateway that runs the newest attempt.
+    /// The gateway that runs the current attempt.
     pub by: NodeRef,
-    /// Tokens set aside for it.
+    /// Tokens reserved for the call.
     pub reserved: u64,
-    /// Messages the call adds to the history before its answer.
+    /// Messages that the call appends to the history before its answer.
     pub messages: Vec<ChatMessage>,
-    /// Where it stands.
+    /// Current state.
     pub state: CallState,
-    /// The newest earlier attempt that may have run.
+    /// Latest replaced attempt that may have run.
     pub earlier: Option<EarlierAttempt>,
-    /// Earlier keys of this place that were closed as not run.
+    /// Keys closed as not run at this sequence number.
     pub closed: Vec<ClosedKey>,
 }
 
-/// An attempt that was sent and replaced, so that nobody knows what it used.
+/// A dispatched attempt that was replaced by a later one. Its token usage is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EarlierAttempt {
-    /// Where it was sent.
+    /// Backend that the attempt was sent to.
     pub backend: Backend,
-    /// Whether the budget was charged for it; until then the call's reservation
+    /// Whether the attempt was charged to the budget; until then the call's reservation
     /// covers it.
     pub charged: bool,
 }
 
 impl CallRecord {
-    /// Whether an attempt is under way.
+    /// Returns whether the current attempt is in progress.
     pub fn is_running(&self) -> bool {
         matches!(self.state, CallState::Admitted | CallState::Dispatched(_))
     }
 }
 
-/// A key whose request was refused for good.
+/// An idempotency key whose request was permanently refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedKey {
     /// The key.
     pub key: IdempotencyKey,
-    /// Why it was refused.
+    /// Reason for the refusal.
     pub reason: NotRunReason,
 }
 
-/// One program.
+/// Stored state of one program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramRecord {
-    /// Its tenant.
+    /// Tenant that owns the program.
     pub tenant: TenantId,
-    /// The program that started it.
+    /// The program that started this one, if it is a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Its state.
+    /// Lifecycle state.
     pub state: ProgramState,
-    /// When it was created, in milliseconds of Unix time.
+    /// Creation time in Unix milliseconds.
     pub created_at: u64,
-    /// When it is cancelled at the latest, in milliseconds of Unix time.
+    /// Time in Unix milliseconds after which the program is cancelled.
     pub deadline_at: Option<u64>,
-    /// Tokens of the tree; held by the root only.
+    /// Token budget of the tree; only used in the root's record.
     pub budget: Budget,
-    /// Most calls.
+    /// Maximum number of calls.
     pub max_calls: u64,
-    /// Place of the next call.
+    /// Sequence number of the next call.
     pub next_sequence: u64,
-    /// Its calls by place.
+    /// Calls by sequence number.
     pub calls: BTreeMap<u64, CallRecord>,
-    /// Its conversation so far.
+    /// Conversation history.
     pub history: Vec<ChatMessage>,
-    /// Tokens of the conversation, counted once for each message.
+    /// Number of tokens in the history.
     pub history_tokens: u64,
-    /// Chained digest of the conversation.
+    /// Chained digest of the history.
     pub digest: HistoryDigest,
-    /// Engines that may hold its history, and the prompt tokens last sent there.
+    /// Engines that may cache the history, with the number of tokens last recorded there.
     pub holdings: BTreeMap<EngineId, u64>,
-    /// Tokens computed for it so far: the service it has attained.
+    /// Tokens computed for the program so far (attained service).
     pub attained_tokens: u64,
-    /// Sub-agents by the request that started them.
+    /// Sub-agents by the id of the request that created them. A root also lists itself here
+    /// under its own creation request.
     pub children: BTreeMap<RequestId, ProgramId>,
 }
 
 impl ProgramRecord {
-    /// The call that is under way, if any.
+    /// Returns the running call and its sequence number, if any.
     pub fn running_call(&self) -> Option<(u64, &CallRecord)> {
         let last = self.calls.iter().next_back()?;
         last.1.is_running().then_some((*last.0, last.1))
@@ -206,33 +207,33 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProgramShard {
     pub(crate) programs: BTreeMap<ProgramId, ProgramRecord>,
-    /// Programs that have ended, by engines that may still hold their memory.
+    /// Ended and cancelled programs whose memory each engine has yet to release.
     pub(crate) releases: BTreeMap<EngineId, BTreeSet<ProgramId>>,
-    /// Latest time seen in a command.
+    /// Latest command timestamp, in Unix milliseconds.
     pub(crate) clock: u64,
-    /// Programs with a deadline, by deadline.
+    /// Active programs with a deadline, ordered by deadline.
     pub(crate) deadlines: BTreeSet<(u64, ProgramId)>,
-    /// Programs that have ended, by time.
+    /// Ended and cancelled programs, ordered by end time.
     pub(crate) ended: BTreeSet<(u64, ProgramId)>,
 }
 
 impl ProgramShard {
-    /// The record of `program`.
+    /// Returns the record of `program`.
     pub fn get(&self, program: &ProgramId) -> Option<&ProgramRecord> {
         self.programs.get(program)
     }
 
-    /// Number of programs kept, ended ones included.
+    /// Returns the number of stored programs, including ended ones.
     pub fn len(&self) -> usize {
         self.programs.len()
     }
 
-    /// Whether no program is kept.
+    /// Returns whether no program is stored.
     pub fn is_empty(&self) -> bool {
         self.programs.is_empty()
     }
 
-    /// Latest time seen in a command, in milliseconds of Unix time.
+    /// Returns the latest command timestamp, in Unix milliseconds.
     pub fn clock(&self) -> u64 {
         self.clock
     }
@@ -242,8 +243,12 @@
         record.calls.get_mut(&call.sequence)
     }
 
-    /// The call of `attempt` if that attempt is the newest one and still under way.
-    pub(crate) fn current(&mut self, attempt: &AttemptId, by: &NodeRef) -> Option<&mut CallRecord> {
+    /// Returns the call of `attempt` if `attempt` is current, in progress and run by `by`.
+    pub(crate) fn current_call_mut(
+        &mut self,
+        attempt: &AttemptId,
+        by: &NodeRef,
+    ) -> Option<&mut CallRecord> {
         let call = self.call_mut(&attempt.call)?;
         let is_current = call.attempt == attempt.number && call.by == *by && call.is_running();
         is_current.then_some(call)
@@ -254,8 +259,8 @@
         self.programs.get_mut(&root).map(|record| &mut record.budget)
     }
 
-    /// Remembers that `engine` must release what it holds of an ended program.
-    pub(crate) fn order_release(&mut self, engine: EngineId, program: ProgramId) {
+    /// Records that `engine` must release the memory of an ended program.
+    pub(crate) fn schedule_release(&mut self, engine: EngineId, program: ProgramId) {
         if !is_broken(Rule::ReleaseMemory) {
             self.releases.entry(engine).or_default().insert(program);
         }
--- a/crates/store/src/state/resources.rs
+++ b/crates/store/src/state/resources.rs
@@ -1,4 +1,4 @@
-//! Resources in one order of revisions.
+//! State of resources, with a totally ordered change log.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,27 +7,28 @@
 
 use crate::commands::resource::ResourceOutput;
 
-/// Changes kept for watchers; one further behind gets the whole state.
-pub const MAX_CHANGES: usize = 1_024;
-/// Answers kept for resent changes.
-pub const MAX_ANSWERS: usize = 8_192;
+/// Maximum number of retained changes. A watcher that is further behind receives a full
+/// snapshot.
+pub const MAX_RETAINED_CHANGES: usize = 1_024;
+/// Maximum number of results retained to answer resent requests.
+pub const MAX_RETAINED_RESULTS: usize = 8_192;
 
-/// One accepted change.
+/// An accepted change of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its place in the order of all changes.
+    /// Revision created by the change.
     pub revision: Revision,
-    /// What was changed.
+    /// Key of the changed resource.
     pub key: ResourceKey,
-    /// The resource after the change; `None` when it was deleted.
+    /// The resource after the change; `None` if it was deleted.
     pub after: Option<Resource>,
-    /// Who changed it.
+    /// User or tool that made the change.
     pub actor: String,
-    /// When, in milliseconds of Unix time.
+    /// Time of the change in Unix milliseconds.
     pub at: u64,
 }
 
-/// All resources.
+/// Table of all resources with recent changes and results.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceTable {
     pub(crate) revision: Revision,
@@ -38,18 +39,18 @@
 }
 
 impl ResourceTable {
-    /// Revision of the newest change.
+    /// Returns the revision of the latest change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// All resources, by kind and name.
+    /// Returns all resources, ordered by kind and name.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.resources.values()
     }
 
-    /// The oldest revision after which every change is still kept.
-    pub fn oldest_watchable(&self) -> Revision {
+    /// Returns the oldest revision from which all later changes are still retained.
+    pub fn oldest_watchable_revision(&self) -> Revision {
         let first = self.changes.front();
         first.map_or(self.revision, |change| Revision(change.revision.0 - 1))
     }
