--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -14,7 +14,7 @@
 
 use calicohoist_http::{HttpServer, ServerSettings};
 use calicohoist_store::GroupMap;
-use calicohoist_store::protocol::{StoreBack, StoreFrame};
+use calicohoist_store::protocol::{StoreFrame, StoreReplyFrame};
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_types::{Moment, NodeId};
 use calicohoist_wire::{FrameServer, Link, Replier};
@@ -197,7 +197,7 @@
     for (machine, address) in stores {
         let core = core.clone();
         let link = Link::open(*address, move |back| {
-            if let StoreBack::Reply { id, reply } = back {
+            if let StoreReplyFrame::Reply { id, reply } = back {
                 let _ = core.send(CoreInput::Input(Input::StoreReply { id, reply }));
             }
         })?;
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -21,7 +21,7 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use rand::RngExt;
 
-use crate::protocol::{StoreBack, StoreFrame, StoreReply, StoreRequest};
+use crate::protocol::{StoreFrame, StoreReply, StoreReplyFrame, StoreRequest};
 use crate::service::{StoreAction, StoreService};
 use crate::state::GroupMap;
 
@@ -65,8 +65,8 @@
 
 enum Input {
     Peer { from: ReplicaId, messages: Vec<GroupMessage> },
-    Request { client: u64, id: u64, request: StoreRequest, replier: Replier<StoreBack> },
-    AskStarted { replier: Replier<StoreBack> },
+    Request { client: u64, id: u64, request: StoreRequest, replier: Replier<StoreReplyFrame> },
+    AskStarted { replier: Replier<StoreReplyFrame> },
     Started { machine: u32, started: bool },
 }
 
@@ -152,7 +152,7 @@
     for (machine, address) in others {
         let sender = sender.clone();
         let link = Link::open(*address, move |back| {
-            if let StoreBack::Started { machine, started } = back {
+            if let StoreReplyFrame::Started { machine, started } = back {
                 let _ = sender.try_send(Input::Started { machine, started });
             }
         })?;
@@ -161,7 +161,9 @@
     Ok(links)
 }
 
-fn frame_handler(sender: Sender<Input>) -> impl Fn(StoreFrame, &Replier<StoreBack>) + Send + Sync {
+fn frame_handler(
+    sender: Sender<Input>,
+) -> impl Fn(StoreFrame, &Replier<StoreReplyFrame>) + Send + Sync {
     let next_client = AtomicU64::new(1);
     move |frame, replier| {
         let input = match frame {
@@ -177,7 +179,7 @@
         if let Err(TrySendError::Full(Input::Request { id, replier, .. })) = sender.try_send(input)
         {
             let reply = StoreReply::Unavailable;
-            replier.send(StoreBack::Reply { id, reply });
+            replier.send(StoreReplyFrame::Reply { id, reply });
         }
     }
 }
@@ -187,7 +189,7 @@
     settings: StoreSettings,
     links: BTreeMap<u32, Link<StoreFrame>>,
     receiver: Receiver<Input>,
-    repliers: BTreeMap<u64, Replier<StoreBack>>,
+    repliers: BTreeMap<u64, Replier<StoreReplyFrame>>,
     /// Identity of the data directory; 0 until it is determined.
     disk: u32,
     started_at: Instant,
@@ -275,9 +277,9 @@
         }
     }
 
-    fn reply_started(&self, replier: &Replier<StoreBack>, started: bool) {
+    fn reply_started(&self, replier: &Replier<StoreReplyFrame>, started: bool) {
         let machine = self.settings.machine;
-        replier.send(StoreBack::Started { machine, started });
+        replier.send(StoreReplyFrame::Started { machine, started });
     }
 
     fn execute(&mut self, action: StoreAction) {
@@ -290,7 +292,7 @@
             }
             StoreAction::Reply { client, id, reply } => {
                 if let Some(replier) = self.repliers.remove(&client) {
-                    replier.send(StoreBack::Reply { id, reply });
+                    replier.send(StoreReplyFrame::Reply { id, reply });
                 }
             }
         }
@@ -339,7 +341,7 @@
                     Input::AskStarted { replier } => self.reply_started(&replier, false),
                     Input::Request { id, replier, .. } => {
                         let reply = StoreReply::NotLeader(None);
-                        replier.send(StoreBack::Reply { id, reply });
+                        replier.send(StoreReplyFrame::Reply { id, reply });
                     }
                     Input::Peer { .. } => {}
                 }
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -214,7 +214,7 @@
 
 /// Frame sent back by a store machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreBack {
+pub enum StoreReplyFrame {
     /// Response to [`StoreFrame::Request`].
     Reply {
         /// Id of the request.
