--- a/crates/lab/src/scale/programs.rs
+++ b/crates/lab/src/scale/programs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use calicohoist_replication::{GroupId, StateMachine};
-use calicohoist_store::commands::Stamped;
+use calicohoist_store::commands::TimestampedCommand;
 use calicohoist_store::commands::program::{BeginCall, NewProgram, ProgramCommand};
 use calicohoist_store::commands::resource::ResourceCommand;
 use calicohoist_store::state::RESOURCE_GROUP;
@@ -204,7 +204,7 @@
 }
 
 fn apply(state: &mut GroupState, command: Command) {
-    if let Ok(bytes) = encode(&Stamped { at: 1, command }) {
+    if let Ok(bytes) = encode(&TimestampedCommand { at: 1, command }) {
         state.apply(&bytes);
     }
 }
--- a/crates/store/src/commands/mod.rs
+++ b/crates/store/src/commands/mod.rs
@@ -20,7 +20,7 @@
 /// A command with the time at which the leader proposed it. State machines use this
 /// timestamp as their only clock, which keeps replicas deterministic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct TimestampedCommand {
     /// Proposal time in Unix milliseconds.
     pub at: u64,
     /// The command.
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -15,7 +15,7 @@
 use calicohoist_wire::encode;
 
 use crate::commands::program::ProgramCommand;
-use crate::commands::{Command, Output, Stamped};
+use crate::commands::{Command, Output, TimestampedCommand};
 use crate::metrics;
 use crate::nodes::{LEASE, NodeTable};
 use crate::protocol::{
@@ -160,7 +160,7 @@
 
     fn propose(&mut self, at: u64, group: GroupId, command: Command, pending: Pending) {
         let ticket = self.add_pending(pending);
-        let Ok(bytes) = encode(&Stamped { at, command }) else {
+        let Ok(bytes) = encode(&TimestampedCommand { at, command }) else {
             return self.complete_request(ticket, StoreReply::Output(Output::Unsupported));
         };
         if self.node.propose(group, bytes, ticket).is_err() {
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -8,7 +8,7 @@
 use calicohoist_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
 
-use crate::commands::{Command, Output, Stamped};
+use crate::commands::{Command, Output, TimestampedCommand};
 use programs::ProgramShard;
 use resources::ResourceTable;
 
@@ -68,7 +68,7 @@
     }
 
     fn apply(&mut self, command: &[u8]) -> Output {
-        let Ok(stamped) = decode::<Stamped>(command) else {
+        let Ok(stamped) = decode::<TimestampedCommand>(command) else {
             return Output::Unsupported;
         };
         match (self, stamped.command) {
