--- a/crates/lab/src/scale/programs.rs
+++ b/crates/lab/src/scale/programs.rs
@@ -250,7 +250,7 @@
     question: ChatMessage,
     answer: String,
 ) -> [ProgramCommand; 3] {
-    let by = NodeRef::nobody();
+    let by = NodeRef::unassigned();
     let backend = Backend::Engine(EngineId::new("engine-1"));
     let attempt = AttemptId { call: CallId { program: program.clone(), sequence }, number: 1 };
     let begin = BeginCall {
--- a/crates/store/src/commands/program.rs
+++ b/crates/store/src/commands/program.rs
@@ -542,7 +542,7 @@
             messages: Vec::new(),
             max_tokens: 0,
             max_prompt_tokens: 0,
-            by: NodeRef::nobody(),
+            by: NodeRef::unassigned(),
         };
         Ok(ProgramOutput::Begin(self.close_key(call, begin, reason)))
     }
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -22,7 +22,7 @@
 
 impl NodeRef {
     /// Returns a placeholder for records that no gateway is assigned to.
-    pub fn nobody() -> Self {
+    pub fn unassigned() -> Self {
         Self { node: NodeId::new("nobody"), incarnation: Incarnation(0) }
     }
 }
