--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -7,7 +7,7 @@
 use calicohoist_scheduler::owner_of;
 use calicohoist_store::broken::{Rule, is_broken};
 use calicohoist_store::protocol::LoadsUpdate;
-use calicohoist_store::queries::resource::{Update, UpdateContent};
+use calicohoist_store::queries::resource::{ResourceUpdate, UpdateContent};
 use calicohoist_store::{EngineLoad, HeartbeatReply, NodeInfo, NodeRef};
 use calicohoist_telemetry::{Event, emit};
 use calicohoist_types::{
@@ -150,7 +150,7 @@
     }
 
     /// Applies an update unless it is older than what is known already.
-    fn apply(&mut self, update: Update) {
+    fn apply(&mut self, update: ResourceUpdate) {
         if update.revision <= self.applied {
             return;
         }
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::commands::{Command, Output};
-use crate::queries::resource::Update;
+use crate::queries::resource::ResourceUpdate;
 use crate::queries::{Answer, Query};
 
 /// Identifies one run of a gateway process.
@@ -103,7 +103,7 @@
     /// Engine loads that changed since the receiver's version.
     pub loads: LoadsUpdate,
     /// Configuration changes since the receiver's revision.
-    pub update: Update,
+    pub update: ResourceUpdate,
     /// Highest revision that every node has applied.
     pub in_force: Revision,
 }
--- a/crates/store/src/queries/resource.rs
+++ b/crates/store/src/queries/resource.rs
@@ -46,12 +46,12 @@
         revision: Revision,
     },
     /// Update for a watcher.
-    Changes(Update),
+    Changes(ResourceUpdate),
 }
 
 /// Brings a watcher from the revision it knows to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
+pub struct ResourceUpdate {
     /// Revision of the watcher after applying the update.
     pub revision: Revision,
     /// Incremental changes or a snapshot.
@@ -91,9 +91,9 @@
     }
 
     /// Returns an update for a watcher at revision `after`.
-    pub fn update_since(&self, after: Revision, limit: usize) -> Update {
+    pub fn update_since(&self, after: Revision, limit: usize) -> ResourceUpdate {
         if after < self.oldest_watchable_revision() {
-            return Update {
+            return ResourceUpdate {
                 revision: self.revision,
                 content: UpdateContent::Whole(self.resources.values().cloned().collect()),
             };
@@ -101,6 +101,6 @@
         let newer = self.changes.iter().filter(|change| change.revision > after);
         let changes: Vec<Change> = newer.take(limit.clamp(1, MAX_PAGE_SIZE)).cloned().collect();
         let revision = changes.last().map_or(after, |change| change.revision);
-        Update { revision, content: UpdateContent::Changes(changes) }
+        ResourceUpdate { revision, content: UpdateContent::Changes(changes) }
     }
 }
