--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -327,7 +327,7 @@
         self.next_token += 1;
         let token = self.next_token;
         self.purposes.insert(token, Purpose::Heartbeat(now));
-        self.router.ask(now, token, request, calicohoist_store::nodes::LEASE);
+        self.router.ask(now, token, request, calicohoist_store::nodes::LEASE_DURATION);
     }
 
     fn on_heartbeat_answer(&mut self, now: Moment, sent: Moment, reply: Option<StoreReply>) {
--- a/crates/store/src/nodes.rs
+++ b/crates/store/src/nodes.rs
@@ -13,7 +13,7 @@
 use crate::protocol::{EngineLoad, Heartbeat, LoadsUpdate, NodeInfo, NodeRef};
 
 /// Duration of a lease, counted from the time its heartbeat was sent.
-pub const LEASE: Duration = Duration::from_millis(1_500);
+pub const LEASE_DURATION: Duration = Duration::from_millis(1_500);
 /// Extra time before the leader expires a lease, to tolerate clock drift.
 const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(150);
 
@@ -41,7 +41,7 @@
         self.nodes.clear();
         // Starts at the current time, so that versions of different leaders do not collide.
         self.version = now.as_micros();
-        self.complete_at = now + LEASE + CLOCK_DRIFT_MARGIN;
+        self.complete_at = now + LEASE_DURATION + CLOCK_DRIFT_MARGIN;
         self.loads.reset(now);
     }
 
@@ -75,7 +75,7 @@
             info,
             applied: heartbeat.applied,
             loads: heartbeat.loads.clone(),
-            expires: now + LEASE + CLOCK_DRIFT_MARGIN,
+            expires: now + LEASE_DURATION + CLOCK_DRIFT_MARGIN,
         };
         self.nodes.insert(node.node.clone(), entry);
         true
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -17,7 +17,7 @@
 use crate::commands::program::ProgramCommand;
 use crate::commands::{Command, Output, TimestampedCommand};
 use crate::metrics;
-use crate::nodes::{LEASE, NodeTable};
+use crate::nodes::{LEASE_DURATION, NodeTable};
 use crate::protocol::{
     FleetStatus, GroupStatus, Heartbeat, HeartbeatReply, StoreReply, StoreRequest,
 };
@@ -297,7 +297,7 @@
         let version = self.nodes.version();
         let is_known = heartbeat.nodes_version == version;
         StoreReply::Heartbeat(Box::new(HeartbeatReply {
-            lease: LEASE,
+            lease: LEASE_DURATION,
             nodes_version: version,
             nodes: (!is_known).then(|| self.nodes.nodes()),
             nodes_complete: self.nodes.is_complete(now),
