--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -254,7 +254,7 @@
         self.next_token += 1;
         let token = self.next_token;
         self.purposes.insert(token, purpose);
-        self.router.ask(now, token, request, STORE_PATIENCE);
+        self.router.submit(now, token, request, STORE_PATIENCE);
     }
 
     fn command(
@@ -327,7 +327,7 @@
         self.next_token += 1;
         let token = self.next_token;
         self.purposes.insert(token, Purpose::Heartbeat(now));
-        self.router.ask(now, token, request, calicohoist_store::nodes::LEASE_DURATION);
+        self.router.submit(now, token, request, calicohoist_store::nodes::LEASE_DURATION);
     }
 
     fn on_heartbeat_answer(&mut self, now: Moment, sent: Moment, reply: Option<StoreReply>) {
--- a/crates/store/src/router.rs
+++ b/crates/store/src/router.rs
@@ -76,7 +76,7 @@
     }
 
     /// Sends `request`. Its reply is reported as [`RouterEvent::Done`] with `token`.
-    pub fn ask(&mut self, now: Moment, token: u64, request: StoreRequest, timeout: Duration) {
+    pub fn submit(&mut self, now: Moment, token: u64, request: StoreRequest, timeout: Duration) {
         let pending = PendingRequest {
             request,
             deadline: now + timeout,
