--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::commands::program::{Admission, BeginCall, NewProgram, ProgramCommand};
 use calicohoist_store::queries::program::{CallView, ProgramAnswer, ProgramQuery};
 use calicohoist_store::state::programs::CallTarget;
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -1,7 +1,7 @@
 //! What back ends report, retries, and looking up requests that got lost.
 
 use calicohoist_scheduler::backoff;
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::commands::program::ProgramCommand;
 use calicohoist_store::state::programs::{Backend, StoredAnswer};
 use calicohoist_telemetry::{Event, emit};
--- a/crates/gateway/src/core/memory.rs
+++ b/crates/gateway/src/core/memory.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use calicohoist_store::StoreReply;
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::commands::program::ProgramCommand;
 use calicohoist_store::queries::program::{ProgramAnswer, ProgramQuery};
 use calicohoist_telemetry::{Event, emit};
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -19,7 +19,7 @@
 
 use calicohoist_replication::GroupId;
 use calicohoist_scheduler::{CostWeights, RetryBudget};
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::commands::program::{ProgramCommand, ProgramOutput};
 use calicohoist_store::queries::program::{ProgramAnswer, ProgramQuery};
 use calicohoist_store::{
--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use calicohoist_scheduler::owner_of;
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::protocol::LoadsUpdate;
 use calicohoist_store::queries::resource::{ResourceUpdate, UpdateContent};
 use calicohoist_store::{EngineLoad, HeartbeatReply, NodeInfo, NodeRef};
--- a/crates/lab/tests/broken_rules.rs
+++ b/crates/lab/tests/broken_rules.rs
@@ -4,7 +4,7 @@
 use calicohoist_lab::check::Verdict;
 use calicohoist_lab::deployment::Deployment;
 use calicohoist_lab::sim::{Scenario, SimReport, SimSettings, run};
-use calicohoist_store::broken::{Rule, break_rule};
+use calicohoist_store::broken_rules::{Rule, break_rule};
 
 /// Seeds within which a broken rule must be found.
 const MOST_SEEDS: u64 = 200;
--- a/crates/store/src/commands/program.rs
+++ b/crates/store/src/commands/program.rs
@@ -11,7 +11,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::broken::{Rule, is_broken};
+use crate::broken_rules::{Rule, is_broken};
 use crate::protocol::NodeRef;
 use crate::state::programs::{
     Backend, Budget, CHILD_SEPARATOR, CallRecord, CallState, CallTarget, ClosedKey, EarlierAttempt,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`router`]: client-side routing with leader discovery, retries and timeouts;
 //! - [`driver`]: threads, sockets and disk I/O of the service.
 
-pub mod broken;
+pub mod broken_rules;
 pub mod commands;
 pub mod driver;
 pub mod loads;
--- a/crates/store/src/state/programs.rs
+++ b/crates/store/src/state/programs.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::broken::{Rule, is_broken};
+use crate::broken_rules::{Rule, is_broken};
 use crate::protocol::NodeRef;
 
 /// Separates the name of a program from the number of its sub-agent.
