--- a/crates/store/src/router.rs
+++ b/crates/store/src/router.rs
@@ -53,7 +53,9 @@
 pub struct StoreRouter {
     machines: Vec<u32>,
     leaders: BTreeMap<GroupId, u32>,
+    /// Pending requests by token.
     pending: BTreeMap<u64, PendingRequest>,
+    /// Request tokens by attempt id.
     attempts: BTreeMap<u64, u64>,
     next_id: u64,
     next_machine: usize,
@@ -61,8 +63,8 @@
 }
 
 impl StoreRouter {
-    /// Creates a router over `machines`. `offset` selects the machine to try first, to distribute
-    /// the routers of different gateways.
+    /// Creates a router over `machines`. `offset` selects the machine to try first; different
+    /// offsets spread the initial requests of gateways over the machines.
     pub fn new(machines: Vec<u32>, offset: usize) -> Self {
         Self {
             machines,
