--- a/crates/store/src/loads.rs
+++ b/crates/store/src/loads.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Returns an update for a receiver at version `known_version`. If that version is not from this
-    /// leader, the update contains all loads.
+    /// Returns an update for a receiver at version `known_version`. It contains all loads if that
+    /// version is not from this leader.
     pub fn changes_since(&self, known_version: u64) -> LoadsUpdate {
         let is_whole = known_version < self.first_version || known_version > self.version;
         let since = if is_whole { 0 } else { known_version };
