--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -19,7 +19,7 @@
 
 use calicohoist_replication::GroupId;
 use calicohoist_scheduler::{CostWeights, RetryBudget};
-use calicohoist_store::broken::{Rule, is_broken};
+use calicohoist_store::broken_rules::{Rule, is_broken};
 use calicohoist_store::commands::program::{ProgramCommand, ProgramOutput};
 use calicohoist_store::queries::program::{ProgramAnswer, ProgramQuery};
 use calicohoist_store::{
@@ -254,7 +254,7 @@
         self.next_token += 1;
         let token = self.next_token;
         self.purposes.insert(token, purpose);
-        self.router.ask(now, token, request, STORE_PATIENCE);
+        self.router.submit(now, token, request, STORE_PATIENCE);
     }
 
     fn command(
@@ -327,7 +327,7 @@
         self.next_token += 1;
         let token = self.next_token;
         self.purposes.insert(token, Purpose::Heartbeat(now));
-        self.router.ask(now, token, request, calicohoist_store::nodes::LEASE);
+        self.router.submit(now, token, request, calicohoist_store::nodes::LEASE_DURATION);
     }
 
     fn on_heartbeat_answer(&mut self, now: Moment, sent: Moment, reply: Option<StoreReply>) {
