--- a/crates/proxy/src/app.rs
+++ b/crates/proxy/src/app.rs
@@ -1,4 +1,4 @@
-//! What all requests of a process share.
+//! State shared by all requests of a process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,154 +12,158 @@
 
 use crate::dialect::Dialect;
 use crate::fleet::Fleet;
-use crate::memory::ByteBudget;
+use crate::memory::MemoryBudget;
 use crate::settings::ProxySettings;
 use crate::upstream::Pool;
 
-/// How long the leader's last news count: three times as long as it holds a question for news, and
-/// less than a change may take to be in force everywhere.
-const NEWS_COUNT_FOR: Duration = Duration::from_millis(1_500);
-/// Requests that may wait for the first table.
+/// Maximum time since the leader's last answer for which the routing table counts as current.
+/// Covers several watch intervals, but is shorter than the time in which a configuration change
+/// must be applied everywhere.
+const MAX_LEADER_SILENCE: Duration = Duration::from_millis(1_500);
+/// Maximum number of requests that wait for the first routing table.
 const MAX_TABLE_WAITERS: usize = 256;
 
-/// The shared state of a gateway.
+/// Shared state of a gateway.
 pub struct App {
-    /// What the gateway was told at its start.
+    /// Startup settings.
     pub settings: ProxySettings,
-    /// Asks the ledger.
+    /// Client of the ledger.
     pub ledger: LedgerClient,
-    /// The replicas.
+    /// Known replicas.
     pub fleet: Fleet,
-    /// Kept connections to them.
+    /// Connection pool for replicas.
     pub pool: Pool,
-    /// Bytes held for callers and replicas.
-    pub memory: Arc<ByteBudget>,
-    /// Costs in the choice of a replica.
+    /// Memory limit for buffered bodies.
+    pub memory: Arc<MemoryBudget>,
+    /// Cost weights for the selection of a replica.
     pub weights: CostWeights,
-    /// Permits that tenants' limits leave to this gateway.
-    pub purse: Mutex<PermitCache>,
-    /// Hashes the keys of callers.
+    /// Unused rate-limit permits of tenants.
+    pub permits: Mutex<PermitCache>,
+    /// Secret for hashing API keys.
     pub key_secret: KeySecret,
     table: watch::Sender<Option<Arc<RouteTable>>>,
-    /// Places for requests that wait for the first table.
+    /// Limits the number of requests that wait for the first routing table.
     table_waiters: Semaphore,
-    has_list: AtomicBool,
-    /// When the leader last told what is new, or that nothing is.
-    followed: Mutex<Option<Instant>>,
+    has_replica_list: AtomicBool,
+    /// Time of the leader's last answer to a watch request.
+    last_leader_answer: Mutex<Option<Instant>>,
     is_stopping: AtomicBool,
-    under_way: AtomicUsize,
+    active_requests: AtomicUsize,
 }
 
 impl App {
-    /// A gateway that knows nothing yet.
+    /// Creates the state of a gateway without configuration or replicas.
     pub fn new(settings: ProxySettings) -> Self {
         let ledger = LedgerClient::new(&settings.ledger_seeds, settings.ledger_port);
         let fleet = Fleet::new(&settings.name, Arc::clone(&settings.topology));
         Self {
-            memory: ByteBudget::of_machine(settings.memory),
+            memory: MemoryBudget::for_machine(settings.memory),
             settings,
             ledger,
             fleet,
             pool: Pool::default(),
             weights: CostWeights::default(),
-            purse: Mutex::default(),
+            permits: Mutex::default(),
             key_secret: KeySecret::new(rand::random()),
             table: watch::Sender::new(None),
             table_waiters: Semaphore::new(MAX_TABLE_WAITERS),
-            has_list: AtomicBool::new(false),
-            followed: Mutex::new(None),
+            has_replica_list: AtomicBool::new(false),
+            last_leader_answer: Mutex::new(None),
             is_stopping: AtomicBool::new(false),
-            under_way: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
         }
     }
 
-    /// How this platform writes.
+    /// Returns the dialect of the platform.
     pub fn dialect(&self) -> &dyn Dialect {
         self.settings.dialect.as_ref()
     }
 
-    /// The routes in force here; `None` before the first configuration.
+    /// Returns the current routing table, or `None` before the first configuration.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// The routes in force here, once there are any; `None` when none came within
-    /// `patience`, or when too many requests wait for them.
-    pub async fn wait_for_table(&self, patience: Duration) -> Option<Arc<RouteTable>> {
+    /// Returns the current routing table, waiting for the first one if necessary. Returns `None`
+    /// if none arrives within `timeout`, or if too many requests wait already.
+    pub async fn wait_for_table(&self, timeout: Duration) -> Option<Arc<RouteTable>> {
         if let Some(table) = self.table() {
             return Some(table);
         }
-        let _place = self.table_waiters.try_acquire().ok()?;
+        let _permit = self.table_waiters.try_acquire().ok()?;
         let mut tables = self.table.subscribe();
         let table = tables.wait_for(Option::is_some);
-        tokio::time::timeout(patience, table).await.ok()?.ok()?.clone()
+        tokio::time::timeout(timeout, table).await.ok()?.ok()?.clone()
     }
 
-    /// Puts a table in force, unless a newer one is. A gateway never goes back.
+    /// Installs a routing table unless the current one is at least as new. Returns whether it was
+    /// installed.
     pub fn put_table(&self, table: RouteTable) -> bool {
-        self.table.send_if_modified(|held| {
-            let is_newer = held.as_ref().is_none_or(|held| held.version() < table.version());
+        self.table.send_if_modified(|current| {
+            let is_newer =
+                current.as_ref().is_none_or(|current| current.version() < table.version());
             if is_newer {
-                *held = Some(Arc::new(table));
+                *current = Some(Arc::new(table));
             }
             is_newer
         })
     }
 
-    /// Notes that a leader told what is new.
-    pub fn note_followed(&self, now: Instant) {
-        *self.followed.lock() = Some(now);
+    /// Records that the leader answered a watch request.
+    pub fn record_leader_answer(&self, now: Instant) {
+        *self.last_leader_answer.lock() = Some(now);
     }
 
-    /// Whether the table in force is the newest one, but for the time that a change takes. A gateway
-    /// that does not follow must not say that something does not exist: it may be new.
-    pub fn follows(&self, now: Instant) -> bool {
-        let followed = *self.followed.lock();
-        followed.is_some_and(|at| now.saturating_duration_since(at) < NEWS_COUNT_FOR)
+    /// Returns whether the routing table is current, up to the usual propagation delay. Otherwise
+    /// the gateway must not report a route or key as unknown, since it may have been added
+    /// recently.
+    pub fn is_current(&self, now: Instant) -> bool {
+        let last_leader_answer = *self.last_leader_answer.lock();
+        last_leader_answer.is_some_and(|at| now.saturating_duration_since(at) < MAX_LEADER_SILENCE)
     }
 
-    /// Notes that the replicas are known.
-    pub fn note_list(&self) {
-        self.has_list.store(true, Ordering::Relaxed);
+    /// Records that a replica list has been received.
+    pub fn mark_list_received(&self) {
+        self.has_replica_list.store(true, Ordering::Relaxed);
     }
 
-    /// Whether callers may be sent here.
+    /// Returns whether the gateway is ready for client requests.
     pub fn is_ready(&self) -> bool {
-        let knows_replicas =
-            self.has_list.load(Ordering::Relaxed) && self.fleet.drained_version().is_some();
-        let knows_enough = knows_replicas && self.table.borrow().is_some();
-        knows_enough && !self.is_stopping()
+        let has_replicas =
+            self.has_replica_list.load(Ordering::Relaxed) && self.fleet.drained_version().is_some();
+        let is_initialized = has_replicas && self.table.borrow().is_some();
+        is_initialized && !self.is_stopping()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop: the gateway calls itself unready and ends connections.
+    /// Begins a graceful shutdown: the gateway reports itself as not ready and closes connections.
     pub fn stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as active until the guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
-        self.under_way.fetch_add(1, Ordering::Relaxed);
+        self.active_requests.fetch_add(1, Ordering::Relaxed);
         RequestGuard { app: Arc::clone(self) }
     }
 
-    /// Requests whose answers are not complete.
-    pub fn requests_under_way(&self) -> usize {
-        self.under_way.load(Ordering::Relaxed)
+    /// Returns the number of requests whose responses are incomplete.
+    pub fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::Relaxed)
     }
 }
 
-/// A request whose answer is not complete.
+/// Counts a request as active until dropped.
 pub struct RequestGuard {
     app: Arc<App>,
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.app.under_way.fetch_sub(1, Ordering::Relaxed);
+        self.app.active_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,6 +1,7 @@
-//! What the proxy must know of headers and documents.
+//! Platform-specific headers and documents.
 //!
-//! The product names what it needs; an adapter says how a platform writes it.
+//! The proxy defines the data it needs; an adapter implements [`Dialect`] for the format of a
+//! platform.
 
 use std::time::Duration;
 
@@ -10,93 +11,93 @@
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
 
-/// What a caller says about its request, beside method, path and body.
+/// Request metadata from the headers of a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallHead {
-    /// Identity of the request; every attempt of a caller has its own.
+    /// Id of the request; each attempt of a client has its own.
     pub request_id: String,
-    /// Time that the caller will wait.
+    /// Time for which the client waits for the response.
     pub deadline: Option<Duration>,
-    /// The program it belongs to.
+    /// Id of the agent program that the request belongs to.
     pub program: Option<String>,
-    /// Time until the program should be over.
+    /// Time until the program should finish.
     pub finish: Option<Duration>,
-    /// Tokens that all turns of the program may generate together.
+    /// Token budget for the output of all turns of the program.
     pub budget: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens that are generated.
+    /// Maximum number of generated tokens.
     pub most_tokens: u64,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// The turn that this one continues from.
+    /// Id of the turn that this one continues.
     pub previous_turn: Option<String>,
-    /// The last event that the caller has, when it takes up a broken stream.
+    /// Id of the last event that the client received, if it resumes a stream.
     pub last_event: Option<String>,
 }
 
-/// What a gateway tells a replica.
+/// Request metadata sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingHead<'a> {
-    /// Time that is left.
+    /// Remaining time for the request.
     pub deadline: Duration,
-    /// Only this replica may run the request.
+    /// Identity of the replica that must run the request.
     pub replica: &'a str,
-    /// Continue a stream after this event.
+    /// Id of the event after which a stream is resumed.
     pub last_event: Option<&'a str>,
-    /// The tenant that sent the request.
+    /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
 }
 
-/// Who decides the value of a header that reaches a replica.
+/// Origin of the value of a request header that is sent to replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderOwner {
-    /// Whoever sent the request. What nobody knows is the caller's, too.
+    /// Set by the client. Includes unknown headers.
     Caller,
-    /// The gateway: a caller's value is dropped.
+    /// Set by the gateway. A client's value is dropped.
     Gateway,
-    /// One connection: it is not passed on.
+    /// Hop-by-hop header, which is not forwarded.
     Connection,
 }
 
-/// What a replica says about its answer.
+/// Response metadata from the headers of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// The replica states that it did not run the request.
+    /// Whether the replica reports that it did not run the request.
     pub is_not_executed: bool,
 }
 
-/// How a platform writes what the proxy needs.
+/// Reads and writes the headers and documents of a platform.
 pub trait Dialect: Send + Sync {
-    /// Reads a configuration document.
+    /// Parses a configuration document.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all problems found in the document.
     fn parse_configuration(&self, document: &[u8]) -> Result<Configuration, Findings>;
 
-    /// What a request shows of whom it comes from.
+    /// Reads the credential of a request.
     fn read_credential(&self, headers: &HeaderMap) -> Credential;
 
-    /// Who decides the value of a header that reaches a replica.
+    /// Returns the owner of a request header.
     fn owner_of(&self, header: &HeaderName) -> HeaderOwner;
 
-    /// Removes what only the gateway may know of whom a request comes from.
+    /// Removes the credential from the headers, so that replicas do not receive it.
     fn remove_credential(&self, headers: &mut HeaderMap);
 
-    /// Reads a request's headers.
+    /// Reads the metadata of a request.
     ///
     /// # Errors
-    /// Every header that cannot be accepted.
+    /// Returns all headers that are invalid.
     fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, Findings>;
 
-    /// Replaces the headers that the gateway sets itself.
+    /// Sets the headers that the gateway sends to a replica.
     fn write_call(&self, headers: &mut HeaderMap, outgoing: &OutgoingHead<'_>);
 
-    /// Reads an answer's headers.
+    /// Reads the metadata of a response.
     fn read_answer(&self, headers: &HeaderMap) -> AnswerHead;
 
-    /// Says when a refused request may come back.
+    /// Sets the header that tells the client when to retry.
     fn write_retry_after(&self, headers: &mut HeaderMap, after: Duration);
 }
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -1,46 +1,46 @@
-//! Server-sent events, cut from a byte stream.
+//! Incremental parser for server-sent events.
 //!
-//! Only whole events leave: a replica that breaks off may stop within one.
+//! Emits complete events only, since a replica may fail in the middle of an event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is accepted, in bytes.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event.
+/// Server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Its bytes, with the empty line that ends it.
+    /// Raw bytes, including the terminating empty line.
     pub bytes: Bytes,
-    /// Its identity, where it has one.
+    /// Value of the `id` field, if present.
     pub id: Option<String>,
-    /// Its data; lines are joined by a line feed. `None` without any.
+    /// Values of the `data` fields joined by line feeds, or `None` if there are none.
     pub data: Option<Vec<u8>>,
 }
 
-/// An event is longer than is accepted.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("event is too long")]
+#[error("event exceeds the maximum size")]
 pub struct EventTooLong;
 
-/// Cuts events from pieces of any size.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes that were searched in vain.
+    /// Number of buffered bytes that were searched for the end of an event already.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds what arrived.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buffer.extend_from_slice(piece);
+    /// Appends received bytes.
+    pub fn push(&mut self, data: &[u8]) {
+        self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if any.
     ///
     /// # Errors
-    /// [`EventTooLong`].
+    /// Returns [`EventTooLong`] if an incomplete event exceeds the maximum size.
     pub fn next_event(&mut self) -> Result<Option<ServerEvent>, EventTooLong> {
         let from = self.searched.saturating_sub(3);
         match end_of_event(&self.buffer, from) {
@@ -56,24 +56,24 @@
         }
     }
 
-    /// Whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    /// Returns whether the buffer holds part of an event.
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// Index after the empty line that ends the first event; searched from `from` on.
+/// Returns the index after the empty line that ends the first event, searching from `from`.
 fn end_of_event(buffer: &[u8], from: usize) -> Option<usize> {
     let tail = buffer.get(from..)?;
     for (offset, byte) in tail.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let after = &tail[offset + 1..];
-        if after.starts_with(b"\n") {
+        let rest = &tail[offset + 1..];
+        if rest.starts_with(b"\n") {
             return Some(from + offset + 2);
         }
-        if after.starts_with(b"\r\n") {
+        if rest.starts_with(b"\r\n") {
             return Some(from + offset + 3);
         }
     }
@@ -85,10 +85,10 @@
     let mut data: Option<Vec<u8>> = None;
     for line in bytes.split(|byte| *byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        if let Some(value) = field(line, b"id:") {
+        if let Some(value) = field_value(line, b"id:") {
             id = Some(String::from_utf8_lossy(value).into_owned());
         }
-        if let Some(value) = field(line, b"data:") {
+        if let Some(value) = field_value(line, b"data:") {
             match &mut data {
                 Some(data) => {
                     data.push(b'\n');
@@ -101,7 +101,7 @@
     ServerEvent { bytes, id, data }
 }
 
-fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+fn field_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The replicas and what is known of each.
+//! Known replicas with their load and health.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,36 +14,36 @@
 
 use crate::upstream::Pool;
 
-/// What a replica is avoided with that others found to fail: more than any wait.
-const FAILING_PENALTY: Duration = Duration::from_millis(800);
+/// Cost penalty for replicas that the leader reports as failing.
+const REPORTED_FAILURE_PENALTY: Duration = Duration::from_millis(800);
 
-/// How long a replica that is new to a gateway counts as cold there. Which replicas are cold is
-/// told by the leader's next answer, half a second later at most; as much again is margin.
-const FIRST_SIGHT: Duration = Duration::from_millis(1_000);
+/// Time for which a newly listed replica is assumed to be cold. Covers the delay until the leader
+/// reports the cold replicas.
+const ASSUMED_COLD_TIME: Duration = Duration::from_millis(1_000);
 
-/// A replica with its load and its recent troubles.
+/// A replica with its load and recent failures.
 #[derive(Debug)]
 pub struct Member {
-    /// As discovery lists it.
+    /// Replica as listed by discovery.
     pub replica: Replica,
-    /// Its place in this gateway's order of replicas that cost the same.
+    /// Tie-breaker among replicas with equal cost; differs between gateways.
     rank: u64,
     own_load: AtomicU32,
-    /// When it was last chosen, as a count of choices; 0 for never.
+    /// Sequence number of this gateway's last request to the replica; 0 for none.
     last_used: AtomicU64,
     other_load: Mutex<OtherLoad>,
-    trouble: Mutex<Option<Trouble>>,
+    active_penalty: Mutex<Option<ActivePenalty>>,
 }
 
-/// Requests of all other gateways at a replica, as the leader reports them.
+/// Load that all other gateways place on a replica, as reported by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct OtherLoad {
     mean: MeanLoad,
-    reported: Option<Instant>,
+    reported_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct ActivePenalty {
     until: Instant,
     penalty: Duration,
 }
@@ -56,39 +56,41 @@
             own_load: AtomicU32::new(0),
             last_used: AtomicU64::new(0),
             other_load: Mutex::default(),
-            trouble: Mutex::new(None),
+            active_penalty: Mutex::new(None),
         }
     }
 
-    /// Counts a request until the guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> LoadGuard {
+    /// Counts a request as load of the replica until the guard is dropped.
+    pub fn begin_request(self: &Arc<Self>) -> LoadGuard {
         self.own_load.fetch_add(1, Ordering::Relaxed);
         LoadGuard { member: Arc::clone(self) }
     }
 
-    /// Makes this replica less attractive for a while.
-    pub fn note_trouble(&self, penalty: Duration, lasting: Duration) {
-        *self.trouble.lock() = Some(Trouble { until: Instant::now() + lasting, penalty });
+    /// Adds a cost penalty to the replica for a limited time.
+    pub fn penalize(&self, penalty: Duration, duration: Duration) {
+        *self.active_penalty.lock() =
+            Some(ActivePenalty { until: Instant::now() + duration, penalty });
     }
 
     fn penalty(&self, now: Instant) -> Duration {
-        let trouble = *self.trouble.lock();
-        trouble.filter(|trouble| trouble.until > now).map_or(Duration::ZERO, |known| known.penalty)
+        let current = *self.active_penalty.lock();
+        current.filter(|current| current.until > now).map_or(Duration::ZERO, |known| known.penalty)
     }
 
-    /// Requests of this gateway, and the mean of those of all others.
+    /// Returns the number of active requests of this gateway, and the average of all other
+    /// gateways.
     pub fn loads(&self) -> (u32, MeanLoad) {
         (self.own_load.load(Ordering::Relaxed), self.other_load.lock().mean)
     }
 
-    fn note_other_load(&self, load: u32, now: Instant) {
+    fn record_other_load(&self, load: u32, now: Instant) {
         let mut known = self.other_load.lock();
-        let since = known.reported.map(|at| now.saturating_duration_since(at));
-        *known = OtherLoad { mean: known.mean.updated(load, since), reported: Some(now) };
+        let since = known.reported_at.map(|at| now.saturating_duration_since(at));
+        *known = OtherLoad { mean: known.mean.updated(load, since), reported_at: Some(now) };
     }
 }
 
-/// A request that runs or waits at a replica.
+/// Counts a request as load of a replica until dropped.
 #[derive(Debug)]
 pub struct LoadGuard {
     member: Arc<Member>,
@@ -100,70 +102,70 @@
     }
 }
 
-/// What a request wants of a replica.
+/// Criteria for the selection of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct WantedReplica<'a> {
-    /// The service that runs it.
+    /// Service that runs the request.
     pub service: &'a str,
     /// Zone of this gateway.
     pub zone: &'a str,
-    /// Where it may be served.
+    /// Regions in which the request may be served.
     pub homes: &'a HomeRegions,
-    /// Replicas that are left out.
+    /// Ids of replicas that must not be selected.
     pub excluded: &'a [String],
-    /// Identity of the request.
+    /// Id of the request.
     pub request: &'a str,
-    /// Where it would like to run.
+    /// Preferred replica by prompt affinity.
     pub affinity: Affinity,
-    /// Whether cold replicas are left out: where the service limits what they get, the limit holds
-    /// for all gateways together, and only the leader can keep it.
+    /// Whether to exclude cold replicas. Set for services with a limit for cold replicas: the
+    /// limit is global, so only the leader can enforce it.
     pub leaves_out_cold: bool,
 }
 
 type ByService = HashMap<String, Vec<Arc<Member>>>;
 
-/// All replicas, by service.
+/// All known replicas, by service.
 #[derive(Debug)]
 pub struct Fleet {
     /// Name of this gateway.
     gateway: String,
     topology: Arc<Topology>,
-    /// Zones whose replicas get nothing. `None` until the ledger has told them: until then every
-    /// replica may lie in one, and none is chosen.
+    /// Drained zones. `None` until the ledger has reported them; until then no replica is
+    /// selected, since each may be in a drained zone.
     drained: RwLock<Option<Arc<DrainedZones>>>,
-    /// Replicas that have just started, as the leader tells or this gateway's own reading of the
-    /// list shows.
+    /// Cold replicas, as reported by the leader or seen in this gateway's own list readings.
     cold: RwLock<ColdReplicas>,
-    /// Zones whose replicas may have turned cold while they were drained.
-    returned: RwLock<UndrainedZones>,
+    /// Recently undrained zones, whose replicas may have become cold.
+    undrained: RwLock<UndrainedZones>,
     services: RwLock<Arc<ByService>>,
-    /// The newest starts that lists have shown: those of two leaders may come in any order.
-    starts: Mutex<IncarnationTracker>,
-    /// The same members in the order of the list.
+    /// Newest known incarnation of each replica. Lists from different leaders may arrive out of
+    /// order.
+    incarnations: Mutex<IncarnationTracker>,
+    /// The same members in the order of the replica list.
     listed: RwLock<Vec<Arc<Member>>>,
-    /// When the newest list known here was read, by whomever.
-    list_read: Mutex<Option<Instant>>,
-    /// Replicas whose failures are being reported.
-    reporting: Mutex<HashSet<String>>,
-    /// Choices made so far.
-    choices: AtomicU64,
+    /// Time at which the newest known list was read from discovery by any machine.
+    list_read_at: Mutex<Option<Instant>>,
+    /// Ids of replicas with a pending failure report.
+    pending_reports: Mutex<HashSet<String>>,
+    /// Number of selections so far.
+    choice_count: AtomicU64,
 }
 
 impl Fleet {
-    /// Knows no replica yet; `gateway` is who chooses.
+    /// Creates an empty fleet; `gateway` is the name of this gateway.
     pub fn new(gateway: &str, topology: Arc<Topology>) -> Self {
         Self {
             gateway: gateway.to_owned(),
             topology,
             drained: RwLock::default(),
             cold: RwLock::default(),
-            returned: RwLock::default(),
+            undrained: RwLock::default(),
             services: RwLock::default(),
-            starts: Mutex::default(),
+            incarnations: Mutex::default(),
             listed: RwLock::default(),
-            list_read: Mutex::default(),
-            reporting: Mutex::default(),
-            choices: AtomicU64::new(0),
+            list_read_at: Mutex::default(),
+            pending_reports: Mutex::default(),
+            choice_count: AtomicU64::new(0),
         }
     }
 
@@ -171,26 +173,29 @@
         stable_hash(&[self.gateway.as_bytes(), replica.id.as_bytes()])
     }
 
-    /// Replaces the list. What is known of replicas that stay is kept.
+    /// Replaces the replica list. The state of replicas that remain listed is kept.
     pub fn update(&self, replicas: Vec<Replica>) {
-        let review = self.starts.lock().update(replicas.iter());
-        let before = self.services.read().clone();
-        let known: HashMap<&str, &Arc<Member>> =
-            before.values().flatten().map(|member| (member.replica.id.as_str(), member)).collect();
+        let incarnation_update = self.incarnations.lock().update(replicas.iter());
+        let previous = self.services.read().clone();
+        let known: HashMap<&str, &Arc<Member>> = previous
+            .values()
+            .flatten()
+            .map(|member| (member.replica.id.as_str(), member))
+            .collect();
         let mut services = ByService::new();
         let mut listed = Vec::with_capacity(replicas.len());
-        for (replica, start) in replicas.into_iter().zip(review.entries) {
+        for (replica, status) in replicas.into_iter().zip(incarnation_update.entries) {
             let member = match known.get(replica.id.as_str()) {
                 Some(member) if member.replica == replica => Arc::clone(member),
-                Some(member) => Arc::new(member.with(replica)),
+                Some(member) => Arc::new(member.with_replica(replica)),
                 None => {
                     let rank = self.rank_of(&replica);
                     Arc::new(Member::new(replica, rank))
                 }
             };
-            // Loads go by the place in the list, so that each entry keeps its own.
+            // Load reports refer to list positions, so entries that are not used are included.
             listed.push(Arc::clone(&member));
-            if start != EntryStatus::Newest {
+            if status != EntryStatus::Newest {
                 continue;
             }
             services.entry(member.replica.service.clone()).or_default().push(member);
@@ -199,48 +204,49 @@
         *self.services.write() = Arc::new(services);
     }
 
-    /// Makes replicas less attractive that others found to fail, each for so many ms.
-    pub fn note_failing(&self, failing: &[(String, u32)]) {
+    /// Penalizes replicas that other gateways reported as failing. Each is listed with the
+    /// remaining time in ms.
+    pub fn mark_failing(&self, failing: &[(String, u32)]) {
         let listed = self.listed.read();
-        for (id, left_ms) in failing {
-            let lasting = Duration::from_millis(u64::from(*left_ms));
+        for (id, remaining_ms) in failing {
+            let duration = Duration::from_millis(u64::from(*remaining_ms));
             let member = listed.iter().find(|member| member.replica.id == *id);
             if let Some(member) = member {
-                member.note_trouble(FAILING_PENALTY, lasting);
+                member.penalize(REPORTED_FAILURE_PENALTY, duration);
             }
         }
     }
 
-    /// Whether a failure of this replica is to be reported: nobody here is doing so.
+    /// Returns whether a failure of the replica should be reported, i.e. no report is pending, and
+    /// marks a report as pending.
     pub fn begin_report(&self, id: &str) -> bool {
-        self.reporting.lock().insert(id.to_owned())
+        self.pending_reports.lock().insert(id.to_owned())
     }
 
-    /// The report of a failure was taken, or given up.
+    /// Marks the failure report of a replica as finished.
     pub fn end_report(&self, id: &str) {
-        self.reporting.lock().remove(id);
+        self.pending_reports.lock().remove(id);
     }
 
-    /// Notes when the list was read, if that is later than what is known.
-    pub fn note_list_read(&self, read: Option<Instant>) {
-        let mut known = self.list_read.lock();
-        *known = (*known).max(read);
+    /// Records the time at which the list was read, unless a later one is known.
+    pub fn record_list_read(&self, read_at: Option<Instant>) {
+        let mut known = self.list_read_at.lock();
+        *known = (*known).max(read_at);
     }
 
-    /// Age of the newest reading; the longest time before the first.
+    /// Returns the age of the newest list, or [`Duration::MAX`] before the first.
     pub fn list_age(&self) -> Duration {
-        self.list_read.lock().map_or(Duration::MAX, |read| read.elapsed())
+        self.list_read_at.lock().map_or(Duration::MAX, |read| read.elapsed())
     }
 
-    /// Takes in the loads of all other gateways, in the order of the list that was put
-    /// in last.
-    pub fn note_other_loads(&self, loads: &[u32], now: Instant) {
+    /// Records the loads of all other gateways, in the order of the last list.
+    pub fn record_other_loads(&self, loads: &[u32], now: Instant) {
         for (member, load) in self.listed.read().iter().zip(loads) {
-            member.note_other_load(*load, now);
+            member.record_other_load(*load, now);
         }
     }
 
-    /// Requests under way from here, by replica; idle replicas are left out.
+    /// Returns the number of active requests of this gateway by replica id, without idle replicas.
     pub fn own_loads(&self) -> Vec<(String, u32)> {
         let services = self.services.read();
         let loads = services
@@ -250,37 +256,38 @@
         loads.filter(|(_, load)| *load > 0).collect()
     }
 
-    /// Identities of all replicas.
+    /// Returns the ids of all replicas.
     pub fn ids(&self) -> Vec<String> {
         let services = self.services.read();
         services.values().flatten().map(|member| member.replica.id.clone()).collect()
     }
 
-    /// The replicas of a service; none when it is not listed.
+    /// Returns the replicas of a service, or an empty slice if it is not listed.
     fn members_of(&self, service: &str) -> MappedRwLockReadGuard<'_, [Arc<Member>]> {
         RwLockReadGuard::map(self.services.read(), |services| {
             services.get(service).map(Vec::as_slice).unwrap_or_default()
         })
     }
 
-    /// Whether this start of a replica is listed and may get a request with these homes.
+    /// Returns whether this incarnation of a replica is listed and eligible for requests with
+    /// these homes.
     pub fn is_open(&self, replica: &Replica, homes: &HomeRegions) -> bool {
         let members = self.members_of(&replica.service);
         let mut listed = members.iter().map(|member| &member.replica);
-        listed.any(|listed| listed.id == replica.id && self.admits(listed, homes))
+        listed.any(|listed| listed.id == replica.id && self.meets_rules(listed, homes))
     }
 
-    /// A replica that may get a request with these homes and gave no trouble lately.
+    /// Returns a replica if it is eligible for requests with these homes and has no penalty.
     pub fn untroubled(&self, service: &str, id: &str, homes: &HomeRegions) -> Option<Arc<Member>> {
         let members = self.members_of(service);
         let member = members.iter().find(|member| member.replica.id == id)?;
-        let is_open = self.admits(&member.replica, homes);
-        let is_fine = member.penalty(Instant::now()).is_zero();
-        (is_open && is_fine).then(|| Arc::clone(member))
+        let is_open = self.meets_rules(&member.replica, homes);
+        let is_healthy = member.penalty(Instant::now()).is_zero();
+        (is_open && is_healthy).then(|| Arc::clone(member))
     }
 
-    /// Whether a replica may get a request with these homes.
-    fn admits(&self, replica: &Replica, homes: &HomeRegions) -> bool {
+    /// Returns whether a replica is eligible for requests with these homes.
+    fn meets_rules(&self, replica: &Replica, homes: &HomeRegions) -> bool {
         let drained = self.drained.read();
         drained.as_ref().is_some_and(|drained| self.rules(homes, drained).admits(replica))
     }
@@ -293,18 +300,18 @@
         EligibilityRules { topology: &self.topology, homes, drained }
     }
 
-    /// Takes in replicas that are cold, each with the ms left.
-    pub fn note_cold(&self, cold: &[(String, u32)], now: Instant) {
+    /// Marks replicas as cold, each for the given remaining time in ms.
+    pub fn mark_cold(&self, cold: &[(String, u32)], now: Instant) {
         let mut known = self.cold.write();
         known.expire(now);
-        for (id, left_ms) in cold {
-            known.mark_cold(id, now + Duration::from_millis(u64::from(*left_ms)));
+        for (id, remaining_ms) in cold {
+            known.mark_cold(id, now + Duration::from_millis(u64::from(*remaining_ms)));
         }
     }
 
-    /// Takes in a list that does not tell which replicas are cold: those that are new here count
-    /// as cold until that is told. In the first list all are new, and none counts as cold.
-    pub fn note_first_sight(&self, replicas: &[Replica], now: Instant) {
+    /// Marks the replicas of a list that are not yet known as cold until the leader reports which
+    /// replicas are cold. Replicas of the first list are not marked.
+    pub fn mark_new_as_cold(&self, replicas: &[Replica], now: Instant) {
         let ids = self.ids();
         if ids.is_empty() {
             return;
@@ -312,46 +319,46 @@
         let ids: HashSet<&str> = ids.iter().map(String::as_str).collect();
         let mut cold = self.cold.write();
         for replica in replicas.iter().filter(|replica| !ids.contains(replica.id.as_str())) {
-            cold.mark_cold(&replica.id, now + FIRST_SIGHT);
+            cold.mark_cold(&replica.id, now + ASSUMED_COLD_TIME);
         }
     }
 
-    /// Whether a replica is cold, or may be.
+    /// Returns whether a replica is cold, or may be because its zone was undrained recently.
     pub fn is_cold(&self, replica: &Replica, now: Instant) -> bool {
         self.cold.read().is_cold(&replica.id, now)
-            || self.returned.read().contains(&replica.zone, now)
+            || self.undrained.read().contains(&replica.zone, now)
     }
 
-    /// Whether some replicas of a service may get a request with these homes, and all of them are
-    /// cold.
+    /// Returns whether the service has replicas that are eligible for requests with these homes,
+    /// and all of them are cold.
     pub fn has_only_cold(&self, service: &str, homes: &HomeRegions) -> bool {
         let now = Instant::now();
         let members = self.members_of(service);
-        let mut open =
-            members.iter().filter(|member| self.admits(&member.replica, homes)).peekable();
-        open.peek().is_some() && open.all(|member| self.is_cold(&member.replica, now))
+        let mut eligible =
+            members.iter().filter(|member| self.meets_rules(&member.replica, homes)).peekable();
+        eligible.peek().is_some() && eligible.all(|member| self.is_cold(&member.replica, now))
     }
 
-    /// Whether the service has a replica in these homes, ready or not.
-    pub fn is_listed_in(&self, service: &str, homes: &HomeRegions) -> bool {
+    /// Returns whether the service has a replica in these regions, ready or not.
+    pub fn has_replica_in(&self, service: &str, homes: &HomeRegions) -> bool {
         let members = self.members_of(service);
         let region = |member: &Member| self.topology.region_of(&member.replica.zone);
         members.iter().any(|member| homes.allows(region(member)))
     }
 
-    /// Takes in which zones are drained.
+    /// Replaces the drained zones.
     pub fn set_drained(&self, drained: DrainedZones) {
-        self.returned.write().update(&drained, Instant::now());
+        self.undrained.write().update(&drained, Instant::now());
         *self.drained.write() = Some(Arc::new(drained));
     }
 
-    /// Version of the drained zones; `None` before they are known here.
+    /// Returns the version of the drained zones, or `None` before they are known.
     pub fn drained_version(&self) -> Option<u64> {
         self.drained.read().as_ref().map(|drained| drained.version)
     }
 
-    /// Requests from here that still run in drained zones.
-    pub fn running_in_drained(&self) -> u32 {
+    /// Returns the number of active requests of this gateway in drained zones.
+    pub fn requests_in_drained_zones(&self) -> u32 {
         let drained = self.drained.read();
         let Some(drained) = drained.as_ref().filter(|drained| !drained.zones.is_empty()) else {
             return 0;
@@ -361,7 +368,7 @@
         members.map(|member| member.loads().0).sum()
     }
 
-    /// The cheapest replica that may get the request.
+    /// Selects the eligible replica with the least cost.
     pub fn choose(
         &self,
         wanted: &WantedReplica<'_>,
@@ -372,7 +379,7 @@
             *wanted;
         let now = Instant::now();
         let services = self.services.read().clone();
-        // Read once for all candidates.
+        // Taken once, so that all candidates are checked against the same zones.
         let drained = self.drained.read().clone()?;
         let rules = self.rules(homes, &drained);
         let is_open = |member: &&Arc<Member>| {
@@ -400,26 +407,26 @@
             .collect();
         let chosen = match affinity.key {
             Some(_) => choose(&candidates, affinity, weights),
-            None => spread(&candidates, even_draw(request), weights),
+            None => spread(&candidates, uniform_hash(request), weights),
         };
         let chosen = members[chosen?];
-        let choice = self.choices.fetch_add(1, Ordering::Relaxed) + 1;
-        chosen.last_used.store(choice, Ordering::Relaxed);
+        let sequence_number = self.choice_count.fetch_add(1, Ordering::Relaxed) + 1;
+        chosen.last_used.store(sequence_number, Ordering::Relaxed);
         Some(Arc::clone(chosen))
     }
 }
 
-/// A number from 0 to 1 that the request's identity decides.
-fn even_draw(request: &str) -> f64 {
+/// Maps a request id to a uniformly distributed number between 0 and 1.
+fn uniform_hash(request: &str) -> f64 {
     stable_hash(&[request.as_bytes()]) as f64 / u64::MAX as f64
 }
 
 impl Member {
-    /// The same start of a replica with a new state.
-    fn with(&self, replica: Replica) -> Self {
+    /// Returns a new entry for a replica whose properties changed.
+    fn with_replica(&self, replica: Replica) -> Self {
         let member = Self::new(replica, self.rank);
-        // Guards of the old entry count down there; its load is forgotten here.
-        *member.trouble.lock() = *self.trouble.lock();
+        // Existing load guards refer to the old entry, so its load is not carried over.
+        *member.active_penalty.lock() = *self.active_penalty.lock();
         member
     }
 }
--- a/crates/proxy/src/flow/answer.rs
+++ b/crates/proxy/src/flow/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Response bodies.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -11,65 +11,65 @@
 
 use crate::app::RequestGuard;
 
-/// The answer was cut: its connection ends without the mark of a whole body.
+/// Aborts a response body, so that the connection closes without the end-of-body marker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was cut")]
-pub struct BodyError;
+#[error("response body aborted")]
+pub struct BodyAborted;
 
-impl From<Infallible> for BodyError {
+impl From<Infallible> for BodyAborted {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
-/// The body of an answer: whole, or piece by piece.
-pub enum AnswerBody {
-    /// All of it is there.
-    Whole(Full<Bytes>),
-    /// Pieces come as they are made.
-    Pieces {
-        /// Where they come from; its end is the end of the body.
-        pieces: mpsc::UnboundedReceiver<Result<Bytes, BodyError>>,
-        /// Counts the request until the body is dropped.
+/// Body of a response, either buffered or streamed.
+pub enum ResponseBody {
+    /// The complete body.
+    Buffered(Full<Bytes>),
+    /// Chunks that are sent as they become available.
+    Streamed {
+        /// Receives the chunks; the body ends when the channel closes.
+        chunks: mpsc::UnboundedReceiver<Result<Bytes, BodyAborted>>,
+        /// Counts the request as active until the body is dropped.
         guard: RequestGuard,
     },
 }
 
-impl AnswerBody {
-    /// A body that is all there.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+impl ResponseBody {
+    /// Creates a buffered body.
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Full::new(bytes))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BodyError;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body).poll_frame(context).map_err(BodyError::from),
-            Self::Pieces { pieces, .. } => {
-                let piece = pieces.poll_recv(context);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Buffered(body) => Pin::new(body).poll_frame(context).map_err(BodyAborted::from),
+            Self::Streamed { chunks, .. } => {
+                let chunk = chunks.poll_recv(context);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Pieces { .. } => false,
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streamed { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Pieces { .. } => SizeHint::default(),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed { .. } => SizeHint::default(),
         }
     }
 }
--- a/crates/proxy/src/flow/body.rs
+++ b/crates/proxy/src/flow/body.rs
@@ -1,60 +1,61 @@
-//! Bodies that are read whole, within what may be held.
+//! Reads whole bodies within the memory limit.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use crate::memory::HeldBytes;
+use crate::memory::MemoryReservation;
 
-/// What a body is taken to bring that does not say, in bytes.
-const UNKNOWN_LENGTH: usize = 64 << 10;
+/// Assumed size in bytes of a body of unknown length.
+const DEFAULT_LENGTH: usize = 64 << 10;
 
-/// Why a body was not read to its end.
+/// Reason for which a body was not read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BodyProblem {
-    /// It is longer than allowed.
-    #[error("too large")]
+pub enum BodyReadError {
+    /// The body exceeds its size limit.
+    #[error("body too large")]
     TooLarge,
-    /// What it brings does not fit.
-    #[error("no room")]
-    NoRoom,
-    /// It ended early.
-    #[error("cut")]
-    Cut,
+    /// The memory limit is reached.
+    #[error("memory limit reached")]
+    MemoryLimit,
+    /// The body ended early.
+    #[error("body truncated")]
+    Truncated,
 }
 
-/// Bytes for which a body needs room before it is read: what it says, or a guess.
-pub fn announced(body: &Incoming) -> usize {
+/// Returns the number of bytes to reserve before reading a body: its length if known, or an
+/// estimate.
+pub fn expected_bytes(body: &Incoming) -> usize {
     body.size_hint()
         .exact()
-        .map_or(UNKNOWN_LENGTH, |exact| usize::try_from(exact).unwrap_or(usize::MAX))
+        .map_or(DEFAULT_LENGTH, |exact| usize::try_from(exact).unwrap_or(usize::MAX))
 }
 
-/// Reads a body whole, `most` bytes at most. One that turns out longer than `held` takes more: a
-/// request's body as far as it fits, an answer in any case.
+/// Reads a whole body of at most `max_bytes` bytes. If it turns out longer than the reservation,
+/// the reservation grows; for a response that always succeeds.
 ///
 /// # Errors
-/// When it is too long, finds no room, or ends early.
+/// Returns an error if the body is too long, exceeds the memory limit, or ends early.
 pub async fn read_whole(
     body: &mut Incoming,
-    most: usize,
-    mut held: HeldBytes,
-) -> Result<Bytes, BodyProblem> {
-    // A length is only a promise: room is set aside for it, memory for what comes.
+    max_bytes: usize,
+    mut reservation: MemoryReservation,
+) -> Result<Bytes, BodyReadError> {
+    // The buffer is not preallocated, since the body may be shorter than announced.
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| BodyProblem::Cut)?;
+        let frame = frame.map_err(|_| BodyReadError::Truncated)?;
         let Some(data) = frame.data_ref() else {
             continue;
         };
         let length = bytes.len() + data.len();
-        if length > most {
-            return Err(BodyProblem::TooLarge);
+        if length > max_bytes {
+            return Err(BodyReadError::TooLarge);
         }
-        if !held.grow_to(length) {
-            return Err(BodyProblem::NoRoom);
+        if !reservation.grow_to(length) {
+            return Err(BodyReadError::MemoryLimit);
         }
         bytes.extend_from_slice(data);
     }
-    Ok(held.guard(bytes.freeze()))
+    Ok(reservation.attach_to(bytes.freeze()))
 }
--- a/crates/proxy/src/flow/call.rs
+++ b/crates/proxy/src/flow/call.rs
@@ -1,4 +1,4 @@
-//! A request that was read whole.
+//! A client request whose body has been read.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,55 +13,55 @@
 
 use crate::dialect::CallHead;
 
-/// Stands between a tenant's name and a name of its own. It can stand in neither: names of
-/// tenants are checked, and others come from headers.
+/// Separates the tenant name from a program or turn id. Neither can contain it: tenant names are
+/// validated, and ids come from headers.
 const SCOPE_SEPARATOR: char = '\u{1f}';
 
-/// A request that may come in: where it goes, on which terms, and whose it is.
-pub struct Admission {
-    /// The routes that were in force when it came.
+/// Route and tenant of a request.
+pub struct ResolvedRoute {
+    /// Routing table at the time of the request.
     pub table: Arc<RouteTable>,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Whose it is.
+    /// Tenant that sent the request, if known.
     pub tenant: Option<Arc<Tenant>>,
 }
 
-/// A request that was read whole.
+/// A client request whose body has been read.
 pub struct Call {
-    /// The routes that were in force when it came.
+    /// Routing table at the time of the request.
     pub table: Arc<RouteTable>,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Whose it is; `None` where no key is needed and none was shown.
+    /// Tenant that sent the request; `None` if no key is required and none was sent.
     pub tenant: Option<Arc<Tenant>>,
-    /// What its caller says about it.
+    /// Metadata from the request headers.
     pub head: CallHead,
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query of the request.
     pub uri: Uri,
-    /// Its headers that are passed on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When its head had been read.
+    /// Time at which the head of the request was received.
     pub received: Instant,
-    /// When it must have been answered.
+    /// Deadline for the response.
     pub deadline: Instant,
 }
 
 impl Call {
-    /// A request of `admission` with its headers read as `head`.
+    /// Creates a call from its parts; `head` contains the metadata from its headers.
     pub fn new(
-        admission: Admission,
+        resolved: ResolvedRoute,
         head: CallHead,
         parts: Parts,
         body: Bytes,
         received: Instant,
     ) -> Self {
-        let Admission { table, route, tenant } = admission;
-        let patience = head.deadline.map_or(route.timeout, |own| own.min(route.timeout));
+        let ResolvedRoute { table, route, tenant } = resolved;
+        let timeout = head.deadline.map_or(route.timeout, |requested| requested.min(route.timeout));
         Self {
             table,
             route,
@@ -72,17 +72,17 @@
             headers: parts.headers,
             body,
             received,
-            deadline: received + patience,
+            deadline: received + timeout,
         }
     }
 
-    /// Name of the tenant.
+    /// Returns the name of the tenant.
     pub fn tenant_name(&self) -> Option<&str> {
         self.tenant.as_ref().map(|tenant| tenant.id.as_str())
     }
 
-    /// A program's or turn's name as the ledger knows it. Each tenant has names of its own,
-    /// so that another tenant's turn is as unknown as one that never was.
+    /// Returns a program or turn id as stored in the ledger. Ids are scoped by tenant, so that a
+    /// tenant cannot access the turns of another.
     pub fn scoped(&self, name: &str) -> String {
         match self.tenant_name() {
             Some(tenant) => format!("{tenant}{SCOPE_SEPARATOR}{name}"),
@@ -90,13 +90,14 @@
         }
     }
 
-    /// Rank among requests; 0 is the most urgent.
+    /// Returns the priority; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
-        let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        own.unwrap_or(self.route.priority)
+        let requested = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        requested.unwrap_or(self.route.priority)
     }
 
-    /// Where it may be served and kept: both its route and its tenant have a say.
+    /// Returns the regions in which the request may be served and stored, as restricted by both
+    /// its route and its tenant.
     pub fn homes(&self) -> HomeRegions {
         match &self.tenant {
             Some(tenant) => self.route.homes.intersection(&tenant.homes),
@@ -104,34 +105,34 @@
         }
     }
 
-    /// Time that is left.
-    pub fn left(&self) -> Duration {
+    /// Returns the time until the deadline.
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time that is left until its program should be over.
-    pub fn finish_left(&self) -> Option<Duration> {
+    /// Returns the time until the program should finish.
+    pub fn program_time_left(&self) -> Option<Duration> {
         self.head.finish.map(|finish| finish.saturating_sub(self.received.elapsed()))
     }
 
-    /// Until when an attempt may take after `attempts` others. A replica may run a request
-    /// and lose its answer: while a request may run again, one attempt gets at most half
-    /// of the time that is left. A stream shows by its events that it is alive.
+    /// Returns the deadline of an attempt after `attempts` others. While a request may be retried,
+    /// an attempt gets at most half of the remaining time, since a replica may run it and lose the
+    /// response. Stream attempts are not limited, since their events show progress.
     pub fn attempt_deadline(&self, attempts: u32) -> Instant {
-        let may_follow =
+        let may_retry =
             self.route.kind == RouteKind::Safe && attempts + 1 < self.route.max_attempts;
-        if may_follow { Instant::now() + self.left() / 2 } else { self.deadline }
+        if may_retry { Instant::now() + self.time_left() / 2 } else { self.deadline }
     }
 
-    /// The service that its route's weights choose. A program stays with one service,
-    /// since what a replica holds of its prompt is of no use at another.
+    /// Returns the service selected by the weights of the route. A program always uses the same
+    /// service, since a replica's prompt cache is useless to another service.
     pub fn service(&self) -> Option<&Arc<Service>> {
         let key = self.head.program.as_deref().unwrap_or(&self.head.request_id);
         let name = self.route.backend_for(stable_hash(&[key.as_bytes()]))?;
         self.table.service(name)
     }
 
-    /// Where it would like to run.
+    /// Returns the prompt affinity for the selection of a replica.
     pub fn affinity(&self) -> Affinity {
         let key = self.head.program.as_deref().filter(|_| !self.head.prompt.is_empty());
         let tokens = u32::try_from(self.head.prompt_tokens).unwrap_or(u32::MAX);
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -1,8 +1,7 @@
-//! Finding a replica that runs a request.
+//! Sends a request to replicas until one responds.
 //!
-//! A request goes to another replica when it surely did not run, or when it may run
-//! twice. A replica that states that it did not run a request is not counted as an
-//! attempt.
+//! Another replica is tried if the request certainly did not run, or if it is safe to run it
+//! twice. A replica that reports that it did not run the request does not count as an attempt.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +14,7 @@
 use super::call::Call;
 use super::failure;
 use super::permit::{self, Permit};
-use super::refusal::{NotRunReason, Refusal};
+use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
 use crate::fleet::{Member, WantedReplica};
 use crate::upstream::{Exchange, ExchangeError, Outgoing, exchange};
@@ -32,78 +31,79 @@
     "outcome",
 );
 
-/// Replicas that are asked before a request is refused.
-const MAX_REPLICAS_ASKED: usize = 4;
-/// Less time than this is no offer to a replica.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+/// Number of replicas that may reject a request before it fails.
+const MAX_REJECTIONS: usize = 4;
+/// Minimum remaining time with which a request is sent to a replica.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// What a replica that could not be reached is avoided with, and for how long.
+/// Cost penalty and its duration for a replica that could not be reached.
 const UNREACHABLE_PENALTY: (Duration, Duration) =
     (Duration::from_millis(800), Duration::from_millis(2_000));
-/// The same for one that gave no answer.
-const SILENT_PENALTY: (Duration, Duration) =
+/// Cost penalty and its duration for a replica that did not respond.
+const NO_RESPONSE_PENALTY: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_millis(2_000));
-/// The same for one that was full.
-const FULL_PENALTY: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(200));
+/// Cost penalty and its duration for a replica at capacity.
+const AT_CAPACITY_PENALTY: (Duration, Duration) =
+    (Duration::from_millis(60), Duration::from_millis(200));
 
-/// What a request takes along to a replica.
+/// Body and resume position of a request.
 #[derive(Clone, Debug)]
 pub struct Payload {
-    /// The body, history included.
+    /// Body, including the history.
     pub body: Bytes,
-    /// Continue after this event.
+    /// Id of the event after which a stream is resumed.
     pub last_event: Option<String>,
 }
 
-/// The replicas that a request was sent to.
+/// State of a request across its attempts.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
+pub struct AttemptState {
     excluded: Vec<String>,
-    /// The replica that has, or may have, begun to run the request. It is asked again
-    /// before any other: its connection may have broken while it works on.
-    began_at: Option<Arc<Member>>,
-    /// Attempts that may have run.
+    /// Replica that may have started the request. It is tried again before any other, since it may
+    /// still run the request although the connection broke.
+    started_on: Option<Arc<Member>>,
+    /// Number of attempts that may have run.
     pub attempts: u32,
-    refused_at: usize,
-    /// The replica to begin with, while nothing speaks against it.
-    placed_on: Option<PlacedReplica>,
-    /// Leave of the tenant's limit for the next attempt.
+    rejections: usize,
+    /// Placement by the leader, used for the first attempt if it is still valid.
+    placement: Option<PlacedReplica>,
+    /// Permit for the next attempt under the tenant's rate limit.
     permit: Permit,
 }
 
-impl Trail {
-    /// Nobody was asked yet; `placed_on` is to be asked first.
-    pub fn new(placed_on: Option<PlacedReplica>, permit: Permit) -> Self {
-        Self { placed_on, permit, ..Self::default() }
+impl AttemptState {
+    /// Creates the state of a request that has not been sent; `placement` is tried first.
+    pub fn new(placement: Option<PlacedReplica>, permit: Permit) -> Self {
+        Self { placement, permit, ..Self::default() }
     }
 
-    /// Notes where the request began to run.
-    pub fn note_began(&mut self, member: &Arc<Member>) {
-        self.began_at = Some(Arc::clone(member));
+    /// Records the replica on which the request started.
+    pub fn record_started(&mut self, member: &Arc<Member>) {
+        self.started_on = Some(Arc::clone(member));
     }
 
-    /// Counts an attempt that may have run; it has used up its permit.
-    fn note_attempt(&mut self) {
+    /// Counts an attempt that may have run, which uses up its permit.
+    fn record_attempt(&mut self) {
         self.attempts += 1;
-        self.permit.lapse();
+        self.permit.invalidate();
     }
 
-    /// Leaves a replica out from now on.
+    /// Excludes a replica from further attempts.
     pub fn exclude(&mut self, replica: &str) {
         self.excluded.push(replica.to_owned());
     }
 }
 
-/// Sends a request until a replica answers it.
+/// Sends a request to replicas until one responds.
 ///
 /// # Errors
-/// When it did not run, or nobody knows.
+/// Returns an error if the request did not run, or if that is unknown.
 pub async fn dispatch(
     app: &Arc<App>,
     call: &Call,
     payload: &Payload,
-    trail: &mut Trail,
-) -> Result<Exchange, Refusal> {
+    attempt_state: &mut AttemptState,
+) -> Result<Exchange, GatewayError> {
     let service = call.service().ok_or_else(no_replica)?;
     let outgoing = Outgoing {
         method: &call.method,
@@ -116,25 +116,27 @@
         deadline: call.deadline,
     };
     loop {
-        if call.left() < LEAST_TIME {
-            return Err(out_of_time(trail));
+        if call.time_left() < MIN_TIME_LEFT {
+            return Err(out_of_time(attempt_state));
         }
-        ensure_permit(app, call, trail).await?;
-        let Some((member, send_by)) = choose(app, call, service, trail) else {
-            return Err(nobody_left(app, call, service, trail));
+        ensure_permit(app, call, attempt_state).await?;
+        let Some((member, send_by)) = choose_replica(app, call, service, attempt_state) else {
+            return Err(no_replica_left(app, call, service, attempt_state));
         };
         let dialect = app.dialect();
-        let patience = call.attempt_deadline(trail.attempts);
-        let began = Instant::now();
-        log_sent(app, call, &member, trail.permit);
-        let latest = send_by.into_iter().chain(trail.permit.until()).min();
-        let result = exchange(&app.pool, dialect, &member, &outgoing, latest, patience).await;
+        let response_deadline = call.attempt_deadline(attempt_state.attempts);
+        let started_at = Instant::now();
+        log_sent(app, call, &member, attempt_state.permit);
+        let send_deadline = send_by.into_iter().chain(attempt_state.permit.expires_at()).min();
+        let result =
+            exchange(&app.pool, dialect, &member, &outgoing, send_deadline, response_deadline)
+                .await;
         let error = match result {
             Ok(exchange) => {
                 if send_by.is_some() {
                     COLD_REQUESTS.count("sent");
                 }
-                trail.note_attempt();
+                attempt_state.record_attempt();
                 return Ok(exchange);
             }
             Err(error) => error,
@@ -145,18 +147,18 @@
             request = call.head.request_id,
             replica = member.replica.id,
             error = error,
-            attempts = trail.attempts,
-            after_ms = began.elapsed().as_millis(),
+            attempts = attempt_state.attempts,
+            after_ms = started_at.elapsed().as_millis(),
         );
-        let may_still_go = send_by.is_none_or(|send_by| Instant::now() < send_by);
-        if error == ExchangeError::Lapsed && may_still_go {
-            // Its permit ended while a connection was opened. Nothing speaks against the replica.
-            trail.permit.lapse();
+        let may_still_send = send_by.is_none_or(|send_by| Instant::now() < send_by);
+        if error == ExchangeError::Lapsed && may_still_send {
+            // The permit expired while a connection was opened. The replica is not at fault.
+            attempt_state.permit.invalidate();
             continue;
         }
-        note_failed(app, call, &member, &error, trail)?;
-        if trail.refused_at >= MAX_REPLICAS_ASKED {
-            return Err(nobody_left(app, call, service, trail));
+        record_failure(app, call, &member, &error, attempt_state)?;
+        if attempt_state.rejections >= MAX_REJECTIONS {
+            return Err(no_replica_left(app, call, service, attempt_state));
         }
     }
 }
@@ -170,8 +172,8 @@
         own_load = own_load,
         other_load = format!("{:.1}", other_load.get()),
         list_age_ms = app.fleet.list_age().as_millis(),
-        left_ms = call.left().as_millis(),
-        permit_left_ms = permit.until().map_or(-1, ms_until),
+        left_ms = call.time_left().as_millis(),
+        permit_left_ms = permit.expires_at().map_or(-1, ms_until),
     );
 }
 
@@ -179,90 +181,94 @@
     then.saturating_duration_since(Instant::now()).as_millis().cast_signed()
 }
 
-/// Notes an attempt without an answer, at the replica and in the trail.
+/// Records a failed attempt in the replica's and the request's state.
 ///
 /// # Errors
-/// When no other replica may be asked.
-fn note_failed(
+/// Returns an error if no other replica may be tried.
+fn record_failure(
     app: &Arc<App>,
     call: &Call,
     member: &Member,
     error: &ExchangeError,
-    trail: &mut Trail,
-) -> Result<(), Refusal> {
-    trail.exclude(&member.replica.id);
+    attempt_state: &mut AttemptState,
+) -> Result<(), GatewayError> {
+    attempt_state.exclude(&member.replica.id);
     match error {
         ExchangeError::NotSent => {
             failure::report(app, &member.replica.id);
-            member.note_trouble(UNREACHABLE_PENALTY.0, UNREACHABLE_PENALTY.1);
-            trail.refused_at += 1;
+            member.penalize(UNREACHABLE_PENALTY.0, UNREACHABLE_PENALTY.1);
+            attempt_state.rejections += 1;
         }
         ExchangeError::Lapsed => COLD_REQUESTS.count("lapsed"),
         ExchangeError::NotExecuted => {
-            member.note_trouble(FULL_PENALTY.0, FULL_PENALTY.1);
-            trail.refused_at += 1;
+            member.penalize(AT_CAPACITY_PENALTY.0, AT_CAPACITY_PENALTY.1);
+            attempt_state.rejections += 1;
         }
         ExchangeError::Unknown => {
             failure::report(app, &member.replica.id);
-            member.note_trouble(SILENT_PENALTY.0, SILENT_PENALTY.1);
-            trail.note_attempt();
-            let may_repeat = call.route.is_repeatable();
-            if !may_repeat || trail.attempts >= call.route.max_attempts {
-                return Err(Refusal::Unknown);
+            member.penalize(NO_RESPONSE_PENALTY.0, NO_RESPONSE_PENALTY.1);
+            attempt_state.record_attempt();
+            let may_retry = call.route.is_repeatable();
+            if !may_retry || attempt_state.attempts >= call.route.max_attempts {
+                return Err(GatewayError::Unknown);
             }
         }
         ExchangeError::Deadline => {
-            member.note_trouble(SILENT_PENALTY.0, SILENT_PENALTY.1);
-            trail.note_attempt();
-            if call.left() < LEAST_TIME {
-                return Err(Refusal::Deadline);
+            member.penalize(NO_RESPONSE_PENALTY.0, NO_RESPONSE_PENALTY.1);
+            attempt_state.record_attempt();
+            if call.time_left() < MIN_TIME_LEFT {
+                return Err(GatewayError::Deadline);
             }
         }
     }
     Ok(())
 }
 
-/// Sees to it that the tenant's limit lets the next attempt run: each one that may run counts.
-async fn ensure_permit(app: &App, call: &Call, trail: &mut Trail) -> Result<(), Refusal> {
-    if trail.permit.holds(Instant::now()) {
+/// Ensures that there is a permit for the next attempt. Each attempt that may run needs one.
+async fn ensure_permit(
+    app: &App,
+    call: &Call,
+    attempt_state: &mut AttemptState,
+) -> Result<(), GatewayError> {
+    if attempt_state.permit.is_valid(Instant::now()) {
         return Ok(());
     }
-    match permit::obtain(app, call).await {
+    match permit::acquire(app, call).await {
         Ok(permit) => {
-            trail.permit = permit;
+            attempt_state.permit = permit;
             Ok(())
         }
-        // An earlier attempt may have run, so that "not run" would be a lie.
-        Err(_) if trail.attempts > 0 => Err(Refusal::Unknown),
-        Err(refusal) => Err(refusal),
+        // An earlier attempt may have run, so the request must not be reported as not executed.
+        Err(_) if attempt_state.attempts > 0 => Err(GatewayError::Unknown),
+        Err(error) => Err(error),
     }
 }
 
-/// The replica to ask next, and until when the request may be sent there, if that is limited:
-/// the one where the request began, then the one where it was placed, else the cheapest. Where
-/// a limit holds for cold replicas, only the leader sends requests to them: a gateway does not
-/// know what others send there.
-fn choose(
+/// Selects the replica for the next attempt, and the deadline for sending, if any. Prefers the
+/// replica on which the request started, then the one chosen by the leader, then the one with the
+/// least cost. If the service limits requests to cold replicas, only the leader places requests on
+/// them, since a gateway does not know what other gateways send.
+fn choose_replica(
     app: &App,
     call: &Call,
     service: &Service,
-    trail: &mut Trail,
+    attempt_state: &mut AttemptState,
 ) -> Option<(Arc<Member>, Option<Instant>)> {
     let homes = call.homes();
     let leaves_out_cold = service.cold.is_some();
     let now = Instant::now();
-    if let Some(began_at) = trail.began_at.take()
-        && app.fleet.is_open(&began_at.replica, &homes)
-        && !(leaves_out_cold && app.fleet.is_cold(&began_at.replica, now))
+    if let Some(started_on) = attempt_state.started_on.take()
+        && app.fleet.is_open(&started_on.replica, &homes)
+        && !(leaves_out_cold && app.fleet.is_cold(&started_on.replica, now))
     {
-        return Some((began_at, None));
+        return Some((started_on, None));
     }
-    if let Some(placed_on) = trail.placed_on.take()
-        && let Some(member) = app.fleet.untroubled(&service.name, &placed_on.id, &homes)
+    if let Some(placement) = attempt_state.placement.take()
+        && let Some(member) = app.fleet.untroubled(&service.name, &placement.id, &homes)
     {
         let is_cold = leaves_out_cold && app.fleet.is_cold(&member.replica, now);
-        if placed_on.is_valid(is_cold, now) {
-            return Some((member, placed_on.send_by));
+        if placement.is_valid(is_cold, now) {
+            return Some((member, placement.send_by));
         }
         COLD_REQUESTS.count("lapsed");
     }
@@ -270,7 +276,7 @@
         service: &service.name,
         zone: &app.settings.zone,
         homes: &homes,
-        excluded: &trail.excluded,
+        excluded: &attempt_state.excluded,
         request: &call.head.request_id,
         affinity: call.affinity(),
         leaves_out_cold,
@@ -278,31 +284,36 @@
     app.fleet.choose(&wanted, &app.weights, &app.pool).map(|member| (member, None))
 }
 
-fn no_replica() -> Refusal {
+fn no_replica() -> GatewayError {
     const RETRY_AFTER: Duration = Duration::from_millis(500);
-    Refusal::not_run(NotRunReason::NoReplica, RETRY_AFTER)
+    GatewayError::not_executed(NotExecutedReason::NoReplica, RETRY_AFTER)
 }
 
-fn nobody_left(app: &App, call: &Call, service: &Service, trail: &Trail) -> Refusal {
+fn no_replica_left(
+    app: &App,
+    call: &Call,
+    service: &Service,
+    attempt_state: &AttemptState,
+) -> GatewayError {
     const RETRY_AFTER: Duration = Duration::from_millis(150);
-    /// The leader lets some requests a second through to cold replicas.
+    /// The leader admits some requests per second to cold replicas.
     const COLD_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-    if trail.attempts > 0 {
-        return Refusal::Unknown;
+    if attempt_state.attempts > 0 {
+        return GatewayError::Unknown;
     }
     if service.cold.is_some() && app.fleet.has_only_cold(&service.name, &call.homes()) {
         COLD_REQUESTS.count("refused");
-        return Refusal::not_run(NotRunReason::ReplicasCold, COLD_RETRY_AFTER);
+        return GatewayError::not_executed(NotExecutedReason::ReplicasCold, COLD_RETRY_AFTER);
     }
-    if trail.refused_at == 0 {
+    if attempt_state.rejections == 0 {
         return no_replica();
     }
-    Refusal::not_run(NotRunReason::ReplicasFull, RETRY_AFTER)
+    GatewayError::not_executed(NotExecutedReason::ReplicasFull, RETRY_AFTER)
 }
 
-fn out_of_time(trail: &Trail) -> Refusal {
-    if trail.attempts > 0 {
-        return Refusal::Deadline;
+fn out_of_time(attempt_state: &AttemptState) -> GatewayError {
+    if attempt_state.attempts > 0 {
+        return GatewayError::Deadline;
     }
-    Refusal::not_run(NotRunReason::TooLate, Duration::ZERO)
+    GatewayError::not_executed(NotExecutedReason::TooLittleTime, Duration::ZERO)
 }
--- a/crates/proxy/src/flow/failure.rs
+++ b/crates/proxy/src/flow/failure.rs
@@ -1,4 +1,4 @@
-//! Reports of replicas that give no answer.
+//! Reports unresponsive replicas to the leader.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,8 +8,8 @@
 
 use crate::app::App;
 
-/// How long a report is tried: later than that it is no news.
-const PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout of a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 static REPORTS: Counter = Counter::new(
     "calicohoist_proxy_failures_reported_total",
@@ -17,7 +17,7 @@
     "outcome",
 );
 
-/// Tells the leader that a replica gave no answer, unless that is under way.
+/// Reports to the leader that a replica did not respond, unless a report is already pending.
 pub fn report(app: &Arc<App>, replica: &str) {
     if !app.fleet.begin_report(replica) {
         return;
@@ -26,8 +26,8 @@
     let replica = replica.to_owned();
     tokio::spawn(async move {
         let question = Question::ReportFailure { replica: replica.clone() };
-        let told = app.ledger.ask(&question, Instant::now() + PATIENCE).await;
-        REPORTS.count(if told.is_ok() { "told" } else { "no answer" });
+        let result = app.ledger.ask(&question, Instant::now() + REPORT_TIMEOUT).await;
+        REPORTS.count(if result.is_ok() { "told" } else { "no answer" });
         app.fleet.end_report(&replica);
     });
 }
--- a/crates/proxy/src/flow/headers.rs
+++ b/crates/proxy/src/flow/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that are not passed on.
+//! Removal of headers that must not be forwarded.
 
 use calicohoist_telemetry::metrics::Counter;
 use hyper::HeaderMap;
@@ -12,17 +12,17 @@
     "header",
 );
 
-/// Drops what a caller may not tell a replica, and what concerns its connection only.
-pub fn keep_callers(dialect: &dyn Dialect, headers: &mut HeaderMap) {
-    remove_connection_headers(dialect, headers);
-    for name in owned_by(dialect, headers, HeaderOwner::Gateway) {
+/// Removes headers that only a gateway may set, and hop-by-hop headers.
+pub fn remove_gateway_headers(dialect: &dyn Dialect, headers: &mut HeaderMap) {
+    remove_hop_by_hop_headers(dialect, headers);
+    for name in names_owned_by(dialect, headers, HeaderOwner::Gateway) {
         HEADERS_DROPPED.count(name.as_str());
         headers.remove(name);
     }
 }
 
-/// Drops what concerns one connection only, and what `Connection` names.
-pub fn remove_connection_headers(dialect: &dyn Dialect, headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those named by `Connection`.
+pub fn remove_hop_by_hop_headers(dialect: &dyn Dialect, headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
@@ -33,11 +33,15 @@
     for name in named {
         headers.remove(name.as_str());
     }
-    for name in owned_by(dialect, headers, HeaderOwner::Connection) {
+    for name in names_owned_by(dialect, headers, HeaderOwner::Connection) {
         headers.remove(name);
     }
 }
 
-fn owned_by(dialect: &dyn Dialect, headers: &HeaderMap, owner: HeaderOwner) -> Vec<HeaderName> {
+fn names_owned_by(
+    dialect: &dyn Dialect,
+    headers: &HeaderMap,
+    owner: HeaderOwner,
+) -> Vec<HeaderName> {
     headers.keys().filter(|name| dialect.owner_of(name) == owner).cloned().collect()
 }
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -1,8 +1,9 @@
-//! The way of one request.
+//! Processing of a single request.
 //!
-//! [`handle`] decides what it is and whose; [`home`] whether it may be served anywhere;
-//! [`permit`] whether its tenant's limit lets it run; [`dispatch`] finds a replica that runs it;
-//! [`plain`] and [`stream`] carry the answer; [`turn`] keeps accounts and histories of programs.
+//! [`handle`] reads a request and looks up its route and tenant; [`home`] checks whether it may be
+//! served in any region; [`permit`] enforces the tenant's rate limit; [`dispatch`] sends the
+//! request to a replica; [`buffered`] and [`stream`] forward the response; [`turn`] manages the
+//! token budgets and turn histories of programs.
 
 mod answer;
 mod body;
@@ -30,57 +31,55 @@
 use hyper::{HeaderMap, Request, Response};
 
 use crate::app::App;
-use crate::memory::ByteClass;
-pub use answer::{AnswerBody, BodyError};
-use body::BodyProblem;
-use call::{Admission, Call};
-use refusal::{KeyProblem, NotRunReason, Refusal};
+use crate::memory::MemoryClass;
+pub use answer::{BodyAborted, ResponseBody};
+use body::BodyReadError;
+use call::{Call, ResolvedRoute};
+use refusal::{GatewayError, KeyError, NotExecutedReason};
 
-/// Longest time that a request's body may take.
-const BODY_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a request waits at a gateway that has no configuration yet: one that starts
-/// together with its ledger has it within this.
-const CONFIGURATION_PATIENCE: Duration = Duration::from_millis(800);
+/// Maximum time for which a request waits for the gateway's first configuration.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// When the caller of a request may come back that needs a newer configuration: an election takes up
-/// to 360 ms, and what is new is told at once.
-const OLD_CONFIGURATION_PAUSE: Duration = Duration::from_millis(500);
+/// Retry delay for requests that need a newer configuration. Covers a leader election.
+const STALE_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Serves one request of a caller.
-pub async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Serves a single client request.
+pub async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received = Instant::now();
     let guard = app.begin_request();
     match read_call(&app, request, received).await {
         Ok(call) => {
             let call = Arc::new(call);
-            log_taken(&call);
-            let abandoned = Abandoned::new(&call);
+            log_received(&call);
+            let disconnect_guard = DisconnectGuard::new(&call);
             let result = match (home::check(&app, &call), call.route.kind) {
-                (Err(refusal), _) => Err(refusal),
+                (Err(error), _) => Err(error),
                 (Ok(()), RouteKind::Stream) => stream::serve(&app, &call, guard).await,
                 (Ok(()), RouteKind::Safe | RouteKind::Unsafe) => plain::serve(&app, &call).await,
             };
-            abandoned.disarm();
-            result.unwrap_or_else(|refusal| {
-                log_refusal(&call.head.request_id, &call.route.name, received, &refusal);
-                refusal.into_response(app.dialect(), &call.head.request_id)
+            disconnect_guard.disarm();
+            result.unwrap_or_else(|error| {
+                log_error(&call.head.request_id, &call.route.name, received, &error);
+                error.into_response(app.dialect(), &call.head.request_id)
             })
         }
-        Err((id, refusal)) => {
-            log_refusal(&id, "-", received, &refusal);
-            refusal.into_response(app.dialect(), &id)
+        Err((id, error)) => {
+            log_error(&id, "-", received, &error);
+            error.into_response(app.dialect(), &id)
         }
     }
 }
 
-fn log_refusal(id: &str, route: &str, received: Instant, refusal: &Refusal) {
-    note_end(refusal.word(), received.elapsed());
+fn log_error(id: &str, route: &str, received: Instant, error: &GatewayError) {
+    record_end(error.metric_label(), received.elapsed());
     emit!(
         Event::RequestEnded;
         request = id,
         route = route,
-        outcome = refusal,
+        outcome = error,
         after_ms = received.elapsed().as_millis(),
     );
 }
@@ -91,12 +90,12 @@
     "outcome",
 );
 
-/// Counts a request that has ended.
-fn note_end(outcome: &str, time: Duration) {
+/// Records the duration of a finished request.
+fn record_end(outcome: &str, time: Duration) {
     REQUEST_TIMES.note(outcome, time);
 }
 
-fn log_taken(call: &Call) {
+fn log_received(call: &Call) {
     emit!(
         Event::RequestTaken;
         request = call.head.request_id,
@@ -105,17 +104,17 @@
         route = call.route.name,
         configuration = call.table.version(),
         bytes = call.body.len(),
-        left_ms = call.left().as_millis(),
+        left_ms = call.time_left().as_millis(),
     );
 }
 
-/// Tells of a request whose caller leaves before there is an answer: the library then
-/// drops everything that serves it.
-struct Abandoned {
+/// Logs a request whose client disconnects before the response has begun. hyper then drops the
+/// future that serves the request.
+struct DisconnectGuard {
     call: Option<Arc<Call>>,
 }
 
-impl Abandoned {
+impl DisconnectGuard {
     fn new(call: &Arc<Call>) -> Self {
         Self { call: Some(Arc::clone(call)) }
     }
@@ -125,12 +124,12 @@
     }
 }
 
-impl Drop for Abandoned {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         let Some(call) = &self.call else {
             return;
         };
-        note_end("caller_left", call.received.elapsed());
+        record_end("caller_left", call.received.elapsed());
         emit!(
             Event::RequestEnded;
             request = call.head.request_id,
@@ -141,91 +140,97 @@
     }
 }
 
-/// Understands a request and reads it whole; on failure its identity goes along.
+/// Reads a request including its body. Errors include the request id, if known.
 async fn read_call(
     app: &Arc<App>,
     request: Request<Incoming>,
     received: Instant,
-) -> Result<Call, (String, Refusal)> {
+) -> Result<Call, (String, GatewayError)> {
     let (mut parts, body) = request.into_parts();
-    let unnamed = |refusal| ("-".to_owned(), refusal);
-    let admission = admit(app, &mut parts).await.map_err(unnamed)?;
+    let without_id = |error| ("-".to_owned(), error);
+    let resolved = resolve_route(app, &mut parts).await.map_err(without_id)?;
     let head = app.dialect().read_call(&parts.headers);
-    let head = head.map_err(|findings| unnamed(Refusal::Malformed(findings)))?;
-    headers::keep_callers(app.dialect(), &mut parts.headers);
+    let head = head.map_err(|findings| without_id(GatewayError::Malformed(findings)))?;
+    headers::remove_gateway_headers(app.dialect(), &mut parts.headers);
     let id = head.request_id.clone();
-    let limits = admission.table.limits();
-    let body = read_body(app, body, limits).await.map_err(|refusal| (id, refusal))?;
-    Ok(Call::new(admission, head, parts, body, received))
+    let limits = resolved.table.limits();
+    let body = read_body(app, body, limits).await.map_err(|error| (id, error))?;
+    Ok(Call::new(resolved, head, parts, body, received))
 }
 
-/// Finds where a request goes and whose it is. A key goes no further than this.
-async fn admit(app: &App, parts: &mut Parts) -> Result<Admission, Refusal> {
-    let table = app.wait_for_table(CONFIGURATION_PATIENCE).await;
-    let table = table.ok_or(Refusal::NoConfiguration)?;
+/// Looks up the route and the tenant of a request. The API key is not passed on.
+async fn resolve_route(app: &App, parts: &mut Parts) -> Result<ResolvedRoute, GatewayError> {
+    let table = app.wait_for_table(CONFIGURATION_TIMEOUT).await;
+    let table = table.ok_or(GatewayError::NoConfiguration)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = table.find(host, parts.uri.path()).cloned();
-    let route = route.ok_or_else(|| unless_old(app, Refusal::NoRoute))?;
+    let route = route.ok_or_else(|| unless_stale(app, GatewayError::NoRoute))?;
     let tenant = find_tenant(app, &table, &route, &mut parts.headers);
-    let tenant = tenant.map_err(|refusal| unless_old(app, refusal))?;
-    Ok(Admission { table, route, tenant })
+    let tenant = tenant.map_err(|error| unless_stale(app, error))?;
+    Ok(ResolvedRoute { table, route, tenant })
 }
 
-/// A refusal that the configuration in force here leads to. Callers take it as final, so a gateway
-/// that does not follow its leader sends them away for a moment instead.
-fn unless_old(app: &App, refusal: Refusal) -> Refusal {
-    if app.follows(Instant::now()) {
-        return refusal;
+/// Returns the given error if the configuration is current. Clients treat such an error as final,
+/// so a gateway with a possibly outdated configuration asks them to retry instead.
+fn unless_stale(app: &App, error: GatewayError) -> GatewayError {
+    if app.is_current(Instant::now()) {
+        return error;
     }
-    Refusal::not_run(NotRunReason::OldConfiguration, OLD_CONFIGURATION_PAUSE)
+    GatewayError::not_executed(
+        NotExecutedReason::StaleConfiguration,
+        STALE_CONFIGURATION_RETRY_AFTER,
+    )
 }
 
-/// The tenant that holds the key of a request. Without any tenant in the configuration,
-/// requests need no key, and what looks like one is a header like others.
+/// Looks up the tenant of a request by its API key. If the configuration has no tenants, requests
+/// need no key, and the header that carries one is forwarded like any other.
 fn find_tenant(
     app: &App,
     table: &RouteTable,
     route: &Route,
     headers: &mut HeaderMap,
-) -> Result<Option<Arc<Tenant>>, Refusal> {
+) -> Result<Option<Arc<Tenant>>, GatewayError> {
     if table.keys().is_empty() {
         return Ok(None);
     }
     let credential = app.dialect().read_credential(headers);
     app.dialect().remove_credential(headers);
     let problem = match credential {
-        Credential::Missing => KeyProblem::Missing,
-        Credential::Malformed => KeyProblem::Unreadable,
+        Credential::Missing => KeyError::Missing,
+        Credential::Malformed => KeyError::Malformed,
         Credential::Key(key) => match table.keys().find(&key) {
             Some(tenant) => return Ok(Some(Arc::clone(tenant))),
-            None => KeyProblem::Unknown,
+            None => KeyError::Unknown,
         },
     };
     if route.is_public {
         return Ok(None);
     }
-    Err(Refusal::Unauthorized { problem, configuration: table.version() })
+    Err(GatewayError::Unauthorized { problem, configuration: table.version() })
 }
 
-async fn read_body(app: &App, body: Incoming, limits: Limits) -> Result<Bytes, Refusal> {
+async fn read_body(app: &App, body: Incoming, limits: Limits) -> Result<Bytes, GatewayError> {
     let mut body = body;
-    let announced = body::announced(&body);
-    if announced > limits.max_body_bytes && body.size_hint().exact().is_some() {
-        return Err(Refusal::BodyTooLarge);
+    let expected_bytes = body::expected_bytes(&body);
+    if expected_bytes > limits.max_body_bytes && body.size_hint().exact().is_some() {
+        return Err(GatewayError::BodyTooLarge);
     }
-    let held = app.memory.try_hold(ByteClass::Body, announced).ok_or_else(no_memory)?;
-    let read = body::read_whole(&mut body, limits.max_body_bytes, held);
-    match tokio::time::timeout(BODY_PATIENCE, read).await {
+    let reservation = app
+        .memory
+        .try_reserve(MemoryClass::RequestBody, expected_bytes)
+        .ok_or_else(memory_limit_reached)?;
+    let read = body::read_whole(&mut body, limits.max_body_bytes, reservation);
+    match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(BodyProblem::TooLarge)) => Err(Refusal::BodyTooLarge),
-        Ok(Err(BodyProblem::NoRoom)) => Err(no_memory()),
-        Ok(Err(BodyProblem::Cut)) => Err(Refusal::BodyCut),
-        Err(_) => Err(Refusal::BodyTooSlow),
+        Ok(Err(BodyReadError::TooLarge)) => Err(GatewayError::BodyTooLarge),
+        Ok(Err(BodyReadError::MemoryLimit)) => Err(memory_limit_reached()),
+        Ok(Err(BodyReadError::Truncated)) => Err(GatewayError::BodyTruncated),
+        Err(_) => Err(GatewayError::BodyTooSlow),
     }
 }
 
-fn no_memory() -> Refusal {
-    /// Most answers that fill the memory have been read by then.
+fn memory_limit_reached() -> GatewayError {
+    /// Time in which most buffered responses are delivered.
     const RETRY_AFTER: Duration = Duration::from_millis(300);
-    Refusal::not_run(NotRunReason::MemoryInUse, RETRY_AFTER)
+    GatewayError::not_executed(NotExecutedReason::MemoryLimit, RETRY_AFTER)
 }
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -1,7 +1,7 @@
-//! Whether a tenant's limit lets a request run.
+//! Rate-limit permits of tenants.
 //!
-//! A turn asks along with its reservation. Any other request spends a permit that a turn
-//! has brought, and asks when there is none.
+//! A turn requests a permit along with its reservation. Any other request uses a spare permit
+//! obtained with an earlier turn, and asks the ledger if there is none.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 use calicohoist_telemetry::metrics::{Counter, Times};
 
 use super::call::Call;
-use super::refusal::{NotRunReason, Refusal};
+use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
 
-/// Longest time for the ledger's answer: an election fits in.
-const ASK_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Timeout for the ledger's answer. Covers a leader election.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
 static PERMITS: Counter = Counter::new(
@@ -29,97 +29,97 @@
     "outcome",
 );
 
-/// Leave of a tenant's limit for one request at one replica.
+/// Permission to send one request to one replica under the tenant's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Permit {
-    /// There is none, or it was used.
+    /// There is no permit, or it was used.
     #[default]
     Missing,
     /// The tenant has no limit.
     Unlimited,
-    /// It holds until then.
-    Until(Instant),
+    /// The permit expires at this time.
+    ValidUntil(Instant),
 }
 
 impl Permit {
-    /// Whether a request may be sent now.
-    pub fn holds(self, now: Instant) -> bool {
+    /// Returns whether a request may be sent at `now`.
+    pub fn is_valid(self, now: Instant) -> bool {
         match self {
             Self::Missing => false,
             Self::Unlimited => true,
-            Self::Until(until) => now < until,
+            Self::ValidUntil(expires_at) => now < expires_at,
         }
     }
 
-    /// When it ends; `None` without a limit.
-    pub fn until(self) -> Option<Instant> {
+    /// Returns the time at which the permit expires; `None` without a limit.
+    pub fn expires_at(self) -> Option<Instant> {
         match self {
             Self::Missing | Self::Unlimited => None,
-            Self::Until(until) => Some(until),
+            Self::ValidUntil(expires_at) => Some(expires_at),
         }
     }
 
-    /// A request was sent that may have run, or long after the permit was issued.
-    pub fn lapse(&mut self) {
-        if matches!(self, Self::Until(_)) {
+    /// Invalidates the permit after an attempt that may have run, or after a long wait.
+    pub fn invalidate(&mut self) {
+        if matches!(self, Self::ValidUntil(_)) {
             *self = Self::Missing;
         }
     }
 }
 
-/// Asks for a permit for a turn, and for those of the requests after it; `None` without a
-/// limit.
+/// Builds the permit request for a turn, which also asks for spare permits for the requests after
+/// it; `None` without a limit.
 pub fn request_for_turn(app: &App, call: &Call) -> Option<PermitRequest> {
-    let mut request = request_of(call)?;
-    request.spare = app.purse.lock().record_turn(&request.tenant, Instant::now());
+    let mut request = permit_request(call)?;
+    request.spare = app.permits.lock().record_turn(&request.tenant, Instant::now());
     Some(request)
 }
 
-/// A permit for a request that makes no reservation.
+/// Obtains a permit for a request that makes no reservation.
 ///
 /// # Errors
-/// When the tenant has used up its limit, or the ledger does not answer.
-pub async fn obtain(app: &App, call: &Call) -> Result<Permit, Refusal> {
-    let Some(request) = request_of(call) else {
+/// Returns an error if the tenant has reached its limit, or if the ledger does not respond.
+pub async fn acquire(app: &App, call: &Call) -> Result<Permit, GatewayError> {
+    let Some(request) = permit_request(call) else {
         return Ok(Permit::Unlimited);
     };
     let now = Instant::now();
-    let held = app.purse.lock().consume(&request.tenant, now);
-    if let Some(until) = held {
+    let spare_expires_at = app.permits.lock().consume(&request.tenant, now);
+    if let Some(expires_at) = spare_expires_at {
         PERMITS.count("held");
-        return Ok(Permit::Until(until));
+        return Ok(Permit::ValidUntil(expires_at));
     }
     PERMITS.count("asked");
-    let deadline = now + queue_timeout(call.left(), ASK_PATIENCE);
+    let deadline = now + queue_timeout(call.time_left(), REQUEST_TIMEOUT);
     let answer = app.ledger.ask(&Question::Permit(request.clone()), deadline).await;
     match answer {
         Ok(Answer::Permit(answer)) => {
             PERMIT_TIMES.note("answered", now.elapsed());
-            accept(app, &request, answer, now)
+            apply_answer(app, &request, answer, now)
         }
         _ => {
             PERMIT_TIMES.note("no answer", now.elapsed());
-            Err(Refusal::not_run(NotRunReason::LedgerUnavailable, RETRY_AFTER))
+            Err(GatewayError::not_executed(NotExecutedReason::LedgerUnavailable, RETRY_AFTER))
         }
     }
 }
 
-/// Takes in what the ledger answered to a question of `asked`.
+/// Processes the ledger's answer to a permit request that was sent at `requested_at`.
 ///
 /// # Errors
-/// When the tenant has used up its limit.
-pub fn accept(
+/// Returns an error if the tenant has reached its limit.
+pub fn apply_answer(
     app: &App,
     request: &PermitRequest,
     answer: PermitAnswer,
-    asked: Instant,
-) -> Result<Permit, Refusal> {
+    requested_at: Instant,
+) -> Result<Permit, GatewayError> {
     match answer {
         PermitAnswer::Granted(grant) => {
-            app.purse.lock().add_grant(&request.tenant, grant, asked, Instant::now());
-            Ok(Permit::Until(asked + grant.life))
+            app.permits.lock().add_grant(&request.tenant, grant, requested_at, Instant::now());
+            Ok(Permit::ValidUntil(requested_at + grant.life))
         }
-        PermitAnswer::OverLimit(retry_after) => Err(Refusal::OverLimit {
+        PermitAnswer::OverLimit(retry_after) => Err(GatewayError::OverLimit {
             tenant: request.tenant.clone(),
             limit: request.limit,
             configuration: request.configuration,
@@ -128,7 +128,7 @@
     }
 }
 
-fn request_of(call: &Call) -> Option<PermitRequest> {
+fn permit_request(call: &Call) -> Option<PermitRequest> {
     let tenant = call.tenant.as_ref()?;
     Some(PermitRequest {
         tenant: tenant.id.clone(),
--- a/crates/proxy/src/flow/plain.rs
+++ b/crates/proxy/src/flow/plain.rs
@@ -1,4 +1,4 @@
-//! Requests with one whole answer.
+//! Requests whose response is buffered before it is sent to the client.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,90 +9,98 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-use super::answer::AnswerBody;
-use super::body::{BodyProblem, announced, read_whole};
+use super::answer::ResponseBody;
+use super::body::{BodyReadError, expected_bytes, read_whole};
 use super::call::Call;
-use super::dispatch::{Payload, Trail, dispatch};
-use super::headers::remove_connection_headers;
-use super::refusal::Refusal;
+use super::dispatch::{AttemptState, Payload, dispatch};
+use super::headers::remove_hop_by_hop_headers;
+use super::refusal::GatewayError;
 use crate::app::App;
 use crate::upstream::Exchange;
 
-/// Largest whole answer that is held, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum size of a buffered response in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Serves a request whose answer is read whole before it is passed on, so that a cut
-/// answer of a repeatable request can be replaced by another replica's.
+/// Serves a request with a buffered response. If the response is truncated, a safe request can be
+/// retried on another replica.
 ///
 /// # Errors
-/// When no replica gave a whole answer.
-pub async fn serve(app: &Arc<App>, call: &Arc<Call>) -> Result<Response<AnswerBody>, Refusal> {
+/// Returns an error if no replica returned a complete response.
+pub async fn serve(
+    app: &Arc<App>,
+    call: &Arc<Call>,
+) -> Result<Response<ResponseBody>, GatewayError> {
     let payload = Payload { body: call.body.clone(), last_event: None };
-    let mut trail = Trail::default();
+    let mut attempt_state = AttemptState::default();
     loop {
-        let exchange = dispatch(app, call, &payload, &mut trail).await?;
+        let exchange = dispatch(app, call, &payload, &mut attempt_state).await?;
         let replica = exchange.member.replica.id.clone();
-        let deadline = call.attempt_deadline(trail.attempts - 1);
-        match collect(app, deadline, exchange).await {
+        let deadline = call.attempt_deadline(attempt_state.attempts - 1);
+        match collect_response(app, deadline, exchange).await {
             Ok(response) => {
-                log_end(call, &replica, &response, &trail);
-                return Ok(response.map(AnswerBody::whole));
+                log_end(call, &replica, &response, &attempt_state);
+                return Ok(response.map(ResponseBody::buffered));
             }
-            Err(refusal) => {
-                let may_repeat = call.route.kind == RouteKind::Safe;
-                if !may_repeat || trail.attempts >= call.route.max_attempts {
-                    return Err(refusal);
+            Err(error) => {
+                let may_retry = call.route.kind == RouteKind::Safe;
+                if !may_retry || attempt_state.attempts >= call.route.max_attempts {
+                    return Err(error);
                 }
-                trail.exclude(&replica);
+                attempt_state.exclude(&replica);
             }
         }
     }
 }
 
-/// Reads the whole answer.
-pub async fn collect(
+/// Reads a complete response.
+pub async fn collect_response(
     app: &App,
     deadline: Instant,
     exchange: Exchange,
-) -> Result<Response<Bytes>, Refusal> {
-    const AVOIDED_FOR: Duration = Duration::from_millis(1_000);
+) -> Result<Response<Bytes>, GatewayError> {
+    const PENALTY_DURATION: Duration = Duration::from_millis(1_000);
     const PENALTY: Duration = Duration::from_millis(50);
     let mut exchange = exchange;
-    let body = read_held(app, exchange.response.body_mut());
+    let body = read_response_body(app, exchange.response.body_mut());
     let body = match tokio::time::timeout_at(deadline.into(), body).await {
-        Err(_) => return Err(Refusal::Deadline),
+        Err(_) => return Err(GatewayError::Deadline),
         Ok(Err(_)) => {
-            exchange.member.note_trouble(PENALTY, AVOIDED_FOR);
-            return Err(Refusal::Unknown);
+            exchange.member.penalize(PENALTY, PENALTY_DURATION);
+            return Err(GatewayError::Unknown);
         }
         Ok(Ok(body)) => body,
     };
     let mut response = Response::new(body);
     *response.status_mut() = exchange.response.status();
     *response.headers_mut() = std::mem::take(exchange.response.headers_mut());
-    remove_connection_headers(app.dialect(), response.headers_mut());
+    remove_hop_by_hop_headers(app.dialect(), response.headers_mut());
     exchange.finish(&app.pool);
     Ok(response)
 }
 
-/// Reads an answer once what it brings fits among all that is held; its replica waits until then.
-async fn read_held(app: &App, body: &mut Incoming) -> Result<Bytes, BodyProblem> {
-    let announced = announced(body).min(MAX_ANSWER_BYTES);
-    let held = app.memory.hold_answer(announced).await;
-    read_whole(body, MAX_ANSWER_BYTES, held).await
+/// Reads a response body once there is memory for it; the replica has to wait until then.
+async fn read_response_body(app: &App, body: &mut Incoming) -> Result<Bytes, BodyReadError> {
+    let expected_bytes = expected_bytes(body).min(MAX_RESPONSE_BYTES);
+    let reservation = app.memory.reserve_response(expected_bytes).await;
+    read_whole(body, MAX_RESPONSE_BYTES, reservation).await
 }
 
-/// The last line of a request that a replica answered.
-pub fn log_end(call: &Call, replica: &str, response: &Response<Bytes>, trail: &Trail) {
+/// Logs the end of a request with a response from a replica.
+pub fn log_end(
+    call: &Call,
+    replica: &str,
+    response: &Response<Bytes>,
+    attempt_state: &AttemptState,
+) {
     let outcome = response.status();
-    super::note_end(outcome.as_str(), call.received.elapsed());
+    super::record_end(outcome.as_str(), call.received.elapsed());
     emit!(
         Event::RequestEnded;
         request = call.head.request_id,
         route = call.route.name,
         replica = replica,
         outcome = outcome.as_u16(),
-        attempts = trail.attempts,
+        attempts = attempt_state.attempts,
         after_ms = call.received.elapsed().as_millis(),
     );
 }
--- a/crates/proxy/src/flow/refusal.rs
+++ b/crates/proxy/src/flow/refusal.rs
@@ -1,7 +1,7 @@
-//! Answers of the gateway's own.
+//! Error responses of the gateway.
 //!
-//! Three outcomes are kept apart: the request did not run and never will (408, 429,
-//! 503), nobody knows (502, 504), or it ran, and then the answer is the replica's.
+//! The status code tells the client whether the request ran: it did not and will not (408, 429,
+//! 503), or it may have run (502, 504). Any response of a replica means that it ran.
 
 use std::time::Duration;
 
@@ -11,139 +11,139 @@
 use hyper::header::{CONTENT_TYPE, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
 
-use super::answer::AnswerBody;
+use super::answer::ResponseBody;
 use crate::dialect::Dialect;
 
-/// Why a request has no answer of a replica.
+/// Reason for which a request has no response of a replica.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
-    /// No configuration is known yet.
+pub enum GatewayError {
+    /// The gateway has no configuration yet.
     #[error("no configuration")]
     NoConfiguration,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     #[error("no route")]
     NoRoute,
-    /// Nobody is known to hold the key that the request shows.
+    /// The API key is missing or invalid.
     #[error("unauthorized: {problem}, configuration {configuration}")]
     Unauthorized {
-        /// What is wrong with it.
-        problem: KeyProblem,
-        /// Version of the configuration that says so.
+        /// What is wrong with the key.
+        problem: KeyError,
+        /// Version of the configuration that was applied.
         configuration: u64,
     },
-    /// Headers cannot be accepted.
+    /// The request has invalid headers.
     #[error("malformed: {0}")]
     Malformed(Findings),
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     #[error("body too large")]
     BodyTooLarge,
     /// The body ended early.
     #[error("body cut")]
-    BodyCut,
-    /// The body did not come in time.
+    BodyTruncated,
+    /// The body was not received in time.
     #[error("body too slow")]
     BodyTooSlow,
-    /// The turn does not fit into what is left of the program's budget.
+    /// The turn exceeds the remaining budget of its program.
     #[error("budget spent")]
     BudgetSpent,
-    /// The turn that it continues from does not exist.
+    /// The turn to be continued does not exist.
     #[error("no such turn")]
     NoSuchTurn,
-    /// Its tenant has sent as much as its limit allows.
+    /// The tenant has reached its rate limit.
     #[error("over the limit of {tenant}, {limit}, configuration {configuration}")]
     OverLimit {
         /// The tenant.
         tenant: TenantId,
-        /// Its limit.
+        /// The rate limit of the tenant.
         limit: RateLimit,
-        /// Version of the configuration that says so.
+        /// Version of the configuration that was applied.
         configuration: u64,
-        /// When there will be room.
+        /// Time until the limit allows another request.
         retry_after: Duration,
     },
-    /// It did not run and never will; it may come back after a while.
+    /// The request did not run and will not. The client may retry.
     #[error("not run: {reason}")]
-    NotRun {
-        /// Why.
-        reason: NotRunReason,
-        /// When to come back.
+    NotExecuted {
+        /// The reason.
+        reason: NotExecutedReason,
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     #[error("outcome unknown")]
     Unknown,
-    /// It may have run; its time is over.
+    /// The request may have run, and its deadline passed.
     #[error("deadline")]
     Deadline,
 }
 
-/// What is wrong with the key of a request.
+/// Problem with the API key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeyProblem {
-    /// There is none.
+pub enum KeyError {
+    /// There is no key.
     #[error("no key")]
     Missing,
-    /// It cannot be read.
+    /// The key cannot be parsed.
     #[error("unreadable key")]
-    Unreadable,
-    /// Nobody holds it.
+    Malformed,
+    /// No tenant has this key.
     #[error("unknown key")]
     Unknown,
 }
 
-/// Why a request did not run.
+/// Reason for which a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotRunReason {
+pub enum NotExecutedReason {
     /// No replica of the service is listed.
     #[error("no replica")]
     NoReplica,
-    /// Its route and its tenant leave it no region.
+    /// The homes of route and tenant have no zone in common.
     #[error("no home")]
     NoHome,
-    /// The service has no replica in the regions where it may be served.
+    /// The service has no replica in the request's homes.
     #[error("no replica in its homes")]
-    NoReplicaAtHome,
-    /// Its route keeps turns, and the ledger would keep them outside of its homes, too.
+    NoReplicaInHomes,
+    /// The route retains turns, and the ledger would store them outside the request's homes.
     #[error("cannot be kept in its homes")]
-    NotKeptAtHome,
-    /// Every replica that was asked refused or could not be reached.
+    RetainedOutsideHomes,
+    /// Every replica that was tried rejected the request or was unreachable.
     #[error("replicas full")]
     ReplicasFull,
-    /// Every replica that may get it has just started.
+    /// Every eligible replica is cold.
     #[error("replicas cold")]
     ReplicasCold,
-    /// It came with too little time to be offered to a replica.
+    /// Too little time was left to send the request to a replica.
     #[error("too little time")]
-    TooLate,
-    /// Its body found no room among what is held for others.
+    TooLittleTime,
+    /// The memory limit for buffered bodies was reached.
     #[error("memory in use")]
-    MemoryInUse,
-    /// The ledger did not answer.
+    MemoryLimit,
+    /// The ledger did not respond.
     #[error("ledger unavailable")]
     LedgerUnavailable,
-    /// The configuration held here does not allow it, and there may be a newer one.
+    /// The request is not allowed by the gateway's configuration, which may be outdated.
     #[error("configuration may be out of date")]
-    OldConfiguration,
+    StaleConfiguration,
 }
 
-impl Refusal {
-    /// A request that did not run.
-    pub fn not_run(reason: NotRunReason, retry_after: Duration) -> Self {
-        Self::NotRun { reason, retry_after }
+impl GatewayError {
+    /// Creates the error for a request that did not run.
+    pub fn not_executed(reason: NotExecutedReason, retry_after: Duration) -> Self {
+        Self::NotExecuted { reason, retry_after }
     }
 
-    /// One word for metrics.
-    pub fn word(&self) -> &'static str {
+    /// Returns the outcome label for metrics.
+    pub fn metric_label(&self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
             Self::NoRoute => "no_route",
             Self::Unauthorized { .. } => "unauthorized",
             Self::Malformed(_) => "malformed",
-            Self::BodyTooLarge | Self::BodyCut | Self::BodyTooSlow => "bad_body",
+            Self::BodyTooLarge | Self::BodyTruncated | Self::BodyTooSlow => "bad_body",
             Self::BudgetSpent => "budget_spent",
             Self::NoSuchTurn => "no_such_turn",
             Self::OverLimit { .. } => "over_limit",
-            Self::NotRun { .. } => "not_run",
+            Self::NotExecuted { .. } => "not_run",
             Self::Unknown => "unknown",
             Self::Deadline => "deadline",
         }
@@ -151,10 +151,10 @@
 
     fn status(&self) -> StatusCode {
         match self {
-            Self::NoConfiguration | Self::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NoConfiguration | Self::NotExecuted { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute | Self::NoSuchTurn => StatusCode::NOT_FOUND,
             Self::Unauthorized { .. } => StatusCode::UNAUTHORIZED,
-            Self::Malformed(_) | Self::BodyCut => StatusCode::BAD_REQUEST,
+            Self::Malformed(_) | Self::BodyTruncated => StatusCode::BAD_REQUEST,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
             Self::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
@@ -164,23 +164,23 @@
         }
     }
 
-    /// When the caller of this request may come back. The end of a limit's window is told
-    /// exactly; any other time is an estimate, and callers are spread around it.
+    /// Returns the delay after which the client may retry. The end of a rate limit's window is
+    /// returned exactly; other delays are estimates, and jittered per request.
     fn retry_after(&self, request_id: &str) -> Option<Duration> {
-        const BEFORE_FIRST_CONFIGURATION: Duration = Duration::from_millis(300);
+        const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(300);
         let hash = stable_hash(&[request_id.as_bytes()]);
         match self {
-            Self::NoConfiguration => Some(jittered_delay(BEFORE_FIRST_CONFIGURATION, hash)),
-            Self::NotRun { retry_after, .. } => Some(jittered_delay(*retry_after, hash)),
+            Self::NoConfiguration => Some(jittered_delay(NO_CONFIGURATION_RETRY_AFTER, hash)),
+            Self::NotExecuted { retry_after, .. } => Some(jittered_delay(*retry_after, hash)),
             Self::OverLimit { retry_after, .. } => Some(*retry_after),
             _ => None,
         }
     }
 
-    /// The answer to the caller of this request.
-    pub fn into_response(self, dialect: &dyn Dialect, request_id: &str) -> Response<AnswerBody> {
-        let body = serde_json_string(&self.to_string());
-        let mut response = Response::new(AnswerBody::whole(body));
+    /// Converts the error into a response to the client.
+    pub fn into_response(self, dialect: &dyn Dialect, request_id: &str) -> Response<ResponseBody> {
+        let body = error_document(&self.to_string());
+        let mut response = Response::new(ResponseBody::buffered(body));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
@@ -194,6 +194,6 @@
     }
 }
 
-fn serde_json_string(error: &str) -> bytes::Bytes {
+fn error_document(error: &str) -> bytes::Bytes {
     serde_json::json!({ "error": error }).to_string().into()
 }
--- a/crates/proxy/src/flow/stream.rs
+++ b/crates/proxy/src/flow/stream.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer is a series of events.
+//! Requests with a streamed response of server-sent events.
 //!
-//! Each event is passed on as soon as it is whole. When a replica breaks off, a
-//! resumable stream is taken up at another replica after the last event that was
-//! passed on; any other answer is cut so that it looks cut.
+//! Each event is forwarded once it is complete. If a replica fails, a resumable stream continues
+//! on another replica after the last forwarded event. Otherwise the response is aborted, so that
+//! the client sees that it is incomplete.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::mpsc;
 
-use super::answer::{AnswerBody, BodyError};
+use super::answer::{BodyAborted, ResponseBody};
 use super::call::Call;
-use super::dispatch::{Payload, Trail, dispatch};
+use super::dispatch::{AttemptState, Payload, dispatch};
 use super::failure;
-use super::headers::remove_connection_headers;
+use super::headers::remove_hop_by_hop_headers;
 use super::plain;
-use super::refusal::Refusal;
+use super::refusal::GatewayError;
 use super::turn::Turn;
 use crate::app::{App, RequestGuard};
 use crate::events::{EventSplitter, ServerEvent};
@@ -29,31 +29,32 @@
 /// Serves a request on a stream route.
 ///
 /// # Errors
-/// When no replica began an answer.
+/// Returns an error if no replica started a response.
 pub async fn serve(
     app: &Arc<App>,
     call: &Arc<Call>,
     guard: RequestGuard,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, GatewayError> {
     let mut turn = Turn::begin(app, call).await?;
     let payload = Payload { body: turn.body.clone(), last_event: call.head.last_event.clone() };
-    let mut trail = Trail::new(turn.placed_on.take(), turn.permit);
-    let sent = Instant::now();
-    let exchange = dispatch(app, call, &payload, &mut trail).await?;
-    turn.sent = Some(sent);
-    turn.ran_at = Some(exchange.member.replica.id.clone());
+    let mut attempt_state = AttemptState::new(turn.placement.take(), turn.permit);
+    let sent_at = Instant::now();
+    let exchange = dispatch(app, call, &payload, &mut attempt_state).await?;
+    turn.sent_at = Some(sent_at);
+    turn.replica_id = Some(exchange.member.replica.id.clone());
     if !is_event_stream(&exchange) {
-        let response = plain::collect(app, call.deadline, exchange).await?;
-        plain::log_end(call, "-", &response, &trail);
-        return Ok(response.map(AnswerBody::whole));
+        let response = plain::collect_response(app, call.deadline, exchange).await?;
+        plain::log_end(call, "-", &response, &attempt_state);
+        return Ok(response.map(ResponseBody::buffered));
     }
-    let mut relay = Relay::new(app, call, turn, payload, trail, exchange);
-    // The head waits for the first event: until then another replica may still serve.
+    let mut relay = Relay::new(app, call, turn, payload, attempt_state, exchange);
+    // The head is sent only after the first event, so that another replica can still be used until
+    // then.
     let first = relay.next_event().await?;
     let headers = relay.headers();
-    let (sender, pieces) = mpsc::unbounded_channel();
+    let (sender, chunks) = mpsc::unbounded_channel();
     tokio::spawn(relay.run(first, sender));
-    let mut response = Response::new(AnswerBody::Pieces { pieces, guard });
+    let mut response = Response::new(ResponseBody::Streamed { chunks, guard });
     *response.headers_mut() = headers;
     Ok(response)
 }
@@ -64,27 +65,27 @@
     exchange.response.status() == StatusCode::OK && content.starts_with("text/event-stream")
 }
 
-/// Passes events of one answer on, whichever replicas they come from.
+/// Forwards the events of a response, possibly from several replicas in turn.
 struct Relay {
     app: Arc<App>,
     call: Arc<Call>,
     turn: Turn,
     payload: Payload,
-    trail: Trail,
+    attempt_state: AttemptState,
     exchange: Exchange,
     splitter: EventSplitter,
-    /// Head of the first replica's answer; it stays that of the whole answer.
+    /// Headers of the first replica's response, which are sent to the client.
     headers: HeaderMap,
     tokens_per_event: u64,
     last_event: Option<u64>,
     events: u64,
 }
 
-/// Why the upstream gave no further event.
-enum Broken {
-    /// It ended in the middle.
-    Cut,
-    /// Time ran out.
+/// Reason for which no further event could be read.
+enum ReadError {
+    /// The response ended early.
+    Truncated,
+    /// The deadline passed.
     Deadline,
 }
 
@@ -94,11 +95,11 @@
         call: &Arc<Call>,
         turn: Turn,
         payload: Payload,
-        trail: Trail,
+        attempt_state: AttemptState,
         exchange: Exchange,
     ) -> Self {
         let mut headers = exchange.response.headers().clone();
-        remove_connection_headers(app.dialect(), &mut headers);
+        remove_hop_by_hop_headers(app.dialect(), &mut headers);
         let engine = call.service().and_then(|service| service.engine.clone());
         let last_event = payload.last_event.as_deref().and_then(|id| id.parse().ok());
         Self {
@@ -106,7 +107,7 @@
             call: Arc::clone(call),
             turn,
             payload,
-            trail,
+            attempt_state,
             exchange,
             splitter: EventSplitter::default(),
             headers,
@@ -120,66 +121,68 @@
         self.headers.clone()
     }
 
-    /// Passes events on until the answer ends, the caller leaves, or nothing helps.
+    /// Forwards events until the response ends, the client disconnects, or the stream cannot be
+    /// resumed.
     async fn run(
         mut self,
         first: Option<ServerEvent>,
-        pieces: mpsc::UnboundedSender<Result<Bytes, BodyError>>,
+        chunks: mpsc::UnboundedSender<Result<Bytes, BodyAborted>>,
     ) {
         let mut next = first;
         while let Some(event) = next {
             let tokens = self.tokens_per_event;
-            self.turn.note_event(event.data.as_deref(), tokens);
+            self.turn.record_event(event.data.as_deref(), tokens);
             self.events += 1;
-            let piece = tokio::select! {
+            let chunk = tokio::select! {
                 biased;
-                () = pieces.closed() => return self.log_end("caller left"),
-                piece = self.held(event.bytes) => piece,
+                () = chunks.closed() => return self.log_end("caller left"),
+                chunk = self.reserve(event.bytes) => chunk,
             };
-            let is_cut = piece.is_err();
-            if pieces.send(piece).is_err() {
+            let is_aborted = chunk.is_err();
+            if chunks.send(chunk).is_err() {
                 return self.log_end("caller left");
             }
-            if is_cut {
+            if is_aborted {
                 return self.log_end("no memory until its deadline");
             }
             let following = tokio::select! {
                 biased;
-                () = pieces.closed() => return self.log_end("caller left"),
+                () = chunks.closed() => return self.log_end("caller left"),
                 following = self.next_event() => following,
             };
             next = match following {
                 Ok(following) => following,
-                Err(refusal) => {
-                    self.log_end(&refusal.to_string());
-                    let _ = pieces.send(Err(BodyError));
+                Err(error) => {
+                    self.log_end(&error.to_string());
+                    let _ = chunks.send(Err(BodyAborted));
                     return;
                 }
             };
         }
-        self.complete(pieces).await;
+        self.complete(chunks).await;
     }
 
-    /// An event with its place among what is held. So that a slow caller keeps no place at the
-    /// replica, events are read as they come; only where nothing more may be held the replica waits.
-    async fn held(&self, bytes: Bytes) -> Result<Bytes, BodyError> {
-        let held = self.app.memory.hold_answer(bytes.len());
-        let held = tokio::time::timeout_at(self.call.deadline.into(), held).await;
-        held.map(|held| held.guard(bytes)).map_err(|_| BodyError)
+    /// Reserves memory for an event. Events are read as they arrive, so that a slow client does
+    /// not occupy a slot of the replica; the replica has to wait only when the memory limit is
+    /// reached.
+    async fn reserve(&self, bytes: Bytes) -> Result<Bytes, BodyAborted> {
+        let reservation = self.app.memory.reserve_response(bytes.len());
+        let reservation = tokio::time::timeout_at(self.call.deadline.into(), reservation).await;
+        reservation.map(|reservation| reservation.attach_to(bytes)).map_err(|_| BodyAborted)
     }
 
-    /// The replica's answer is whole: what must be durable becomes so, then it ends.
-    async fn complete(self, pieces: mpsc::UnboundedSender<Result<Bytes, BodyError>>) {
+    /// Completes the turn after a complete response, then ends the response to the client.
+    async fn complete(self, chunks: mpsc::UnboundedSender<Result<Bytes, BodyAborted>>) {
         self.log_end("200");
         let Self { turn, exchange, app, .. } = self;
         exchange.finish(&app.pool);
         if turn.complete().await.is_err() {
-            let _ = pieces.send(Err(BodyError));
+            let _ = chunks.send(Err(BodyAborted));
         }
     }
 
     fn log_end(&self, outcome: &str) {
-        super::note_end(outcome, self.call.received.elapsed());
+        super::record_end(outcome, self.call.received.elapsed());
         emit!(
             Event::RequestEnded;
             request = self.call.head.request_id,
@@ -187,14 +190,14 @@
             replica = self.exchange.member.replica.id,
             outcome = outcome,
             events = self.events,
-            attempts = self.trail.attempts,
+            attempts = self.attempt_state.attempts,
             after_ms = self.call.received.elapsed().as_millis(),
         );
     }
 
-    /// The next event, from another replica if this one breaks off and that is allowed;
-    /// `None` at the end of the answer.
-    async fn next_event(&mut self) -> Result<Option<ServerEvent>, Refusal> {
+    /// Returns the next event, resuming the stream on another replica if necessary and allowed;
+    /// `None` at the end of the response.
+    async fn next_event(&mut self) -> Result<Option<ServerEvent>, GatewayError> {
         loop {
             match self.read_event().await {
                 Ok(Some(event)) => {
@@ -203,13 +206,14 @@
                     }
                 }
                 Ok(None) => return Ok(None),
-                Err(Broken::Deadline) => return Err(Refusal::Deadline),
-                Err(Broken::Cut) => self.resume().await?,
+                Err(ReadError::Deadline) => return Err(GatewayError::Deadline),
+                Err(ReadError::Truncated) => self.resume().await?,
             }
         }
     }
 
-    /// Whether the caller lacks this event; a resumed run may repeat some.
+    /// Returns whether the client has not received this event yet. A resumed run may repeat
+    /// events.
     fn is_new(&mut self, event: &ServerEvent) -> bool {
         let Some(id) = event.id.as_deref().and_then(|id| id.parse::<u64>().ok()) else {
             return true;
@@ -221,55 +225,56 @@
         is_new
     }
 
-    async fn read_event(&mut self) -> Result<Option<ServerEvent>, Broken> {
+    async fn read_event(&mut self) -> Result<Option<ServerEvent>, ReadError> {
         loop {
             match self.splitter.next_event() {
                 Ok(Some(event)) => return Ok(Some(event)),
                 Ok(None) => {}
-                Err(_) => return Err(Broken::Cut),
+                Err(_) => return Err(ReadError::Truncated),
             }
             let frame = self.exchange.response.body_mut().frame();
             let frame = tokio::time::timeout_at(self.call.deadline.into(), frame).await;
             match frame {
-                Err(_) => return Err(Broken::Deadline),
+                Err(_) => return Err(ReadError::Deadline),
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
                         self.splitter.push(data);
                     }
                 }
-                Ok(Some(Err(_))) => return Err(Broken::Cut),
-                Ok(None) if self.splitter.has_rest() => return Err(Broken::Cut),
+                Ok(Some(Err(_))) => return Err(ReadError::Truncated),
+                Ok(None) if self.splitter.has_partial_event() => return Err(ReadError::Truncated),
                 Ok(None) => return Ok(None),
             }
         }
     }
 
-    /// Takes the stream up at another replica after the last event.
-    async fn resume(&mut self) -> Result<(), Refusal> {
+    /// Resumes the stream on another replica after the last event.
+    async fn resume(&mut self) -> Result<(), GatewayError> {
         const PENALTY: Duration = Duration::from_millis(100);
-        const AVOIDED_FOR: Duration = Duration::from_millis(2_000);
-        let broken = &self.exchange.member;
-        broken.note_trouble(PENALTY, AVOIDED_FOR);
-        failure::report(&self.app, &broken.replica.id);
+        const PENALTY_DURATION: Duration = Duration::from_millis(2_000);
+        let failed = &self.exchange.member;
+        failed.penalize(PENALTY, PENALTY_DURATION);
+        failure::report(&self.app, &failed.replica.id);
         emit!(
             Event::StreamBroken;
             request = self.call.head.request_id,
-            replica = broken.replica.id,
+            replica = failed.replica.id,
             events = self.events,
             resumable = self.call.route.resumable,
         );
         if !self.call.route.resumable {
-            return Err(Refusal::Unknown);
+            return Err(GatewayError::Unknown);
         }
-        self.trail.note_began(broken);
+        self.attempt_state.record_started(failed);
         self.payload.last_event = self.last_event.map(|id| id.to_string());
-        let exchange = dispatch(&self.app, &self.call, &self.payload, &mut self.trail).await?;
+        let exchange =
+            dispatch(&self.app, &self.call, &self.payload, &mut self.attempt_state).await?;
         if !is_event_stream(&exchange) {
-            return Err(Refusal::Unknown);
+            return Err(GatewayError::Unknown);
         }
-        // A run in two pieces says nothing of the engine's speed.
-        self.turn.sent = None;
-        self.turn.ran_at = Some(exchange.member.replica.id.clone());
+        // The timing of a resumed run says nothing about the replica's speed.
+        self.turn.sent_at = None;
+        self.turn.replica_id = Some(exchange.member.replica.id.clone());
         self.exchange = exchange;
         self.splitter = EventSplitter::default();
         Ok(())
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -1,8 +1,8 @@
-//! Accounts and histories of programs.
+//! Token budgets and turn histories of programs.
 //!
-//! Before a turn goes to a replica, its most is reserved in the ledger, which hands
-//! back what was said before. When it ends, what was used is settled; a retained turn
-//! is durable before the end of its answer leaves.
+//! Before a turn is sent to a replica, its maximum number of tokens is reserved in the ledger,
+//! which returns the conversation so far. When the turn ends, the tokens used are settled. A
+//! retained turn is made durable before the end of its response is sent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 
 use super::call::Call;
 use super::permit::{self, Permit};
-use super::refusal::{NotRunReason, Refusal};
+use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
 
 static LEDGER_TIMES: Times = Times::new(
@@ -27,58 +27,59 @@
     "question",
 );
 
-/// Longest time that a turn waits for its reservation: an election fits in.
-const RESERVE_PATIENCE: Duration = Duration::from_millis(1_000);
-/// How long the ledger is asked to note the end of a turn that nobody waits for.
-const BACKGROUND_PATIENCE: Duration = Duration::from_secs(20);
-/// Longest time that a turn waits for its place.
-const PLACE_PATIENCE: Duration = Duration::from_millis(2_500);
+/// Timeout of a reservation. Covers a leader election.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for settling a turn in the background.
+const BACKGROUND_SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum time for which a turn waits for its placement.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(2_500);
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// A turn with its reservation. Dropped without an end, it settles in the background.
+/// A turn with its reservation. If dropped before it has completed, it is settled in the
+/// background.
 pub struct Turn {
     app: Arc<App>,
     call: Arc<Call>,
-    /// What the replica receives: what was said before, and the new input.
+    /// Body for the replica: the conversation so far, followed by the new input.
     pub body: Bytes,
-    /// Leave of the tenant's limit.
+    /// Permit under the tenant's rate limit.
     pub permit: Permit,
-    /// The replica that it is best sent to, as the ledger sees it.
-    pub placed_on: Option<PlacedReplica>,
-    /// The replica that runs it.
-    pub ran_at: Option<String>,
-    /// When it went to that replica.
-    pub sent: Option<Instant>,
-    /// Whether its answer ended whole.
-    is_whole: bool,
-    /// Tokens handed to the caller so far.
+    /// Placement by the leader, if any.
+    pub placement: Option<PlacedReplica>,
+    /// Id of the replica that runs the turn.
+    pub replica_id: Option<String>,
+    /// Time at which the turn was sent to the replica.
+    pub sent_at: Option<Instant>,
+    /// Whether the response is complete.
+    is_complete: bool,
+    /// Number of tokens sent to the client.
     pub used_tokens: u64,
-    /// The data of the events so far, when the turn is retained.
+    /// Event data sent to the client, if the turn is retained.
     output: Vec<u8>,
     is_settled: bool,
 }
 
-/// Whether the ledger has a part in this request.
+/// Returns whether the request needs the ledger.
 fn needs_ledger(call: &Call) -> bool {
     let has_account = call.head.budget.is_some() && call.head.program.is_some();
     has_account || call.route.retain || call.head.previous_turn.is_some()
 }
 
 impl Turn {
-    /// Reserves what the turn may use, and reads what was said before.
+    /// Reserves the turn's tokens, and fetches the conversation so far.
     ///
     /// # Errors
-    /// When it must not run, or the ledger does not answer.
-    pub async fn begin(app: &Arc<App>, call: &Arc<Call>) -> Result<Self, Refusal> {
+    /// Returns an error if the turn must not run, or if the ledger does not respond.
+    pub async fn begin(app: &Arc<App>, call: &Arc<Call>) -> Result<Self, GatewayError> {
         let mut turn = Self {
             app: Arc::clone(app),
             call: Arc::clone(call),
             body: call.body.clone(),
             permit: Permit::Missing,
-            placed_on: None,
-            ran_at: None,
-            sent: None,
-            is_whole: false,
+            placement: None,
+            replica_id: None,
+            sent_at: None,
+            is_complete: false,
             used_tokens: 0,
             output: Vec::new(),
             is_settled: false,
@@ -89,16 +90,16 @@
         }
         let permit = permit::request_for_turn(app, call);
         let question = Question::Reserve {
-            reserve: reserve_of(call),
-            placement: placement_of(app, call),
+            reserve: reserve_command(call),
+            placement: placement_request(app, call),
             permit: permit.clone(),
         };
-        let began = Instant::now();
-        let deadline = began + queue_timeout(call.left(), RESERVE_PATIENCE);
+        let started_at = Instant::now();
+        let deadline = started_at + queue_timeout(call.time_left(), RESERVE_TIMEOUT);
         let answer = app.ledger.ask(&question, deadline).await;
-        LEDGER_TIMES.note("reserve", began.elapsed());
-        log_reserved(call, &answer, began);
-        // From here on the drop of `turn` settles what may have been reserved.
+        LEDGER_TIMES.note("reserve", started_at.elapsed());
+        log_reserved(call, &answer, started_at);
+        // From here on, dropping `turn` settles the reservation, if one was made.
         match answer {
             Ok(Answer::Reserved {
                 reservation,
@@ -107,102 +108,109 @@
                 is_under_way,
                 permit: answer,
             }) => {
-                let mut turn = turn.admit(reservation, &history)?;
+                let mut turn = turn.apply_reservation(reservation, &history)?;
                 turn.permit = match permit.zip(answer) {
-                    Some((request, answer)) => permit::accept(app, &request, answer, began)?,
+                    Some((request, answer)) => {
+                        permit::apply_answer(app, &request, answer, started_at)?
+                    }
                     None => Permit::Unlimited,
                 };
-                turn.place(decision, began, is_under_way).await?;
+                turn.await_placement(decision, started_at, is_under_way).await?;
                 Ok(turn)
             }
             Ok(Answer::Permit(answer)) => {
-                // Refused before anything was reserved.
+                // Rejected before anything was reserved.
                 turn.is_settled = true;
                 if let Some(request) = &permit {
-                    permit::accept(app, request, answer, began)?;
+                    permit::apply_answer(app, request, answer, started_at)?;
                 }
-                Err(Refusal::not_run(NotRunReason::LedgerUnavailable, RETRY_AFTER))
+                Err(GatewayError::not_executed(NotExecutedReason::LedgerUnavailable, RETRY_AFTER))
             }
-            _ => Err(Refusal::not_run(NotRunReason::LedgerUnavailable, RETRY_AFTER)),
+            _ => Err(GatewayError::not_executed(NotExecutedReason::LedgerUnavailable, RETRY_AFTER)),
         }
     }
 
-    /// Waits until it is decided when and where the turn runs. `first` is the decision that came
-    /// with the reservation, if any; it was asked for at `asked`.
-    async fn place(
+    /// Waits for the placement of the turn. `initial` is the decision that came with the
+    /// reservation, if any; it was requested at `requested_at`.
+    async fn await_placement(
         &mut self,
-        first: Option<Decision>,
-        asked: Instant,
+        initial: Option<Decision>,
+        requested_at: Instant,
         is_under_way: bool,
-    ) -> Result<(), Refusal> {
-        let mut asked = asked;
-        let decision = match first {
+    ) -> Result<(), GatewayError> {
+        let mut requested_at = requested_at;
+        let decision = match initial {
             Some(Decision::Wait) => {
-                asked = Instant::now();
-                let decision = self.wait_for_place(is_under_way).await;
-                // It was counted as sent when it was issued.
-                self.permit.lapse();
+                requested_at = Instant::now();
+                let decision = self.request_placement(is_under_way).await;
+                // The rate limit counted the request when the permit was issued, so sending it
+                // after the wait requires a new permit.
+                self.permit.invalidate();
                 decision
             }
-            decided => decided,
+            decision => decision,
         };
         match decision {
-            Some(Decision::Run(replica)) => self.placed_on = Some(PlacedReplica::warm(replica)),
+            Some(Decision::Run(replica)) => self.placement = Some(PlacedReplica::warm(replica)),
             Some(Decision::RunCold { replica, waited_ms }) => {
                 let waited = Duration::from_millis(waited_ms);
-                self.placed_on = Some(PlacedReplica::cold(replica, asked, waited));
+                self.placement = Some(PlacedReplica::cold(replica, requested_at, waited));
             }
             Some(Decision::Refuse(after)) => {
-                return Err(Refusal::not_run(NotRunReason::ReplicasFull, after));
+                return Err(GatewayError::not_executed(NotExecutedReason::ReplicasFull, after));
             }
             Some(Decision::RunAnywhere | Decision::Wait) | None => {}
         }
         Ok(())
     }
 
-    /// Asks until it is decided; `None` when nobody leads, and the turn looks for a replica
-    /// by itself.
-    async fn wait_for_place(&self, is_under_way: bool) -> Option<Decision> {
-        let placement = placement_of(&self.app, &self.call)?;
+    /// Waits for the leader's decision. Returns `None` if there is no leader; the gateway then
+    /// selects a replica itself.
+    async fn request_placement(&self, is_under_way: bool) -> Option<Decision> {
+        let placement = placement_request(&self.app, &self.call)?;
         let placement = PlacementRequest { is_under_way, ..placement };
         let question =
             Question::Place { turn: self.call.scoped(&self.call.head.request_id), placement };
-        let began = Instant::now();
-        let deadline = self.call.deadline.min(began + PLACE_PATIENCE);
+        let started_at = Instant::now();
+        let deadline = self.call.deadline.min(started_at + PLACEMENT_TIMEOUT);
         let decision = match self.app.ledger.ask(&question, deadline).await {
             Ok(Answer::Placed(decision)) => Some(decision),
             _ => None,
         };
-        LEDGER_TIMES.note("place", began.elapsed());
-        log_placed(&self.call, decision.as_ref(), began);
+        LEDGER_TIMES.note("place", started_at.elapsed());
+        log_placed(&self.call, decision.as_ref(), started_at);
         decision
     }
 
-    fn admit(mut self, reservation: Reservation, history: &[u8]) -> Result<Self, Refusal> {
+    fn apply_reservation(
+        mut self,
+        reservation: Reservation,
+        history: &[u8],
+    ) -> Result<Self, GatewayError> {
         match reservation {
             Reservation::Granted => {
                 if self.call.route.retain && !history.is_empty() {
-                    self.body = concatenated(history, &self.call.body);
+                    self.body = concat(history, &self.call.body);
                 }
                 Ok(self)
             }
             Reservation::BudgetSpent => {
                 self.is_settled = true;
-                Err(Refusal::BudgetSpent)
+                Err(GatewayError::BudgetSpent)
             }
             Reservation::NoSuchTurn => {
                 self.is_settled = true;
-                Err(Refusal::NoSuchTurn)
+                Err(GatewayError::NoSuchTurn)
             }
             Reservation::Ended => {
                 self.is_settled = true;
-                Err(Refusal::not_run(NotRunReason::LedgerUnavailable, RETRY_AFTER))
+                Err(GatewayError::not_executed(NotExecutedReason::LedgerUnavailable, RETRY_AFTER))
             }
         }
     }
 
-    /// Counts an event that goes to the caller.
-    pub fn note_event(&mut self, data: Option<&[u8]>, tokens: u64) {
+    /// Records an event that is sent to the client.
+    pub fn record_event(&mut self, data: Option<&[u8]>, tokens: u64) {
         self.used_tokens += tokens;
         if let (Some(data), true) = (data, self.call.route.retain) {
             self.output.extend_from_slice(data);
@@ -210,20 +218,21 @@
         }
     }
 
-    fn settlement(&self, retained: Option<RetainedTurn>) -> SettleTurn {
+    fn settle_command(&self, retained: Option<RetainedTurn>) -> SettleTurn {
         SettleTurn {
-            program: account_of(&self.call),
+            program: account_id(&self.call),
             turn: self.call.scoped(&self.call.head.request_id),
             used_tokens: self.used_tokens,
             retention_ms: millis(self.call.route.retention),
             retained,
-            run: self.run().map(Box::new),
+            run: self.turn_run().map(Box::new),
         }
     }
 
-    /// What the replica that ran the turn has read by it.
-    fn run(&self) -> Option<TurnRun> {
-        let replica = self.ran_at.clone()?;
+    /// Describes the run for the scheduler: the prompt that the replica has now cached, and its
+    /// timing.
+    fn turn_run(&self) -> Option<TurnRun> {
+        let replica = self.replica_id.clone()?;
         let service = self.call.service()?;
         let engine = service.engine.as_ref()?;
         let generated = u32::try_from(self.used_tokens).unwrap_or(u32::MAX);
@@ -231,36 +240,36 @@
         if let Some(last) = prompt.last_mut() {
             last.tokens = last.tokens.saturating_add(generated);
         }
-        let sample = self.sent.filter(|_| self.is_whole).map(|sent| RunSample {
+        let sample = self.sent_at.filter(|_| self.is_complete).map(|sent_at| RunSample {
             generated,
-            time_ms: u32::try_from(millis(sent.elapsed())).unwrap_or(u32::MAX),
+            time_ms: u32::try_from(millis(sent_at.elapsed())).unwrap_or(u32::MAX),
         });
         let service = service.name.clone();
         Some(TurnRun { replica, prompt, memory_tokens: engine.memory_tokens, service, sample })
     }
 
-    /// Ends a turn whose answer is whole; a retained one is durable afterwards.
+    /// Completes a turn whose response is complete; a retained turn is durable afterwards.
     ///
     /// # Errors
-    /// When the ledger does not confirm it in time: the answer must not end whole.
-    pub async fn complete(mut self) -> Result<(), Refusal> {
+    /// Returns an error if the ledger does not confirm in time. The response must then be aborted.
+    pub async fn complete(mut self) -> Result<(), GatewayError> {
         if self.is_settled {
             return Ok(());
         }
-        self.is_whole = true;
+        self.is_complete = true;
         if !self.call.route.retain {
-            // The drop settles; nobody has to wait for it.
+            // Settled in the background by `drop`, without delaying the response.
             return Ok(());
         }
         let retained = RetainedTurn {
-            previous: scoped_previous(&self.call),
+            previous: previous_turn_id(&self.call),
             input: self.call.body.to_vec(),
             output: std::mem::take(&mut self.output),
         };
-        let question = Question::Settle(self.settlement(Some(retained)));
-        let began = Instant::now();
+        let question = Question::Settle(self.settle_command(Some(retained)));
+        let started_at = Instant::now();
         let answer = self.app.ledger.ask(&question, self.call.deadline).await;
-        LEDGER_TIMES.note("settle", began.elapsed());
+        LEDGER_TIMES.note("settle", started_at.elapsed());
         match answer {
             Ok(Answer::Settled) => {
                 self.is_settled = true;
@@ -268,29 +277,30 @@
                     Event::TurnSettled;
                     request = self.call.head.request_id,
                     tokens = self.used_tokens,
-                    after_ms = began.elapsed().as_millis(),
+                    after_ms = started_at.elapsed().as_millis(),
                 );
                 Ok(())
             }
-            _ => Err(Refusal::Unknown),
+            _ => Err(GatewayError::Unknown),
         }
     }
 }
 
 impl Drop for Turn {
-    /// A caller that left, a replica that broke: what was handed out is settled.
+    /// Settles an incomplete turn, e.g. after a client disconnected or a replica failed, with the
+    /// tokens sent so far.
     fn drop(&mut self) {
         if self.is_settled {
             return;
         }
         let app = Arc::clone(&self.app);
         let id = self.call.head.request_id.clone();
-        let question = Question::Settle(self.settlement(None));
-        // A planned stop waits for it.
+        let question = Question::Settle(self.settle_command(None));
+        // A graceful shutdown waits for the settlement.
         let guard = app.begin_request();
         tokio::spawn(async move {
             let _guard = guard;
-            let deadline = Instant::now() + BACKGROUND_PATIENCE;
+            let deadline = Instant::now() + BACKGROUND_SETTLE_TIMEOUT;
             if app.ledger.ask(&question, deadline).await.is_err() {
                 emit!(Event::SettlementLost; request = id);
             }
@@ -298,18 +308,18 @@
     }
 }
 
-fn log_placed(call: &Call, decision: Option<&Decision>, began: Instant) {
+fn log_placed(call: &Call, decision: Option<&Decision>, started_at: Instant) {
     let outcome = decision.map_or_else(|| "no leader".to_owned(), |known| format!("{known:?}"));
     emit!(
         Event::TurnPlaced;
         request = call.head.request_id,
         outcome = outcome,
-        waited_ms = began.elapsed().as_millis(),
-        left_ms = call.left().as_millis(),
+        waited_ms = started_at.elapsed().as_millis(),
+        left_ms = call.time_left().as_millis(),
     );
 }
 
-fn log_reserved(call: &Call, answer: &Result<Answer, AskError>, began: Instant) {
+fn log_reserved(call: &Call, answer: &Result<Answer, AskError>, started_at: Instant) {
     let (outcome, history, decision) = match answer {
         Ok(Answer::Reserved { reservation, history, decision, .. }) => {
             (format!("{reservation:?}"), history.len(), decision.as_ref())
@@ -330,11 +340,11 @@
         history_bytes = history,
         decision = decision,
         finish_ms = call.head.finish.map_or(-1, |left| left.as_millis().cast_signed()),
-        after_ms = began.elapsed().as_millis(),
+        after_ms = started_at.elapsed().as_millis(),
     );
 }
 
-fn concatenated(history: &[u8], input: &Bytes) -> Bytes {
+fn concat(history: &[u8], input: &Bytes) -> Bytes {
     let mut body = BytesMut::with_capacity(history.len() + input.len());
     body.extend_from_slice(history);
     body.extend_from_slice(input);
@@ -345,19 +355,19 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn reserve_of(call: &Call) -> ReserveTurn {
+fn reserve_command(call: &Call) -> ReserveTurn {
     ReserveTurn {
-        program: account_of(call),
+        program: account_id(call),
         turn: call.scoped(&call.head.request_id),
         most_tokens: call.head.most_tokens,
         budget: call.head.budget.unwrap_or(u64::MAX),
-        previous: scoped_previous(call).filter(|_| call.route.retain),
+        previous: previous_turn_id(call).filter(|_| call.route.retain),
         retention_ms: millis(call.route.retention),
     }
 }
 
-/// What the ledger needs to place a turn whose prompt is known.
-fn placement_of(app: &App, call: &Call) -> Option<PlacementRequest> {
+/// Builds the placement request for a turn whose prompt is known.
+fn placement_request(app: &App, call: &Call) -> Option<PlacementRequest> {
     let service = call.service()?;
     let engine = service.engine.as_ref()?;
     Some(PlacementRequest {
@@ -366,8 +376,8 @@
         connected: app.pool.connected(),
         prompt: call.head.prompt.clone(),
         memory_tokens: engine.memory_tokens,
-        left_ms: millis(call.left()),
-        finish_ms: call.finish_left().map(millis),
+        left_ms: millis(call.time_left()),
+        finish_ms: call.program_time_left().map(millis),
         priority: call.priority(),
         is_under_way: false,
         homes: call.homes(),
@@ -375,13 +385,13 @@
     })
 }
 
-/// The program whose account is charged; a turn without a budget has none.
-fn account_of(call: &Call) -> Option<String> {
+/// Returns the id of the program whose budget is charged; `None` for a turn without a budget.
+fn account_id(call: &Call) -> Option<String> {
     let program = call.head.program.as_deref().filter(|_| call.head.budget.is_some());
     program.map(|program| call.scoped(program))
 }
 
-/// The turn that a turn continues from.
-fn scoped_previous(call: &Call) -> Option<String> {
+/// Returns the scoped id of the turn that this one continues.
+fn previous_turn_id(call: &Call) -> Option<String> {
     call.head.previous_turn.as_deref().map(|previous| call.scoped(previous))
 }
--- a/crates/proxy/src/front/connections.rs
+++ b/crates/proxy/src/front/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Client connections.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -16,12 +16,12 @@
 use crate::app::App;
 use crate::flow;
 
-/// Written bytes that a caller does not acknowledge break the connection after this.
+/// TCP user timeout: time after which a connection with unacknowledged data is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The smallest buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
+/// Minimum buffer size accepted by hyper.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Takes connections until it is cancelled.
+/// Accepts connections until the task is cancelled.
 pub async fn accept(listener: TcpListener, app: Arc<App>, closing: watch::Receiver<bool>) {
     loop {
         if let Ok((stream, _)) = listener.accept().await
@@ -49,7 +49,7 @@
     server
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER));
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = pin!(server.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
         _ = connection.as_mut() => return,
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The sockets that callers connect to.
+//! Sockets that clients connect to, and the lifecycle of the gateway.
 
 mod connections;
 mod ready;
@@ -15,37 +15,38 @@
 use crate::news;
 use crate::settings::ProxySettings;
 
-/// Time in which callers learn that the gateway is not ready, before it stops listening.
-const LAME_DUCK: Duration = Duration::from_millis(2_600);
-/// Left of the grace when answers that are not complete are cut.
+/// Time between reporting not ready and closing the listening socket, so that load balancers stop
+/// sending requests.
+const LAME_DUCK_PERIOD: Duration = Duration::from_millis(2_600);
+/// Part of the grace period that is reserved for aborting incomplete responses.
 const GRACE_RESERVE: Duration = Duration::from_millis(400);
-const END_POLL: Duration = Duration::from_millis(25);
-/// How long nothing must have been under way before the process ends.
-const QUIET: Duration = Duration::from_millis(150);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time without active requests after which the process exits.
+const IDLE_TIME: Duration = Duration::from_millis(150);
 
-/// The sockets of a gateway, already listening.
+/// Listening sockets of a gateway.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// For client requests.
     pub http: TcpListener,
-    /// For questions whether it is ready.
+    /// For readiness checks.
     pub ready: TcpListener,
 }
 
 impl Listeners {
-    /// Listens where the settings say.
+    /// Binds the addresses of the settings.
     ///
     /// # Errors
-    /// When an address is taken.
+    /// Returns an error if an address cannot be bound.
     pub fn bind(settings: &ProxySettings) -> eyre::Result<Self> {
         Ok(Self { http: listen(settings.http)?, ready: listen(settings.ready)? })
     }
 }
 
-/// Runs a gateway until `stop` turns true and its requests have ended.
+/// Runs a gateway until `stop` becomes true and its active requests have ended.
 ///
 /// # Errors
-/// None today; a role that cannot go on says why.
+/// Currently none.
 pub async fn run(
     settings: ProxySettings,
     listeners: Listeners,
@@ -53,41 +54,41 @@
 ) -> eyre::Result<()> {
     let Listeners { http, ready } = listeners;
     let app = Arc::new(App::new(settings));
-    let (closing, closing_seen) = watch::channel(false);
+    let (closing, closing_receiver) = watch::channel(false);
     emit!(
         Event::RoleStarted;
         role = "gateway",
         http = app.settings.http,
         protocol = calicohoist_ledger::protocol::SPOKEN,
     );
-    tokio::spawn(news::follow(Arc::clone(&app)));
+    tokio::spawn(news::run(Arc::clone(&app)));
     tokio::spawn(ready::accept(ready, Arc::clone(&app)));
-    let accepting = tokio::spawn(connections::accept(http, Arc::clone(&app), closing_seen));
+    let accept_task = tokio::spawn(connections::accept(http, Arc::clone(&app), closing_receiver));
     if stop.wait_for(|stop| *stop).await.is_err() {
         return Ok(());
     }
-    emit!(Event::StopRequested; role = "gateway", under_way = app.requests_under_way());
+    emit!(Event::StopRequested; role = "gateway", under_way = app.active_requests());
     let grace = app.settings.grace.saturating_sub(GRACE_RESERVE);
-    let cut_at = Instant::now() + grace;
+    let abort_at = Instant::now() + grace;
     app.stop();
-    tokio::time::sleep(LAME_DUCK.min(grace / 2)).await;
-    accepting.abort();
+    tokio::time::sleep(LAME_DUCK_PERIOD.min(grace / 2)).await;
+    accept_task.abort();
     closing.send_replace(true);
-    wait_until_quiet(&app, cut_at).await;
-    let left = app.requests_under_way();
-    let event = if left == 0 { Event::StopFinished } else { Event::StopForced };
-    emit!(event; role = "gateway", cut = left);
+    wait_until_idle(&app, abort_at).await;
+    let remaining = app.active_requests();
+    let event = if remaining == 0 { Event::StopFinished } else { Event::StopForced };
+    emit!(event; role = "gateway", cut = remaining);
     Ok(())
 }
 
-/// Waits until no request has been under way for a while: one that was on its way when
-/// its connection was told to end still comes in.
-async fn wait_until_quiet(app: &App, cut_at: Instant) {
-    let mut quiet_since = Instant::now();
-    while quiet_since.elapsed() < QUIET && Instant::now() < cut_at {
-        tokio::time::sleep(END_POLL).await;
-        if app.requests_under_way() > 0 {
-            quiet_since = Instant::now();
+/// Waits until there has been no active request for [`IDLE_TIME`], or until `abort_at`. Requests
+/// in transit may still arrive after their connections have started to close.
+async fn wait_until_idle(app: &App, abort_at: Instant) {
+    let mut idle_since = Instant::now();
+    while idle_since.elapsed() < IDLE_TIME && Instant::now() < abort_at {
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+        if app.active_requests() > 0 {
+            idle_since = Instant::now();
         }
     }
 }
--- a/crates/proxy/src/front/ready.rs
+++ b/crates/proxy/src/front/ready.rs
@@ -1,4 +1,4 @@
-//! The address at which the gateway is asked whether it is ready.
+//! Readiness endpoint.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers every question with 200 or 503.
+/// Responds to every request with 200 if the gateway is ready, and with 503 otherwise.
 pub async fn accept(listener: TcpListener, app: Arc<App>) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,17 +1,17 @@
-//! The data plane of a gateway: requests of callers to replicas and back.
+//! Data plane of the gateway: forwards client requests to replicas and their responses back.
 //!
-//! Layers, each knowing only those above it in this list:
+//! Modules, from the lowest layer to the highest; each depends only on those above it:
 //!
-//! - [`dialect`]: what the proxy must know of headers and documents, as a trait;
-//! - [`settings`]: what a gateway is told at its start;
-//! - [`events`]: server-sent events, cut from a byte stream;
-//! - [`memory`]: bytes held for callers and replicas;
-//! - [`fleet`]: the replicas and what is known of each;
-//! - [`upstream`]: kept connections to replicas, and one exchange over one of them;
-//! - [`app`]: what all requests of a process share;
-//! - [`flow`]: the way of one request;
-//! - [`news`]: configuration, replicas and loads, as the ledger tells them;
-//! - [`front`]: the sockets that callers connect to.
+//! - [`dialect`]: trait that reads and writes the platform's headers and documents;
+//! - [`settings`]: startup settings of a gateway;
+//! - [`events`]: incremental parser for server-sent events;
+//! - [`memory`]: memory limit for buffered bodies;
+//! - [`fleet`]: known replicas with their load and health;
+//! - [`upstream`]: connection pool for replicas, and single request-response exchanges;
+//! - [`app`]: state shared by all requests of a process;
+//! - [`flow`]: processing of a single request;
+//! - [`ledger_watch`]: watches the ledger for configuration, replicas and loads;
+//! - [`frontend`]: sockets that clients connect to.
 
 pub mod app;
 pub mod dialect;
--- a/crates/proxy/src/memory.rs
+++ b/crates/proxy/src/memory.rs
@@ -1,8 +1,7 @@
-//! Bytes that a gateway holds for callers and replicas.
+//! Memory limit for buffered request and response bodies.
 //!
-//! The load that this answers: callers and replicas that read slowly, many at a time. What waits for
-//! them is counted before it is read, so that a gateway never holds more than its machine bears and
-//! is not killed with all that it serves.
+//! Slow clients and replicas make the gateway buffer data for them. The memory is reserved before
+//! the data is read, so that many of them at a time cannot exhaust the memory of the machine.
 
 use std::sync::Arc;
 
@@ -11,171 +10,180 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Share of the machine's memory that may be held, in percent: the rest is for sockets, the
-/// configuration and the process itself.
-const HELD_PERCENT: usize = 30;
-/// An answer is large from this part of the limit on.
-const LARGE_PART: usize = 16;
-/// What may be held where the machine's memory is not known, in bytes.
+/// Limit in percent of the machine's memory. The rest is for sockets, the configuration and the
+/// process itself.
+const LIMIT_PERCENT: usize = 30;
+/// Responses above this fraction of the limit are large.
+const LARGE_RESPONSE_DIVISOR: usize = 16;
+/// Limit in bytes if the memory of the machine is unknown.
 const DEFAULT_LIMIT: usize = 64 << 20;
 
-static HELD: Gauge = Gauge::new("calicohoist_held_bytes", "Bytes held for callers and replicas");
+static RESERVED: Gauge =
+    Gauge::new("calicohoist_held_bytes", "Bytes held for callers and replicas");
 
-/// What bytes are held for.
+/// Purpose of reserved memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ByteClass {
-    /// A request's body, which may still be refused.
-    Body,
-    /// An answer, or a piece of one, which is owed to its caller.
-    Answer,
-    /// A large answer: those who read theirs slowly hold up no short one.
-    LargeAnswer,
+pub enum MemoryClass {
+    /// Body of a request, which may still be rejected.
+    RequestBody,
+    /// Response or part of one, which must be delivered to the client.
+    Response,
+    /// Large response. Limited separately, so that slow readers of large responses do not block
+    /// small ones.
+    LargeResponse,
 }
 
-impl ByteClass {
-    /// The class of an answer of so many bytes.
-    pub fn of_answer(bytes: usize, limit: usize) -> Self {
-        if bytes > limit / LARGE_PART { Self::LargeAnswer } else { Self::Answer }
+impl MemoryClass {
+    /// Returns the class of a response of `bytes` bytes.
+    pub fn of_response(bytes: usize, limit: usize) -> Self {
+        if bytes > limit / LARGE_RESPONSE_DIVISOR { Self::LargeResponse } else { Self::Response }
     }
 
-    /// Whether so many bytes more may be held. Bodies have a quarter of the limit and answers the
-    /// rest, so that what was let in finds room for its answer; large ones leave a quarter for
-    /// short ones. What is alone in its share may be of any size: it would wait for ever.
-    fn admits(self, bytes: usize, held: &HeldByClass, limit: usize) -> bool {
-        let fits = |held: usize, share: usize| held == 0 || held.saturating_add(bytes) <= share;
-        let answers = held.answers + held.large_answers;
+    /// Returns whether `bytes` more bytes may be reserved. Request bodies get a quarter of the
+    /// limit and responses the rest, so that accepted requests find room for their responses;
+    /// large responses leave a quarter for small ones. If nothing else is reserved in its share, a
+    /// reservation of any size is granted, since it could never succeed otherwise.
+    fn admits(self, bytes: usize, reserved: &BytesByClass, limit: usize) -> bool {
+        let fits = |used: usize, share: usize| used == 0 || used.saturating_add(bytes) <= share;
+        let responses = reserved.responses + reserved.large_responses;
         match self {
-            Self::Body => fits(held.bodies, limit / 4),
-            Self::Answer => fits(answers, limit / 4 * 3),
-            Self::LargeAnswer => {
-                fits(held.large_answers, limit / 2) && fits(answers, limit / 4 * 3)
+            Self::RequestBody => fits(reserved.request_bodies, limit / 4),
+            Self::Response => fits(responses, limit / 4 * 3),
+            Self::LargeResponse => {
+                fits(reserved.large_responses, limit / 2) && fits(responses, limit / 4 * 3)
             }
         }
     }
 }
 
-/// Bytes held, by class.
+/// Reserved bytes by class.
 #[derive(Clone, Copy, Debug, Default)]
-struct HeldByClass {
-    bodies: usize,
-    answers: usize,
-    large_answers: usize,
+struct BytesByClass {
+    request_bodies: usize,
+    responses: usize,
+    large_responses: usize,
 }
 
-impl HeldByClass {
-    fn of(&mut self, class: ByteClass) -> &mut usize {
+impl BytesByClass {
+    fn class_mut(&mut self, class: MemoryClass) -> &mut usize {
         match class {
-            ByteClass::Body => &mut self.bodies,
-            ByteClass::Answer => &mut self.answers,
-            ByteClass::LargeAnswer => &mut self.large_answers,
+            MemoryClass::RequestBody => &mut self.request_bodies,
+            MemoryClass::Response => &mut self.responses,
+            MemoryClass::LargeResponse => &mut self.large_responses,
         }
     }
 
     fn sum(&self) -> usize {
-        self.bodies + self.answers + self.large_answers
+        self.request_bodies + self.responses + self.large_responses
     }
 }
 
-/// Bytes held by a process, against a limit.
+/// Memory limit of a process, with the current reservations.
 #[derive(Debug)]
-pub struct ByteBudget {
+pub struct MemoryBudget {
     limit: usize,
-    held: Mutex<HeldByClass>,
-    returned: Notify,
+    reserved: Mutex<BytesByClass>,
+    released: Notify,
 }
 
-impl ByteBudget {
-    /// The budget of a machine with so many bytes of memory; `None` where that is not known.
-    pub fn of_machine(memory: Option<usize>) -> Arc<Self> {
-        Self::with_limit(memory.map_or(DEFAULT_LIMIT, |memory| memory / 100 * HELD_PERCENT))
+impl MemoryBudget {
+    /// Creates a budget for a machine with `memory` bytes of memory, or a default one if that is
+    /// unknown.
+    pub fn for_machine(memory: Option<usize>) -> Arc<Self> {
+        Self::with_limit(memory.map_or(DEFAULT_LIMIT, |memory| memory / 100 * LIMIT_PERCENT))
     }
 
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn with_limit(limit: usize) -> Arc<Self> {
-        Arc::new(Self { limit, held: Mutex::default(), returned: Notify::new() })
+        Arc::new(Self { limit, reserved: Mutex::default(), released: Notify::new() })
     }
 
-    /// Bytes held now.
-    pub fn held(&self) -> usize {
-        self.held.lock().sum()
+    /// Returns the number of reserved bytes.
+    pub fn reserved(&self) -> usize {
+        self.reserved.lock().sum()
     }
 
-    /// Holds so many bytes, if they fit.
-    pub fn try_hold(self: &Arc<Self>, class: ByteClass, bytes: usize) -> Option<HeldBytes> {
-        let mut held = self.held.lock();
-        if !class.admits(bytes, &held, self.limit) {
+    /// Reserves `bytes` bytes if they fit.
+    pub fn try_reserve(
+        self: &Arc<Self>,
+        class: MemoryClass,
+        bytes: usize,
+    ) -> Option<MemoryReservation> {
+        let mut reserved = self.reserved.lock();
+        if !class.admits(bytes, &reserved, self.limit) {
             return None;
         }
-        *held.of(class) += bytes;
-        HELD.show(held.sum() as u64);
-        Some(HeldBytes { budget: Arc::clone(self), class, bytes })
+        *reserved.class_mut(class) += bytes;
+        RESERVED.show(reserved.sum() as u64);
+        Some(MemoryReservation { budget: Arc::clone(self), class, bytes })
     }
 
-    /// Holds an answer, or a piece of one, of so many bytes once they fit.
-    pub async fn hold_answer(self: &Arc<Self>, bytes: usize) -> HeldBytes {
-        let class = ByteClass::of_answer(bytes, self.limit);
+    /// Reserves `bytes` bytes for a response or part of one, waiting until they fit.
+    pub async fn reserve_response(self: &Arc<Self>, bytes: usize) -> MemoryReservation {
+        let class = MemoryClass::of_response(bytes, self.limit);
         loop {
-            // Registered before the look, so that no return in between is missed.
-            let returned = self.returned.notified();
-            if let Some(held) = self.try_hold(class, bytes) {
-                return held;
+            // Registered before the attempt, so that no release in between is missed.
+            let released = self.released.notified();
+            if let Some(reservation) = self.try_reserve(class, bytes) {
+                return reservation;
             }
-            returned.await;
+            released.await;
         }
     }
 
-    fn take_back(&self, class: ByteClass, bytes: usize) {
-        let mut held = self.held.lock();
-        *held.of(class) -= bytes;
-        HELD.show(held.sum() as u64);
-        drop(held);
-        self.returned.notify_waiters();
+    fn release(&self, class: MemoryClass, bytes: usize) {
+        let mut reserved = self.reserved.lock();
+        *reserved.class_mut(class) -= bytes;
+        RESERVED.show(reserved.sum() as u64);
+        drop(reserved);
+        self.released.notify_waiters();
     }
 }
 
-/// Bytes that count as held until this is dropped.
+/// Reservation of memory, released on drop.
 #[derive(Debug)]
-pub struct HeldBytes {
-    budget: Arc<ByteBudget>,
-    class: ByteClass,
+pub struct MemoryReservation {
+    budget: Arc<MemoryBudget>,
+    class: MemoryClass,
     bytes: usize,
 }
 
-impl HeldBytes {
-    /// These bytes, which count as held until the last handle to them is dropped: a connection drops
-    /// its own once they are written.
-    pub fn guard(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(GuardedBytes { bytes, _held: self })
+impl MemoryReservation {
+    /// Attaches the reservation to `bytes`. It is released when the last handle to them is
+    /// dropped, which a connection does after writing them.
+    pub fn attach_to(self, bytes: Bytes) -> Bytes {
+        Bytes::from_owner(ReservedBytes { bytes, _reservation: self })
     }
 
-    /// Holds at least so many bytes from now on; returns whether it does. An answer that has begun
-    /// does in any case: two half-read ones must not wait for each other.
+    /// Grows the reservation to at least `bytes` bytes; returns whether that succeeded. For
+    /// responses it always succeeds, since two partially read responses could wait for each other
+    /// forever.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
-        let mut held = self.budget.held.lock();
-        let may_be_refused = self.class == ByteClass::Body && more > 0;
-        if may_be_refused && !self.class.admits(more, &held, self.budget.limit) {
+        let mut reserved = self.budget.reserved.lock();
+        let may_fail = self.class == MemoryClass::RequestBody && more > 0;
+        if may_fail && !self.class.admits(more, &reserved, self.budget.limit) {
             return false;
         }
-        *held.of(self.class) += more;
+        *reserved.class_mut(self.class) += more;
         self.bytes += more;
         true
     }
 }
 
-struct GuardedBytes {
+struct ReservedBytes {
     bytes: Bytes,
-    _held: HeldBytes,
+    _reservation: MemoryReservation,
 }
 
-impl AsRef<[u8]> for GuardedBytes {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.budget.take_back(self.class, self.bytes);
+        self.budget.release(self.class, self.bytes);
     }
 }
--- a/crates/proxy/src/news.rs
+++ b/crates/proxy/src/news.rs
@@ -1,4 +1,4 @@
-//! Configuration, replicas and loads, as the ledger tells them.
+//! Watches the ledger for configuration, replicas and loads.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,49 +18,47 @@
 
 static DRAINED_ZONES: Gauge =
     Gauge::new("calicohoist_proxy_drained_zones", "Zones that are drained, as known here");
-static RUNNING_IN_DRAINED: Gauge = Gauge::new(
+static REQUESTS_IN_DRAINED_ZONES: Gauge = Gauge::new(
     "calicohoist_proxy_running_in_drained",
     "Requests of this gateway that still run in drained zones",
 );
 
-/// Longest time that one watch is asked for: twice what the largest configuration, 16 MB that do
-/// not compress, takes over a link of 30 Mbit/s. A leader that is silent is left long before; an
-/// answer that comes later is lost, and would have to come again over the same link.
-const WATCH_PATIENCE: Duration = Duration::from_secs(10);
-/// Age of the newest reading from which a gateway reads for itself.
-const LIST_AGE: Duration = Duration::from_millis(2_000);
-/// Time between two readings of its own.
-const OWN_READING_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Pause after a configuration that cannot be read here: it would come again at once.
-const REFUSED_PAUSE: Duration = Duration::from_millis(500);
-/// Problems with homes that are logged one by one; the others are counted. Each of tens of
-/// thousands of tenants may have one with each route.
-const MOST_HOME_LINES: usize = 20;
-/// How often the age is looked at.
-const AGE_CHECK: Duration = Duration::from_millis(400);
-
-/// Follows the ledger, and discovery where the ledger says nothing.
-pub async fn follow(app: Arc<App>) {
-    let follower = Follower { app, state: parking_lot::Mutex::default() };
-    tokio::join!(follower.watch_ledger(), follower.watch_list());
+/// Timeout of a watch request. Long enough to receive the largest configuration over a slow link;
+/// an unresponsive leader is detected earlier.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Age of the replica list from which the gateway reads it from discovery itself.
+const MAX_LIST_AGE: Duration = Duration::from_millis(2_000);
+/// Interval between the gateway's own readings of the list.
+const LIST_READ_INTERVAL: Duration = Duration::from_millis(1_200);
+/// Delay after a rejected configuration, which the leader would send again immediately.
+const REJECTED_CONFIGURATION_DELAY: Duration = Duration::from_millis(500);
+/// Maximum number of home problems that are logged individually.
+const MAX_LOGGED_HOME_PROBLEMS: usize = 20;
+/// Interval between checks of the list's age.
+const LIST_AGE_CHECK_INTERVAL: Duration = Duration::from_millis(400);
+
+/// Watches the ledger, and reads the replica list from discovery while the ledger is unavailable.
+pub async fn run(app: Arc<App>) {
+    let watcher = LedgerWatcher { app, state: parking_lot::Mutex::default() };
+    tokio::join!(watcher.watch_ledger(), watcher.poll_list());
 }
 
 #[derive(Clone, Copy, Default)]
-struct FollowerState {
+struct WatchState {
     list: ListMark,
     failing: ChangeMark,
     cold: ChangeMark,
 }
 
-struct Follower {
+struct LedgerWatcher {
     app: Arc<App>,
-    state: parking_lot::Mutex<FollowerState>,
+    state: parking_lot::Mutex<WatchState>,
 }
 
-impl Follower {
+impl LedgerWatcher {
     async fn watch_ledger(&self) {
         loop {
-            let FollowerState { list, failing, cold } = *self.state.lock();
+            let WatchState { list, failing, cold } = *self.state.lock();
             let seen = Seen {
                 gateway: self.app.settings.name.clone(),
                 configuration: self.app.table().map_or(0, |table| table.version()),
@@ -70,67 +68,67 @@
                 loads: self.app.fleet.own_loads(),
                 drained: self.app.fleet.drained_version(),
             };
-            RUNNING_IN_DRAINED.show(u64::from(self.app.fleet.running_in_drained()));
-            let deadline = Instant::now() + WATCH_PATIENCE;
+            REQUESTS_IN_DRAINED_ZONES.show(u64::from(self.app.fleet.requests_in_drained_zones()));
+            let deadline = Instant::now() + WATCH_TIMEOUT;
             let answer = self.app.ledger.ask(&Question::Watch(seen), deadline).await;
             if answer.is_ok() {
-                self.app.note_followed(Instant::now());
+                self.app.record_leader_answer(Instant::now());
             }
             match answer {
                 Ok(Answer::Configuration { version, document }) => {
-                    if !self.apply(version, &document) {
-                        tokio::time::sleep(REFUSED_PAUSE).await;
+                    if !self.apply_configuration(version, &document) {
+                        tokio::time::sleep(REJECTED_CONFIGURATION_DELAY).await;
                     }
                 }
-                Ok(Answer::List { mark, list }) => self.take_list(mark, list),
-                Ok(Answer::DrainedZones(drained)) => self.take_drained(drained),
-                Ok(Answer::News(news)) => self.take(news),
+                Ok(Answer::List { mark, list }) => self.apply_list(mark, list),
+                Ok(Answer::DrainedZones(drained)) => self.apply_drained_zones(drained),
+                Ok(Answer::News(news)) => self.apply_news(news),
                 Ok(_) | Err(AskError::Deadline) => {}
             }
         }
     }
 
-    fn take(&self, news: News) {
+    fn apply_news(&self, news: News) {
         self.app.ledger.learn_machines(news.machines);
         if news.loads_of == self.state.lock().list {
-            self.app.fleet.note_other_loads(&news.loads, Instant::now());
+            self.app.fleet.record_other_loads(&news.loads, Instant::now());
         }
         if let Some((mark, failing)) = news.failing {
             self.state.lock().failing = mark;
-            self.app.fleet.note_failing(&failing);
+            self.app.fleet.mark_failing(&failing);
         }
         if let Some((mark, cold)) = news.cold {
             self.state.lock().cold = mark;
-            self.app.fleet.note_cold(&cold, Instant::now());
+            self.app.fleet.mark_cold(&cold, Instant::now());
         }
         if let Some(age) = news.list_age_ms {
-            let read = Instant::now().checked_sub(Duration::from_millis(age));
-            self.app.fleet.note_list_read(read);
+            let read_at = Instant::now().checked_sub(Duration::from_millis(age));
+            self.app.fleet.record_list_read(read_at);
         }
     }
 
-    fn take_drained(&self, drained: DrainedZones) {
+    fn apply_drained_zones(&self, drained: DrainedZones) {
         let (version, zones) = (drained.version, drained.to_string());
         DRAINED_ZONES.show(drained.zones.len() as u64);
         self.app.fleet.set_drained(drained);
-        let running = self.app.fleet.running_in_drained();
+        let running = self.app.fleet.requests_in_drained_zones();
         emit!(Event::DrainApplied; version = version, zones = zones, running = running);
     }
 
-    fn take_list(&self, mark: ListMark, list: ReplicaList) {
+    fn apply_list(&self, mark: ListMark, list: ReplicaList) {
         emit!(
             Event::ListApplied;
             source = "leader",
             list = mark,
             replicas = list.replicas.len(),
         );
-        self.app.fleet.note_first_sight(&list.replicas, Instant::now());
-        self.put_list(list.replicas);
+        self.app.fleet.mark_new_as_cold(&list.replicas, Instant::now());
+        self.install_list(list.replicas);
         self.state.lock().list = mark;
     }
 
-    /// Puts a configuration in force; `false` when it is none.
-    fn apply(&self, version: u64, document: &PackedBytes) -> bool {
+    /// Applies a configuration; returns `false` if it is invalid.
+    fn apply_configuration(&self, version: u64, document: &PackedBytes) -> bool {
         let document = match document.unpack() {
             Ok(document) => document,
             Err(error) => {
@@ -141,10 +139,10 @@
         match self.app.dialect().parse_configuration(&document) {
             Ok(configuration) => {
                 let topology = &self.app.settings.topology;
-                let findings = check_homes(&configuration, topology, MOST_HOME_LINES);
+                let findings = check_homes(&configuration, topology, MAX_LOGGED_HOME_PROBLEMS);
                 if self.app.put_table(RouteTable::new(configuration, &self.app.key_secret)) {
                     emit!(Event::ConfigurationApplied; version = version, bytes = document.len());
-                    log_homes(version, &findings);
+                    log_home_problems(version, &findings);
                 }
                 true
             }
@@ -155,47 +153,52 @@
         }
     }
 
-    fn put_list(&self, replicas: Vec<Replica>) {
+    fn install_list(&self, replicas: Vec<Replica>) {
         self.app.fleet.update(replicas);
         self.app.pool.retain(&self.app.fleet.ids());
-        self.app.note_list();
+        self.app.mark_list_received();
     }
 
-    /// Takes in what this gateway's own reading tells of cold replicas.
-    fn note_listed_cold(&self, watch: &mut ColdTracker, listed: &[ListedReplica], began: Instant) {
+    /// Marks the cold replicas that the gateway's own reading shows.
+    fn mark_listed_cold(
+        &self,
+        cold_tracker: &mut ColdTracker,
+        listed: &[ListedReplica],
+        started_at: Instant,
+    ) {
         let times = listed.iter().map(|listed| (listed.replica.id.as_str(), listed.cold_left));
-        watch.update(times, began);
-        self.app.fleet.note_cold(&watch.cold().remaining_ms(began), began);
+        cold_tracker.update(times, started_at);
+        self.app.fleet.mark_cold(&cold_tracker.cold().remaining_ms(started_at), started_at);
     }
 
-    /// Reads the list here when no leader has told of a reading lately.
-    async fn watch_list(&self) {
-        let mut watch = ColdTracker::default();
-        tokio::time::sleep(LIST_AGE).await;
+    /// Reads the replica list from discovery while the leader provides no recent one.
+    async fn poll_list(&self) {
+        let mut cold_tracker = ColdTracker::default();
+        tokio::time::sleep(MAX_LIST_AGE).await;
         loop {
-            if self.app.fleet.list_age() < LIST_AGE {
-                tokio::time::sleep(AGE_CHECK).await;
+            if self.app.fleet.list_age() < MAX_LIST_AGE {
+                tokio::time::sleep(LIST_AGE_CHECK_INTERVAL).await;
                 continue;
             }
-            let began = Instant::now();
+            let started_at = Instant::now();
             match self.app.settings.list.read().await {
                 Ok(replicas) => {
                     emit!(Event::ListApplied; source = "own reading", replicas = replicas.len());
-                    self.note_listed_cold(&mut watch, &replicas, began);
-                    self.put_list(replicas.into_iter().map(|listed| listed.replica).collect());
+                    self.mark_listed_cold(&mut cold_tracker, &replicas, started_at);
+                    self.install_list(replicas.into_iter().map(|listed| listed.replica).collect());
                     let mut state = self.state.lock();
-                    // The leader's list is to be told anew, whatever its version.
+                    // Makes the leader send its list again, whatever its version.
                     state.list = ListMark::default();
                 }
                 Err(error) => emit!(Event::PlatformUnreachable, "list of replicas: {error}"),
             }
-            tokio::time::sleep(OWN_READING_INTERVAL.saturating_sub(began.elapsed())).await;
+            tokio::time::sleep(LIST_READ_INTERVAL.saturating_sub(started_at.elapsed())).await;
         }
     }
 }
 
-/// Logs what is questionable about homes, the first problems one by one.
-fn log_homes(version: u64, findings: &HomeFindings) {
+/// Logs the problems with homes: the first ones individually, the rest as a count.
+fn log_home_problems(version: u64, findings: &HomeFindings) {
     let HomeFindings { problems, more, .. } = findings;
     for problem in problems {
         emit!(Event::HomeQuestionable; version = version, problem = problem);
--- a/crates/proxy/src/settings.rs
+++ b/crates/proxy/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start.
+//! Startup settings of a gateway.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 /// Settings of a gateway.
 #[derive(Clone)]
 pub struct ProxySettings {
-    /// Name for logs and load reports.
+    /// Name of the gateway in logs and load reports.
     pub name: String,
-    /// Where it runs.
+    /// Zone of the gateway.
     pub zone: String,
-    /// Where zones lie.
+    /// Regions of the zones.
     pub topology: Arc<Topology>,
-    /// Where callers connect.
+    /// Listen address for client requests.
     pub http: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Listen address for readiness checks.
     pub ready: SocketAddr,
-    /// Ledger machines to ask first.
+    /// Addresses of the ledger machines to contact first.
     pub ledger_seeds: Vec<Ipv4Addr>,
-    /// Their port for gateways.
+    /// Port of the ledger for gateways.
     pub ledger_port: u16,
-    /// Reads the list of replicas when no leader tells it.
+    /// Reads the replica list when no leader provides it.
     pub list: ListReader,
-    /// Time from a request to stop until the process is killed.
+    /// Time between a shutdown request and the termination of the process.
     pub grace: Duration,
-    /// Memory of the machine, in bytes; `None` where it is not told.
+    /// Memory of the machine in bytes, if known.
     pub memory: Option<usize>,
-    /// How callers, replicas and operators write.
+    /// Header and document format of the platform.
     pub dialect: Arc<dyn Dialect>,
 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one replica, up to the head of its answer.
+//! Sends a single request to a replica and reads the head of its response.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,77 +15,77 @@
 use crate::dialect::{AnswerHead, Dialect, OutgoingHead};
 use crate::fleet::{LoadGuard, Member};
 
-/// What goes to a replica.
+/// Request to a replica.
 #[derive(Clone, Debug)]
 pub struct Outgoing<'a> {
-    /// Method, as the caller sent it.
+    /// Method of the client's request.
     pub method: &'a Method,
-    /// Path and query, as the caller sent them.
+    /// Path and query of the client's request.
     pub uri: &'a Uri,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: &'a HeaderMap,
-    /// Identity of the request, which the answer must repeat.
+    /// Id of the request, which the response must repeat.
     pub request_id: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Continue a stream after this event.
+    /// Id of the event after which a stream is resumed.
     pub last_event: Option<&'a str>,
-    /// The tenant that sent it.
+    /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
-    /// Until when the caller waits; the replica is told what is left.
+    /// Deadline of the client. The replica receives the remaining time.
     pub deadline: Instant,
 }
 
-/// Why an exchange gave no answer.
+/// Reason for which an exchange yielded no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// Nothing was sent.
+    /// The connection failed before the request was sent.
     #[error("no connection")]
     NotSent,
-    /// Nothing was sent: the time to send it was over.
+    /// The deadline for sending passed before the request was sent.
     #[error("too late to be sent")]
     Lapsed,
-    /// The replica states that it did not run the request.
+    /// The replica reports that it did not run the request.
     #[error("the replica did not run it")]
     NotExecuted,
-    /// It was sent, and nobody knows whether it ran.
+    /// The request was sent and may have run.
     #[error("no answer")]
     Unknown,
-    /// It was sent, and its time ran out.
+    /// The request was sent, and its deadline passed.
     #[error("deadline")]
     Deadline,
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read yet.
 pub struct Exchange {
-    /// Its head and body.
+    /// Head and body of the response.
     pub response: Response<Incoming>,
-    /// Where it came from.
+    /// Replica that sent the response.
     pub member: Arc<Member>,
     sender: SendRequest<Full<Bytes>>,
-    keep: Keep,
+    reuse: ConnectionReuse,
     /// Counts the request as load of the replica.
     _load: LoadGuard,
 }
 
-/// Whether the connection may be kept.
+/// Whether the connection may be reused after the response.
 #[derive(Clone, Copy, Debug)]
-enum Keep {
+enum ConnectionReuse {
     No,
     For(Option<Duration>),
 }
 
 impl Exchange {
-    /// Gives the connection back after the whole body was read.
+    /// Returns the connection to the pool after the whole body was read.
     pub fn finish(self, pool: &Pool) {
-        if let Keep::For(keep) = self.keep {
-            pool.check_in(&self.member.replica.id, self.sender, keep);
+        if let ConnectionReuse::For(keep_alive) = self.reuse {
+            pool.check_in(&self.member.replica.id, self.sender, keep_alive);
         }
     }
 }
 
-/// Sends a request, until `send_by` at the latest, and waits for the head of its answer, until
-/// `patience`.
+/// Sends a request no later than `send_by`, and waits for the head of the response until
+/// `response_deadline`.
 ///
 /// # Errors
 /// See [`ExchangeError`].
@@ -95,28 +95,28 @@
     member: &Arc<Member>,
     outgoing: &Outgoing<'_>,
     send_by: Option<Instant>,
-    patience: Instant,
+    response_deadline: Instant,
 ) -> Result<Exchange, ExchangeError> {
-    let load = member.begin();
+    let load = member.begin_request();
     let replica = &member.replica;
     let mut checkout = Checkout::Any;
     loop {
         let connection = pool.check_out(&replica.id, replica.address, checkout).await;
         let mut connection = connection.map_err(|_| ExchangeError::NotSent)?;
-        // Looked at only now, since a new connection may have taken long.
+        // Checked after connecting, which may take long.
         if send_by.is_some_and(|send_by| send_by <= Instant::now()) {
-            // Nothing was sent on it, so that the next request may use it.
+            // Nothing was sent on the connection, so it can be reused.
             pool.check_in(&replica.id, connection.sender, None);
             return Err(ExchangeError::Lapsed);
         }
-        let request = build(dialect, outgoing, Incarnation::identity_of(&replica.id));
+        let request = build_request(dialect, outgoing, Incarnation::identity_of(&replica.id));
         let sending = connection.sender.try_send_request(request);
-        let answered = tokio::time::timeout_at(patience.into(), sending).await;
-        match answered {
+        let result = tokio::time::timeout_at(response_deadline.into(), sending).await;
+        match result {
             Err(_) => return Err(ExchangeError::Deadline),
-            Ok(Err(mut failed)) => {
-                // The message comes back when the connection ended before it went out.
-                let was_sent = failed.take_message().is_none();
+            Ok(Err(mut error)) => {
+                // hyper returns the message if the connection closed before it was sent.
+                let was_sent = error.take_message().is_none();
                 if was_sent {
                     return Err(ExchangeError::Unknown);
                 }
@@ -126,54 +126,59 @@
                 checkout = Checkout::New;
             }
             Ok(Ok(response)) => {
-                let answer = dialect.read_answer(response.headers());
-                check(&answer, outgoing.request_id)?;
-                let keep = keep_of(&response);
+                let head = dialect.read_answer(response.headers());
+                check_response(&head, outgoing.request_id)?;
+                let reuse = connection_reuse(&response);
                 let member = Arc::clone(member);
                 let sender = connection.sender;
-                return Ok(Exchange { response, member, sender, keep, _load: load });
+                return Ok(Exchange { response, member, sender, reuse, _load: load });
             }
         }
     }
 }
 
-/// An answer to another request is none; the connection is dropped with it.
-fn check(answer: &AnswerHead, request_id: &str) -> Result<(), ExchangeError> {
-    if answer.request_id.as_deref().is_some_and(|id| id != request_id) {
+/// Checks that the response belongs to the request. Otherwise it is ignored and the connection is
+/// closed.
+fn check_response(head: &AnswerHead, request_id: &str) -> Result<(), ExchangeError> {
+    if head.request_id.as_deref().is_some_and(|id| id != request_id) {
         return Err(ExchangeError::Unknown);
     }
-    if answer.is_not_executed {
+    if head.is_not_executed {
         return Err(ExchangeError::NotExecuted);
     }
-    match answer.request_id {
+    match head.request_id {
         Some(_) => Ok(()),
         None => Err(ExchangeError::Unknown),
     }
 }
 
-fn build(dialect: &dyn Dialect, outgoing: &Outgoing<'_>, replica: &str) -> Request<Full<Bytes>> {
+fn build_request(
+    dialect: &dyn Dialect,
+    outgoing: &Outgoing<'_>,
+    replica: &str,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
-    let left = outgoing.deadline.saturating_duration_since(Instant::now());
+    let time_left = outgoing.deadline.saturating_duration_since(Instant::now());
     let Outgoing { last_event, tenant, .. } = *outgoing;
-    let head = OutgoingHead { deadline: left, replica, last_event, tenant };
+    let head = OutgoingHead { deadline: time_left, replica, last_event, tenant };
     dialect.write_call(request.headers_mut(), &head);
     request
 }
 
-fn keep_of(response: &Response<Incoming>) -> Keep {
+fn connection_reuse(response: &Response<Incoming>) -> ConnectionReuse {
     let headers = response.headers();
-    let closes = headers.get(CONNECTION).and_then(|value| value.to_str().ok());
-    if closes.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
-        return Keep::No;
+    let connection_header = headers.get(CONNECTION).and_then(|value| value.to_str().ok());
+    if connection_header.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
+        return ConnectionReuse::No;
     }
-    Keep::For(keep_alive(headers))
+    ConnectionReuse::For(keep_alive_timeout(headers))
 }
 
-/// The time that a `Keep-Alive: timeout=N` header announces.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the time in a `Keep-Alive: timeout=N` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(HeaderName::from_static("keep-alive"))?.to_str().ok()?;
     let parts = value.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
     let seconds = parts.filter_map(|seconds| seconds.parse().ok()).next();
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Kept connections to replicas, and one exchange over one of them.
+//! Connection pool for replicas, and single request-response exchanges.
 
 mod exchange;
 mod pool;
