--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections, by replica.
+//! Connection pool for replicas.
 //!
-//! A connection carries one request at a time. It is kept only after a whole answer,
-//! and used again only well within the time that the replica keeps it open: when a
-//! replica closes it just as a request goes out, nothing says whether that request ran.
+//! A connection carries one request at a time. It is kept only after a complete response, and
+//! reused only well within the replica's keep-alive time: if the replica closes the connection
+//! while a request is being sent, it is unknown whether the request ran.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,58 +16,58 @@
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 
-/// Kept connections to one replica at most.
-const MAX_IDLE: usize = 16;
-/// How long a connection is kept when the replica does not say.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
-/// A connection is given up this long before the replica closes it.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-const CONNECT_PATIENCE: Duration = Duration::from_millis(400);
+/// Maximum number of idle connections per replica.
+const MAX_IDLE_PER_REPLICA: usize = 16;
+/// Keep-alive time if the replica does not specify one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Idle connections are closed this long before the keep-alive time ends.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a kept connection may take to say that it is free.
-const READY_PATIENCE: Duration = Duration::from_millis(5);
+/// Maximum time for an idle connection to become ready.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// A connection that is free for one request.
+/// A connection that is ready for a request.
 #[derive(Debug)]
 pub struct PooledConnection {
-    /// Sends on the connection.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether it carried a request before.
+    /// Whether the connection has carried a request before.
     pub is_reused: bool,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     usable_until: Instant,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
         self.usable_until > now && !self.sender.is_closed()
     }
 }
 
-/// Kept connections, by identity of the replica.
+/// Idle connections by replica id.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: Mutex<HashMap<String, Vec<Idle>>>,
+    idle: Mutex<HashMap<String, Vec<IdleConnection>>>,
 }
 
-/// What a check-out may use.
+/// Which connections [`Pool::check_out`] may return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checkout {
-    /// A kept connection, or a new one.
+    /// An idle connection, or a new one if there is none.
     Any,
-    /// Only a new one.
+    /// A new connection.
     New,
 }
 
 impl Pool {
-    /// A connection to the replica.
+    /// Returns a connection to a replica.
     ///
     /// # Errors
-    /// When a new one cannot be opened; nothing was sent.
+    /// Returns an error if a new connection cannot be opened; nothing was sent in that case.
     pub async fn check_out(
         &self,
         replica: &str,
@@ -75,85 +75,88 @@
         checkout: Checkout,
     ) -> io::Result<PooledConnection> {
         if checkout == Checkout::Any
-            && let Some(sender) = self.free_connection(replica).await
+            && let Some(sender) = self.idle_connection(replica).await
         {
             return Ok(PooledConnection { sender, is_reused: true });
         }
-        open(address).await
+        open_connection(address).await
     }
 
-    /// The kept connection that was used last and is still free.
-    async fn free_connection(&self, replica: &str) -> Option<SendRequest<Full<Bytes>>> {
+    /// Returns the most recently used idle connection that is ready.
+    async fn idle_connection(&self, replica: &str) -> Option<SendRequest<Full<Bytes>>> {
         loop {
             let mut idle = self.pop(replica)?;
-            let ready = tokio::time::timeout(READY_PATIENCE, idle.sender.ready()).await;
+            let ready = tokio::time::timeout(READY_TIMEOUT, idle.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
                 return Some(idle.sender);
             }
         }
     }
 
-    fn pop(&self, replica: &str) -> Option<Idle> {
+    fn pop(&self, replica: &str) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
-        let kept = idle.get_mut(replica)?;
-        kept.retain(|idle| idle.is_usable(now));
-        kept.pop()
+        let connections = idle.get_mut(replica)?;
+        connections.retain(|idle| idle.is_usable(now));
+        connections.pop()
     }
 
-    /// Keeps a connection whose answer was whole. `keep` is what the replica announced.
+    /// Returns a connection to the pool after a complete response. `keep_alive` is the time that
+    /// the replica announced, if any.
     pub fn check_in(
         &self,
         replica: &str,
         sender: SendRequest<Full<Bytes>>,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
         if sender.is_closed() {
             return;
         }
-        let keep = keep.unwrap_or(DEFAULT_KEEP).saturating_sub(KEEP_MARGIN);
-        let usable_until = Instant::now() + keep;
+        let keep_alive = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(KEEP_ALIVE_MARGIN);
+        let usable_until = Instant::now() + keep_alive;
         let mut idle = self.idle.lock();
-        let kept = idle.entry(replica.to_owned()).or_default();
-        if kept.len() >= MAX_IDLE {
-            kept.remove(0);
+        let connections = idle.entry(replica.to_owned()).or_default();
+        if connections.len() >= MAX_IDLE_PER_REPLICA {
+            connections.remove(0);
         }
-        kept.push(Idle { sender, usable_until });
+        connections.push(IdleConnection { sender, usable_until });
     }
 
-    /// Whether a connection to the replica is kept that may still be used.
+    /// Returns whether there is a usable idle connection to the replica.
     pub fn has_idle(&self, replica: &str) -> bool {
         let now = Instant::now();
         let idle = self.idle.lock();
-        idle.get(replica).is_some_and(|kept| kept.iter().any(|idle| idle.is_usable(now)))
+        idle.get(replica)
+            .is_some_and(|connections| connections.iter().any(|idle| idle.is_usable(now)))
     }
 
-    /// Replicas to which a connection is kept that may still be used.
+    /// Returns the ids of replicas with a usable idle connection.
     pub fn connected(&self) -> Vec<String> {
         let now = Instant::now();
         let idle = self.idle.lock();
-        let is_usable = |kept: &[Idle]| kept.iter().any(|idle| idle.is_usable(now));
-        let usable = idle.iter().filter(|(_, kept)| is_usable(kept));
+        let is_usable =
+            |connections: &[IdleConnection]| connections.iter().any(|idle| idle.is_usable(now));
+        let usable = idle.iter().filter(|(_, connections)| is_usable(connections));
         usable.map(|(replica, _)| replica.clone()).collect()
     }
 
-    /// Closes what is kept to replicas that are not listed, and what is too old.
+    /// Closes connections to replicas that are not listed, and expired ones.
     pub fn retain(&self, listed: &[String]) {
         let now = Instant::now();
         let mut idle = self.idle.lock();
         idle.retain(|replica, _| listed.contains(replica));
-        for kept in idle.values_mut() {
-            kept.retain(|idle| idle.is_usable(now));
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.is_usable(now));
         }
     }
 }
 
-async fn open(address: SocketAddr) -> io::Result<PooledConnection> {
-    let stream = tcp::connect(address, CONNECT_PATIENCE, USER_TIMEOUT).await?;
+async fn open_connection(address: SocketAddr) -> io::Result<PooledConnection> {
+    let stream = tcp::connect(address, CONNECT_TIMEOUT, USER_TIMEOUT).await?;
     let (sender, connection) =
         http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
     tokio::spawn(async move {
-        // How it ended shows in the exchange that it carried.
+        // Errors are reported by the exchange that uses the connection.
         let _ = connection.await;
     });
     Ok(PooledConnection { sender, is_reused: false })
--- a/crates/proxy/tests/memory.rs
+++ b/crates/proxy/tests/memory.rs
@@ -1,64 +1,65 @@
-//! What may be held for callers and replicas.
+//! Memory limit for buffered bodies.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use calicohoist_proxy::memory::{ByteBudget, ByteClass};
+use calicohoist_proxy::memory::{MemoryBudget, MemoryClass};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Only a test that fails takes so long.
-const LONG: Duration = Duration::from_secs(60);
+/// Timeout that is reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[test]
-fn no_class_takes_the_room_of_another() {
-    let budget = ByteBudget::with_limit(100);
-    let body = budget.try_hold(ByteClass::Body, 25).expect("a quarter");
-    assert!(budget.try_hold(ByteClass::Body, 1).is_none());
-    let large = budget.try_hold(ByteClass::LargeAnswer, 50).expect("half");
-    assert!(budget.try_hold(ByteClass::LargeAnswer, 1).is_none());
-    let short = budget.try_hold(ByteClass::Answer, 25).expect("a quarter is left");
-    assert!(budget.try_hold(ByteClass::Answer, 1).is_none());
-    assert_eq!(budget.held(), 100);
+fn classes_have_separate_shares() {
+    let budget = MemoryBudget::with_limit(100);
+    let body = budget.try_reserve(MemoryClass::RequestBody, 25).expect("within its share");
+    assert!(budget.try_reserve(MemoryClass::RequestBody, 1).is_none());
+    let large = budget.try_reserve(MemoryClass::LargeResponse, 50).expect("within its share");
+    assert!(budget.try_reserve(MemoryClass::LargeResponse, 1).is_none());
+    let short = budget.try_reserve(MemoryClass::Response, 25).expect("within its share");
+    assert!(budget.try_reserve(MemoryClass::Response, 1).is_none());
+    assert_eq!(budget.reserved(), 100);
     drop((body, large, short));
-    assert_eq!(budget.held(), 0);
+    assert_eq!(budget.reserved(), 0);
 }
 
-/// One that is larger than its share would wait for ever.
+/// A reservation larger than its share could never succeed otherwise.
 #[test]
-fn anything_may_be_held_when_nothing_is() {
-    let budget = ByteBudget::with_limit(100);
-    let large = budget.try_hold(ByteClass::LargeAnswer, 1_000).expect("alone");
-    assert!(budget.try_hold(ByteClass::LargeAnswer, 1).is_none());
-    assert!(budget.try_hold(ByteClass::Body, 0).is_some(), "a request without a body");
+fn a_single_reservation_may_exceed_its_share() {
+    let budget = MemoryBudget::with_limit(100);
+    let large =
+        budget.try_reserve(MemoryClass::LargeResponse, 1_000).expect("nothing else is reserved");
+    assert!(budget.try_reserve(MemoryClass::LargeResponse, 1).is_none());
+    assert!(budget.try_reserve(MemoryClass::RequestBody, 0).is_some(), "empty request body");
     drop(large);
 }
 
 #[test]
-fn an_answer_that_has_begun_grows_and_a_body_does_not() {
-    let budget = ByteBudget::with_limit(100);
-    let mut body = budget.try_hold(ByteClass::Body, 20).expect("room");
+fn only_response_reservations_grow_beyond_their_share() {
+    let budget = MemoryBudget::with_limit(100);
+    let mut body = budget.try_reserve(MemoryClass::RequestBody, 20).expect("within its share");
     assert!(!body.grow_to(30));
     assert!(body.grow_to(25));
-    let mut answer = budget.try_hold(ByteClass::Answer, 20).expect("room");
+    let mut answer = budget.try_reserve(MemoryClass::Response, 20).expect("within its share");
     assert!(answer.grow_to(400));
     drop((body, answer));
-    assert_eq!(budget.held(), 0);
+    assert_eq!(budget.reserved(), 0);
 }
 
 #[tokio::test]
-async fn what_waits_is_held_once_there_is_room() {
-    let budget = ByteBudget::with_limit(100);
-    let first = budget.hold_answer(40).await.guard(Bytes::from_static(b"first"));
-    let waits = budget.hold_answer(40);
-    let mut waits = std::pin::pin!(waits);
-    assert!(tokio::time::timeout(Duration::from_millis(20), &mut waits).await.is_err());
+async fn a_waiting_reservation_succeeds_after_a_release() {
+    let budget = MemoryBudget::with_limit(100);
+    let first = budget.reserve_response(40).await.attach_to(Bytes::from_static(b"first"));
+    let waiting = budget.reserve_response(40);
+    let mut waiting = std::pin::pin!(waiting);
+    assert!(tokio::time::timeout(Duration::from_millis(20), &mut waiting).await.is_err());
     let slice = first.slice(1..2);
     drop(first);
-    assert_eq!(budget.held(), 40, "part of it is still to be written");
+    assert_eq!(budget.reserved(), 40, "a slice is still alive");
     drop(slice);
-    let second = tokio::time::timeout(LONG, waits).await.expect("there is room");
-    assert_eq!(budget.held(), 40);
+    let second = tokio::time::timeout(TEST_TIMEOUT, waiting).await.expect("memory was released");
+    assert_eq!(budget.reserved(), 40);
     drop(second);
 }
 
@@ -70,22 +71,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes and goes: the limit holds but for one that is alone, and all is returned.
+    /// The limit holds in any sequence of operations except for a single reservation that is
+    /// larger, and all memory is released in the end.
     #[test]
-    fn no_more_is_held_than_the_limit(
-        steps in prop::collection::vec((0..3usize, 0..200usize, any::<bool>()), 1..200),
+    fn reservations_never_exceed_the_limit(
+        operations in prop::collection::vec((0..3usize, 0..200usize, any::<bool>()), 1..200),
     ) {
-        let classes = [ByteClass::Body, ByteClass::Answer, ByteClass::LargeAnswer];
-        let budget = ByteBudget::with_limit(800);
-        let mut guards = Vec::new();
-        for (class, bytes, returns) in steps {
-            guards.extend(budget.try_hold(classes[class], bytes));
-            prop_assert!(budget.held() <= 800);
-            if returns && !guards.is_empty() {
-                guards.swap_remove(bytes % guards.len());
+        let classes = [MemoryClass::RequestBody, MemoryClass::Response, MemoryClass::LargeResponse];
+        let budget = MemoryBudget::with_limit(800);
+        let mut reservations = Vec::new();
+        for (class, bytes, releases) in operations {
+            reservations.extend(budget.try_reserve(classes[class], bytes));
+            prop_assert!(budget.reserved() <= 800);
+            if releases && !reservations.is_empty() {
+                reservations.swap_remove(bytes % reservations.len());
             }
         }
-        drop(guards);
-        prop_assert_eq!(budget.held(), 0);
+        drop(reservations);
+        prop_assert_eq!(budget.reserved(), 0);
     }
 }
--- a/crates/proxy/tests/starts.rs
+++ b/crates/proxy/tests/starts.rs
@@ -1,4 +1,4 @@
-//! Lists of replicas that tell of several starts under one identity, as gateways take them in.
+//! Replica lists with several incarnations of the same replica.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 
 const IDENTITIES: u64 = 3;
 
-fn replica(identity: u64, start: u64) -> Replica {
-    let start = Some(StartTime::from_unix_ms(start));
+fn replica(identity: u64, start_time: u64) -> Replica {
+    let start = Some(StartTime::from_unix_ms(start_time));
     Replica {
         id: Incarnation { identity: format!("i-{identity}"), start }.to_string(),
         service: "models".to_owned(),
@@ -33,10 +33,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// The lists of leaders that follow each other and of this gateway's own readings, each as late
-    /// as it may be. Loads come by the place of a replica in its list, whether it is used or not.
+    /// Lists from successive leaders and the gateway's own readings may arrive in any order. Loads
+    /// refer to list positions, including entries that are not used.
     #[test]
-    fn only_the_newest_start_is_open_and_each_keeps_its_load(
+    fn only_the_newest_incarnation_is_eligible_and_loads_follow_list_positions(
         lists in proptest::collection::vec(
             proptest::collection::vec(0_u64..5, IDENTITIES as usize), 1..12,
         ),
@@ -44,19 +44,19 @@
         let fleet = Fleet::new("front-1", Arc::default());
         fleet.set_drained(DrainedZones::none());
         let mut newest = [0; IDENTITIES as usize];
-        for starts in lists {
+        for start_times in lists {
             let list: Vec<Replica> =
-                (0..).zip(&starts).map(|(identity, start)| replica(identity, *start)).collect();
+                (0..).zip(&start_times).map(|(identity, start_time)| replica(identity, *start_time)).collect();
             fleet.update(list.clone());
-            fleet.note_other_loads(&[10, 11, 12], Instant::now());
-            for ((place, start), listed) in starts.iter().enumerate().zip(&list) {
-                newest[place] = newest[place].max(*start);
+            fleet.record_other_loads(&[10, 11, 12], Instant::now());
+            for ((position, start_time), listed) in start_times.iter().enumerate().zip(&list) {
+                newest[position] = newest[position].max(*start_time);
                 let homes = HomeRegions::anywhere();
-                let is_newest = *start == newest[place];
+                let is_newest = *start_time == newest[position];
                 prop_assert_eq!(fleet.is_open(listed, &homes), is_newest);
                 let member = fleet.untroubled("models", &listed.id, &homes);
                 let load = member.map(|member| member.loads().1.get());
-                prop_assert_eq!(load, is_newest.then_some(10.0 + place as f64));
+                prop_assert_eq!(load, is_newest.then_some(10.0 + position as f64));
             }
         }
     }
