--- a/crates/calicohoist/src/cli/serve.rs
+++ b/crates/calicohoist/src/cli/serve.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use calicohoist_ledger::server;
 use calicohoist_platform::{NODE_FILE_VARIABLE, NodeRole, read_node_file};
-use calicohoist_proxy::front;
+use calicohoist_proxy::frontend;
 use calicohoist_telemetry::{Event, LogSettings, emit, logging, metrics};
 use eyre::{Result, WrapErr};
 use http_body_util::Full;
@@ -71,8 +71,8 @@
         }
         match role {
             NodeRole::Gateway(settings) => {
-                let listeners = front::Listeners::bind(&settings)?;
-                front::run(settings, listeners, stop).await
+                let listeners = frontend::Listeners::bind(&settings)?;
+                frontend::run(settings, listeners, stop).await
             }
             NodeRole::Ledger(settings) => {
                 let listeners =
--- a/crates/proxy/src/flow/plain.rs
+++ b/crates/proxy/src/flow/buffered.rs
@@ -9,12 +9,12 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-use super::answer::ResponseBody;
 use super::body::{BodyReadError, expected_bytes, read_whole};
 use super::call::Call;
 use super::dispatch::{AttemptState, Payload, dispatch};
+use super::error::GatewayError;
 use super::headers::remove_hop_by_hop_headers;
-use super::refusal::GatewayError;
+use super::response::ResponseBody;
 use crate::app::App;
 use crate::upstream::Exchange;
 
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -12,9 +12,9 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::call::Call;
+use super::error::{GatewayError, NotExecutedReason};
 use super::failure;
 use super::permit::{self, Permit};
-use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
 use crate::fleet::{Member, WantedReplica};
 use crate::upstream::{Exchange, ExchangeError, Outgoing, exchange};
--- a/crates/proxy/src/flow/refusal.rs
+++ b/crates/proxy/src/flow/error.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONTENT_TYPE, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
 
-use super::answer::ResponseBody;
+use super::response::ResponseBody;
 use crate::dialect::Dialect;
 
 /// Reason for which a request has no response of a replica.
--- a/crates/proxy/src/flow/home.rs
+++ b/crates/proxy/src/flow/home.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::call::Call;
-use super::refusal::{GatewayError, NotExecutedReason};
+use super::error::{GatewayError, NotExecutedReason};
 use crate::app::App;
 
 /// Retry delay if the service has no replica in the homes. About the interval between readings of
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -5,16 +5,16 @@
 //! request to a replica; [`buffered`] and [`stream`] forward the response; [`turn`] manages the
 //! token budgets and turn histories of programs.
 
-mod answer;
 mod body;
+mod buffered;
 mod call;
 mod dispatch;
+mod error;
 mod failure;
 mod headers;
 mod home;
 mod permit;
-mod plain;
-mod refusal;
+mod response;
 mod stream;
 mod turn;
 
@@ -32,10 +32,10 @@
 
 use crate::app::App;
 use crate::memory::MemoryClass;
-pub use answer::{BodyAborted, ResponseBody};
 use body::BodyReadError;
 use call::{Call, ResolvedRoute};
-use refusal::{GatewayError, KeyError, NotExecutedReason};
+use error::{GatewayError, KeyError, NotExecutedReason};
+pub use response::{BodyAborted, ResponseBody};
 
 /// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -58,7 +58,7 @@
             let result = match (home::check(&app, &call), call.route.kind) {
                 (Err(error), _) => Err(error),
                 (Ok(()), RouteKind::Stream) => stream::serve(&app, &call, guard).await,
-                (Ok(()), RouteKind::Safe | RouteKind::Unsafe) => plain::serve(&app, &call).await,
+                (Ok(()), RouteKind::Safe | RouteKind::Unsafe) => buffered::serve(&app, &call).await,
             };
             disconnect_guard.disarm();
             result.unwrap_or_else(|error| {
--- a/crates/proxy/src/flow/permit.rs
+++ b/crates/proxy/src/flow/permit.rs
@@ -11,7 +11,7 @@
 use calicohoist_telemetry::metrics::{Counter, Times};
 
 use super::call::Call;
-use super::refusal::{GatewayError, NotExecutedReason};
+use super::error::{GatewayError, NotExecutedReason};
 use crate::app::App;
 
 /// Timeout for the ledger's answer. Covers a leader election.
--- a/crates/proxy/src/flow/stream.rs
+++ b/crates/proxy/src/flow/stream.rs
@@ -14,13 +14,13 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::mpsc;
 
-use super::answer::{BodyAborted, ResponseBody};
+use super::buffered;
 use super::call::Call;
 use super::dispatch::{AttemptState, Payload, dispatch};
+use super::error::GatewayError;
 use super::failure;
 use super::headers::remove_hop_by_hop_headers;
-use super::plain;
-use super::refusal::GatewayError;
+use super::response::{BodyAborted, ResponseBody};
 use super::turn::Turn;
 use crate::app::{App, RequestGuard};
 use crate::events::{EventSplitter, ServerEvent};
@@ -43,8 +43,8 @@
     turn.sent_at = Some(sent_at);
     turn.replica_id = Some(exchange.member.replica.id.clone());
     if !is_event_stream(&exchange) {
-        let response = plain::collect_response(app, call.deadline, exchange).await?;
-        plain::log_end(call, "-", &response, &attempt_state);
+        let response = buffered::collect_response(app, call.deadline, exchange).await?;
+        buffered::log_end(call, "-", &response, &attempt_state);
         return Ok(response.map(ResponseBody::buffered));
     }
     let mut relay = Relay::new(app, call, turn, payload, attempt_state, exchange);
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -17,8 +17,8 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::call::Call;
+use super::error::{GatewayError, NotExecutedReason};
 use super::permit::{self, Permit};
-use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
 
 static LEDGER_TIMES: Times = Times::new(
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use crate::app::App;
-use crate::news;
+use crate::ledger_watch;
 use crate::settings::ProxySettings;
 
 /// Time between reporting not ready and closing the listening socket, so that load balancers stop
@@ -61,7 +61,7 @@
         http = app.settings.http,
         protocol = calicohoist_ledger::protocol::SPOKEN,
     );
-    tokio::spawn(news::run(Arc::clone(&app)));
+    tokio::spawn(ledger_watch::run(Arc::clone(&app)));
     tokio::spawn(ready::accept(ready, Arc::clone(&app)));
     let accept_task = tokio::spawn(connections::accept(http, Arc::clone(&app), closing_receiver));
     if stop.wait_for(|stop| *stop).await.is_err() {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -18,9 +18,9 @@
 pub mod events;
 pub mod fleet;
 pub mod flow;
-pub mod front;
+pub mod frontend;
+pub mod ledger_watch;
 pub mod memory;
-pub mod news;
 pub mod settings;
 pub mod upstream;
 
