--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -13,7 +13,7 @@
 
 /// Request metadata from the headers of a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// Id of the request; each attempt of a client has its own.
     pub request_id: String,
     /// Time for which the client waits for the response.
@@ -21,13 +21,13 @@
     /// Id of the agent program that the request belongs to.
     pub program: Option<String>,
     /// Time until the program should finish.
-    pub finish: Option<Duration>,
+    pub program_deadline: Option<Duration>,
     /// Token budget for the output of all turns of the program.
     pub budget: Option<u64>,
     /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
     /// Maximum number of generated tokens.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
     /// Id of the turn that this one continues.
@@ -62,7 +62,7 @@
 
 /// Response metadata from the headers of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
     /// Whether the replica reports that it did not run the request.
@@ -90,13 +90,13 @@
     ///
     /// # Errors
     /// Returns all headers that are invalid.
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, Findings>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, Findings>;
 
     /// Sets the headers that the gateway sends to a replica.
-    fn write_call(&self, headers: &mut HeaderMap, outgoing: &OutgoingHead<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, outgoing: &OutgoingHead<'_>);
 
     /// Reads the metadata of a response.
-    fn read_answer(&self, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, headers: &HeaderMap) -> ResponseHead;
 
     /// Sets the header that tells the client when to retry.
     fn write_retry_after(&self, headers: &mut HeaderMap, after: Duration);
--- a/crates/proxy/src/flow/call.rs
+++ b/crates/proxy/src/flow/call.rs
@@ -11,7 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Uri};
 
-use crate::dialect::CallHead;
+use crate::dialect::RequestHead;
 
 /// Separates the tenant name from a program or turn id. Neither can contain it: tenant names are
 /// validated, and ids come from headers.
@@ -36,7 +36,7 @@
     /// Tenant that sent the request; `None` if no key is required and none was sent.
     pub tenant: Option<Arc<Tenant>>,
     /// Metadata from the request headers.
-    pub head: CallHead,
+    pub head: RequestHead,
     /// Method of the request.
     pub method: Method,
     /// Path and query of the request.
@@ -55,7 +55,7 @@
     /// Creates a call from its parts; `head` contains the metadata from its headers.
     pub fn new(
         resolved: ResolvedRoute,
-        head: CallHead,
+        head: RequestHead,
         parts: Parts,
         body: Bytes,
         received: Instant,
@@ -112,7 +112,7 @@
 
     /// Returns the time until the program should finish.
     pub fn program_time_left(&self) -> Option<Duration> {
-        self.head.finish.map(|finish| finish.saturating_sub(self.received.elapsed()))
+        self.head.program_deadline.map(|deadline| deadline.saturating_sub(self.received.elapsed()))
     }
 
     /// Returns the deadline of an attempt after `attempts` others. While a request may be retried,
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -50,7 +50,7 @@
 pub async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received = Instant::now();
     let guard = app.begin_request();
-    match read_call(&app, request, received).await {
+    match read_request(&app, request, received).await {
         Ok(call) => {
             let call = Arc::new(call);
             log_received(&call);
@@ -141,7 +141,7 @@
 }
 
 /// Reads a request including its body. Errors include the request id, if known.
-async fn read_call(
+async fn read_request(
     app: &Arc<App>,
     request: Request<Incoming>,
     received: Instant,
@@ -149,7 +149,7 @@
     let (mut parts, body) = request.into_parts();
     let without_id = |error| ("-".to_owned(), error);
     let resolved = resolve_route(app, &mut parts).await.map_err(without_id)?;
-    let head = app.dialect().read_call(&parts.headers);
+    let head = app.dialect().read_request(&parts.headers);
     let head = head.map_err(|findings| without_id(GatewayError::Malformed(findings)))?;
     headers::remove_gateway_headers(app.dialect(), &mut parts.headers);
     let id = head.request_id.clone();
--- a/crates/proxy/src/flow/turn.rs
+++ b/crates/proxy/src/flow/turn.rs
@@ -334,12 +334,12 @@
         request = call.head.request_id,
         program = call.head.program.as_deref().unwrap_or("-"),
         previous_turn = call.head.previous_turn.as_deref().unwrap_or("-"),
-        most_tokens = call.head.most_tokens,
+        most_tokens = call.head.max_tokens,
         budget = call.head.budget.unwrap_or_default(),
         outcome = outcome,
         history_bytes = history,
         decision = decision,
-        finish_ms = call.head.finish.map_or(-1, |left| left.as_millis().cast_signed()),
+        finish_ms = call.head.program_deadline.map_or(-1, |left| left.as_millis().cast_signed()),
         after_ms = started_at.elapsed().as_millis(),
     );
 }
@@ -359,7 +359,7 @@
     ReserveTurn {
         program: account_id(call),
         turn: call.scoped(&call.head.request_id),
-        most_tokens: call.head.most_tokens,
+        most_tokens: call.head.max_tokens,
         budget: call.head.budget.unwrap_or(u64::MAX),
         previous: previous_turn_id(call).filter(|_| call.route.retain),
         retention_ms: millis(call.route.retention),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -25,5 +25,5 @@
 pub mod upstream;
 
 pub use app::App;
-pub use dialect::{AnswerHead, CallHead, Dialect, HeaderOwner, OutgoingHead};
+pub use dialect::{Dialect, HeaderOwner, OutgoingHead, RequestHead, ResponseHead};
 pub use settings::ProxySettings;
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 
 use super::{Checkout, Pool};
-use crate::dialect::{AnswerHead, Dialect, OutgoingHead};
+use crate::dialect::{Dialect, OutgoingHead, ResponseHead};
 use crate::fleet::{LoadGuard, Member};
 
 /// Request to a replica.
@@ -126,7 +126,7 @@
                 checkout = Checkout::New;
             }
             Ok(Ok(response)) => {
-                let head = dialect.read_answer(response.headers());
+                let head = dialect.read_response(response.headers());
                 check_response(&head, outgoing.request_id)?;
                 let reuse = connection_reuse(&response);
                 let member = Arc::clone(member);
@@ -139,7 +139,7 @@
 
 /// Checks that the response belongs to the request. Otherwise it is ignored and the connection is
 /// closed.
-fn check_response(head: &AnswerHead, request_id: &str) -> Result<(), ExchangeError> {
+fn check_response(head: &ResponseHead, request_id: &str) -> Result<(), ExchangeError> {
     if head.request_id.as_deref().is_some_and(|id| id != request_id) {
         return Err(ExchangeError::Unknown);
     }
@@ -164,7 +164,7 @@
     let time_left = outgoing.deadline.saturating_duration_since(Instant::now());
     let Outgoing { last_event, tenant, .. } = *outgoing;
     let head = OutgoingHead { deadline: time_left, replica, last_event, tenant };
-    dialect.write_call(request.headers_mut(), &head);
+    dialect.write_request(request.headers_mut(), &head);
     request
 }
 
