--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -33,7 +33,7 @@
     /// Id of the turn that this one continues.
     pub previous_turn: Option<String>,
     /// Id of the last event that the client received, if it resumes a stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// Request metadata sent to a replica.
@@ -44,7 +44,7 @@
     /// Identity of the replica that must run the request.
     pub replica: &'a str,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
 }
--- a/crates/proxy/src/flow/buffered.rs
+++ b/crates/proxy/src/flow/buffered.rs
@@ -30,7 +30,7 @@
     app: &Arc<App>,
     call: &Arc<Call>,
 ) -> Result<Response<ResponseBody>, GatewayError> {
-    let payload = Payload { body: call.body.clone(), last_event: None };
+    let payload = Payload { body: call.body.clone(), last_event_id: None };
     let mut attempt_state = AttemptState::default();
     loop {
         let exchange = dispatch(app, call, &payload, &mut attempt_state).await?;
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -17,7 +17,7 @@
 use super::permit::{self, Permit};
 use crate::app::App;
 use crate::fleet::{Member, WantedReplica};
-use crate::upstream::{Exchange, ExchangeError, Outgoing, exchange};
+use crate::upstream::{Exchange, ExchangeError, OutgoingRequest, exchange};
 
 static ATTEMPTS_FAILED: Counter = Counter::new(
     "calicohoist_proxy_attempts_failed_total",
@@ -52,7 +52,7 @@
     /// Body, including the history.
     pub body: Bytes,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// State of a request across its attempts.
@@ -105,13 +105,13 @@
     attempt_state: &mut AttemptState,
 ) -> Result<Exchange, GatewayError> {
     let service = call.service().ok_or_else(no_replica)?;
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: &call.method,
         uri: &call.uri,
         headers: &call.headers,
         request_id: &call.head.request_id,
         body: payload.body.clone(),
-        last_event: payload.last_event.as_deref(),
+        last_event_id: payload.last_event_id.as_deref(),
         tenant: call.tenant_name(),
         deadline: call.deadline,
     };
--- a/crates/proxy/src/flow/stream.rs
+++ b/crates/proxy/src/flow/stream.rs
@@ -36,7 +36,8 @@
     guard: RequestGuard,
 ) -> Result<Response<ResponseBody>, GatewayError> {
     let mut turn = Turn::begin(app, call).await?;
-    let payload = Payload { body: turn.body.clone(), last_event: call.head.last_event.clone() };
+    let payload =
+        Payload { body: turn.body.clone(), last_event_id: call.head.last_event_id.clone() };
     let mut attempt_state = AttemptState::new(turn.placement.take(), turn.permit);
     let sent_at = Instant::now();
     let exchange = dispatch(app, call, &payload, &mut attempt_state).await?;
@@ -77,7 +78,7 @@
     /// Headers of the first replica's response, which are sent to the client.
     headers: HeaderMap,
     tokens_per_event: u64,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     events: u64,
 }
 
@@ -101,7 +102,7 @@
         let mut headers = exchange.response.headers().clone();
         remove_hop_by_hop_headers(app.dialect(), &mut headers);
         let engine = call.service().and_then(|service| service.engine.clone());
-        let last_event = payload.last_event.as_deref().and_then(|id| id.parse().ok());
+        let last_event_id = payload.last_event_id.as_deref().and_then(|id| id.parse().ok());
         Self {
             app: Arc::clone(app),
             call: Arc::clone(call),
@@ -112,7 +113,7 @@
             splitter: EventSplitter::default(),
             headers,
             tokens_per_event: engine.map_or(1, |engine| u64::from(engine.tokens_per_event)),
-            last_event,
+            last_event_id,
             events: 0,
         }
     }
@@ -218,9 +219,9 @@
         let Some(id) = event.id.as_deref().and_then(|id| id.parse::<u64>().ok()) else {
             return true;
         };
-        let is_new = self.last_event.is_none_or(|last| id > last);
+        let is_new = self.last_event_id.is_none_or(|last| id > last);
         if is_new {
-            self.last_event = Some(id);
+            self.last_event_id = Some(id);
         }
         is_new
     }
@@ -266,7 +267,7 @@
             return Err(GatewayError::Unknown);
         }
         self.attempt_state.record_started(failed);
-        self.payload.last_event = self.last_event.map(|id| id.to_string());
+        self.payload.last_event_id = self.last_event_id.map(|id| id.to_string());
         let exchange =
             dispatch(&self.app, &self.call, &self.payload, &mut self.attempt_state).await?;
         if !is_event_stream(&exchange) {
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -17,7 +17,7 @@
 
 /// Request to a replica.
 #[derive(Clone, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Method of the client's request.
     pub method: &'a Method,
     /// Path and query of the client's request.
@@ -29,7 +29,7 @@
     /// Complete body.
     pub body: Bytes,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
     /// Deadline of the client. The replica receives the remaining time.
@@ -93,7 +93,7 @@
     pool: &Pool,
     dialect: &dyn Dialect,
     member: &Arc<Member>,
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     send_by: Option<Instant>,
     response_deadline: Instant,
 ) -> Result<Exchange, ExchangeError> {
@@ -154,7 +154,7 @@
 
 fn build_request(
     dialect: &dyn Dialect,
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     replica: &str,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
@@ -162,8 +162,8 @@
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
     let time_left = outgoing.deadline.saturating_duration_since(Instant::now());
-    let Outgoing { last_event, tenant, .. } = *outgoing;
-    let head = OutgoingHead { deadline: time_left, replica, last_event, tenant };
+    let OutgoingRequest { last_event_id, tenant, .. } = *outgoing;
+    let head = OutgoingHead { deadline: time_left, replica, last_event_id, tenant };
     dialect.write_request(request.headers_mut(), &head);
     request
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -3,5 +3,5 @@
 mod exchange;
 mod pool;
 
-pub use exchange::{Exchange, ExchangeError, Outgoing, exchange};
+pub use exchange::{Exchange, ExchangeError, OutgoingRequest, exchange};
 pub use pool::{Checkout, Pool, PooledConnection};
