--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -104,7 +104,7 @@
 
 /// Criteria for the selection of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct WantedReplica<'a> {
+pub struct ReplicaCriteria<'a> {
     /// Service that runs the request.
     pub service: &'a str,
     /// Zone of this gateway.
@@ -119,7 +119,7 @@
     pub affinity: Affinity,
     /// Whether to exclude cold replicas. Set for services with a limit for cold replicas: the
     /// limit is global, so only the leader can enforce it.
-    pub leaves_out_cold: bool,
+    pub exclude_cold: bool,
 }
 
 type ByService = HashMap<String, Vec<Arc<Member>>>;
@@ -271,19 +271,24 @@
 
     /// Returns whether this incarnation of a replica is listed and eligible for requests with
     /// these homes.
-    pub fn is_open(&self, replica: &Replica, homes: &HomeRegions) -> bool {
+    pub fn is_eligible(&self, replica: &Replica, homes: &HomeRegions) -> bool {
         let members = self.members_of(&replica.service);
         let mut listed = members.iter().map(|member| &member.replica);
         listed.any(|listed| listed.id == replica.id && self.meets_rules(listed, homes))
     }
 
     /// Returns a replica if it is eligible for requests with these homes and has no penalty.
-    pub fn untroubled(&self, service: &str, id: &str, homes: &HomeRegions) -> Option<Arc<Member>> {
+    pub fn find_healthy(
+        &self,
+        service: &str,
+        id: &str,
+        homes: &HomeRegions,
+    ) -> Option<Arc<Member>> {
         let members = self.members_of(service);
         let member = members.iter().find(|member| member.replica.id == id)?;
-        let is_open = self.meets_rules(&member.replica, homes);
+        let is_eligible = self.meets_rules(&member.replica, homes);
         let is_healthy = member.penalty(Instant::now()).is_zero();
-        (is_open && is_healthy).then(|| Arc::clone(member))
+        (is_eligible && is_healthy).then(|| Arc::clone(member))
     }
 
     /// Returns whether a replica is eligible for requests with these homes.
@@ -371,23 +376,24 @@
     /// Selects the eligible replica with the least cost.
     pub fn choose(
         &self,
-        wanted: &WantedReplica<'_>,
+        criteria: &ReplicaCriteria<'_>,
         weights: &CostWeights,
         pool: &Pool,
     ) -> Option<Arc<Member>> {
-        let WantedReplica { service, zone, homes, excluded, request, affinity, leaves_out_cold } =
-            *wanted;
+        let ReplicaCriteria { service, zone, homes, excluded, request, affinity, exclude_cold } =
+            *criteria;
         let now = Instant::now();
         let services = self.services.read().clone();
         // Taken once, so that all candidates are checked against the same zones.
         let drained = self.drained.read().clone()?;
         let rules = self.rules(homes, &drained);
-        let is_open = |member: &&Arc<Member>| {
+        let is_eligible = |member: &&Arc<Member>| {
             rules.admits(&member.replica)
                 && !excluded.contains(&member.replica.id)
-                && !(leaves_out_cold && self.is_cold(&member.replica, now))
+                && !(exclude_cold && self.is_cold(&member.replica, now))
         };
-        let members: Vec<&Arc<Member>> = services.get(service)?.iter().filter(is_open).collect();
+        let members: Vec<&Arc<Member>> =
+            services.get(service)?.iter().filter(is_eligible).collect();
         let candidates: Vec<Candidate<'_>> = members
             .iter()
             .map(|member| {
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -16,7 +16,7 @@
 use super::failure;
 use super::permit::{self, Permit};
 use crate::app::App;
-use crate::fleet::{Member, WantedReplica};
+use crate::fleet::{Member, ReplicaCriteria};
 use crate::upstream::{Exchange, ExchangeError, OutgoingRequest, exchange};
 
 static ATTEMPTS_FAILED: Counter = Counter::new(
@@ -255,33 +255,33 @@
     attempt_state: &mut AttemptState,
 ) -> Option<(Arc<Member>, Option<Instant>)> {
     let homes = call.homes();
-    let leaves_out_cold = service.cold.is_some();
+    let exclude_cold = service.cold.is_some();
     let now = Instant::now();
     if let Some(started_on) = attempt_state.started_on.take()
-        && app.fleet.is_open(&started_on.replica, &homes)
-        && !(leaves_out_cold && app.fleet.is_cold(&started_on.replica, now))
+        && app.fleet.is_eligible(&started_on.replica, &homes)
+        && !(exclude_cold && app.fleet.is_cold(&started_on.replica, now))
     {
         return Some((started_on, None));
     }
     if let Some(placement) = attempt_state.placement.take()
-        && let Some(member) = app.fleet.untroubled(&service.name, &placement.id, &homes)
+        && let Some(member) = app.fleet.find_healthy(&service.name, &placement.id, &homes)
     {
-        let is_cold = leaves_out_cold && app.fleet.is_cold(&member.replica, now);
+        let is_cold = exclude_cold && app.fleet.is_cold(&member.replica, now);
         if placement.is_valid(is_cold, now) {
             return Some((member, placement.send_by));
         }
         COLD_REQUESTS.count("lapsed");
     }
-    let wanted = WantedReplica {
+    let criteria = ReplicaCriteria {
         service: &service.name,
         zone: &app.settings.zone,
         homes: &homes,
         excluded: &attempt_state.excluded,
         request: &call.head.request_id,
         affinity: call.affinity(),
-        leaves_out_cold,
+        exclude_cold,
     };
-    app.fleet.choose(&wanted, &app.weights, &app.pool).map(|member| (member, None))
+    app.fleet.choose(&criteria, &app.weights, &app.pool).map(|member| (member, None))
 }
 
 fn no_replica() -> GatewayError {
--- a/crates/proxy/tests/cold.rs
+++ b/crates/proxy/tests/cold.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use calicohoist_proxy::fleet::{Fleet, WantedReplica};
+use calicohoist_proxy::fleet::{Fleet, ReplicaCriteria};
 use calicohoist_proxy::upstream::Pool;
 use calicohoist_routing::{
     Affinity, CostWeights, DrainedZones, HomeRegions, Replica, ReplicaState,
@@ -35,18 +35,18 @@
     fleet
 }
 
-fn choose_id(fleet: &Fleet, leaves_out_cold: bool) -> Option<String> {
+fn choose_id(fleet: &Fleet, exclude_cold: bool) -> Option<String> {
     let homes = HomeRegions::anywhere();
-    let wanted = WantedReplica {
+    let criteria = ReplicaCriteria {
         request: "r",
         service: "models",
         zone: "near",
         homes: &homes,
         excluded: &[],
         affinity: Affinity::default(),
-        leaves_out_cold,
+        exclude_cold,
     };
-    let member = fleet.choose(&wanted, &CostWeights::default(), &Pool::default());
+    let member = fleet.choose(&criteria, &CostWeights::default(), &Pool::default());
     member.map(|member| member.replica.id.clone())
 }
 
--- a/crates/proxy/tests/incarnations.rs
+++ b/crates/proxy/tests/incarnations.rs
@@ -53,8 +53,8 @@
                 newest[position] = newest[position].max(*start_time);
                 let homes = HomeRegions::anywhere();
                 let is_newest = *start_time == newest[position];
-                prop_assert_eq!(fleet.is_open(listed, &homes), is_newest);
-                let member = fleet.untroubled("models", &listed.id, &homes);
+                prop_assert_eq!(fleet.is_eligible(listed, &homes), is_newest);
+                let member = fleet.find_healthy("models", &listed.id, &homes);
                 let load = member.map(|member| member.loads().1.get());
                 prop_assert_eq!(load, is_newest.then_some(10.0 + position as f64));
             }
