--- a/crates/proxy/src/app.rs
+++ b/crates/proxy/src/app.rs
@@ -98,7 +98,7 @@
 
     /// Installs a routing table unless the current one is at least as new. Returns whether it was
     /// installed.
-    pub fn put_table(&self, table: RouteTable) -> bool {
+    pub fn install_table(&self, table: RouteTable) -> bool {
         self.table.send_if_modified(|current| {
             let is_newer =
                 current.as_ref().is_none_or(|current| current.version() < table.version());
--- a/crates/proxy/src/ledger_watch.rs
+++ b/crates/proxy/src/ledger_watch.rs
@@ -140,7 +140,7 @@
             Ok(configuration) => {
                 let topology = &self.app.settings.topology;
                 let findings = check_homes(&configuration, topology, MAX_LOGGED_HOME_PROBLEMS);
-                if self.app.put_table(RouteTable::new(configuration, &self.app.key_secret)) {
+                if self.app.install_table(RouteTable::new(configuration, &self.app.key_secret)) {
                     emit!(Event::ConfigurationApplied; version = version, bytes = document.len());
                     log_home_problems(version, &findings);
                 }
