--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -151,7 +151,7 @@
             after_ms = started_at.elapsed().as_millis(),
         );
         let may_still_send = send_by.is_none_or(|send_by| Instant::now() < send_by);
-        if error == ExchangeError::Lapsed && may_still_send {
+        if error == ExchangeError::SendTimeout && may_still_send {
             // The permit expired while a connection was opened. The replica is not at fault.
             attempt_state.permit.invalidate();
             continue;
@@ -199,7 +199,7 @@
             member.penalize(UNREACHABLE_PENALTY.0, UNREACHABLE_PENALTY.1);
             attempt_state.rejections += 1;
         }
-        ExchangeError::Lapsed => COLD_REQUESTS.count("lapsed"),
+        ExchangeError::SendTimeout => COLD_REQUESTS.count("lapsed"),
         ExchangeError::NotExecuted => {
             member.penalize(AT_CAPACITY_PENALTY.0, AT_CAPACITY_PENALTY.1);
             attempt_state.rejections += 1;
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -44,7 +44,7 @@
     NotSent,
     /// The deadline for sending passed before the request was sent.
     #[error("too late to be sent")]
-    Lapsed,
+    SendTimeout,
     /// The replica reports that it did not run the request.
     #[error("the replica did not run it")]
     NotExecuted,
@@ -107,7 +107,7 @@
         if send_by.is_some_and(|send_by| send_by <= Instant::now()) {
             // Nothing was sent on the connection, so it can be reused.
             pool.check_in(&replica.id, connection.sender, None);
-            return Err(ExchangeError::Lapsed);
+            return Err(ExchangeError::SendTimeout);
         }
         let request = build_request(dialect, outgoing, Incarnation::identity_of(&replica.id));
         let sending = connection.sender.try_send_request(request);
