--- a/crates/proxy/src/flow/buffered.rs
+++ b/crates/proxy/src/flow/buffered.rs
@@ -93,7 +93,7 @@
     attempt_state: &AttemptState,
 ) {
     let outcome = response.status();
-    super::record_end(outcome.as_str(), call.received.elapsed());
+    super::record_end(outcome.as_str(), call.received_at.elapsed());
     emit!(
         Event::RequestEnded;
         request = call.head.request_id,
@@ -101,6 +101,6 @@
         replica = replica,
         outcome = outcome.as_u16(),
         attempts = attempt_state.attempts,
-        after_ms = call.received.elapsed().as_millis(),
+        after_ms = call.received_at.elapsed().as_millis(),
     );
 }
--- a/crates/proxy/src/flow/call.rs
+++ b/crates/proxy/src/flow/call.rs
@@ -14,7 +14,7 @@
 use crate::dialect::RequestHead;
 
 /// Separates the tenant name from a program or turn id. Neither can contain it: tenant names are
-/// validated, and ids come from headers.
+/// validated, and ids come from headers, which exclude control characters.
 const SCOPE_SEPARATOR: char = '\u{1f}';
 
 /// Route and tenant of a request.
@@ -46,7 +46,7 @@
     /// Body of the request.
     pub body: Bytes,
     /// Time at which the head of the request was received.
-    pub received: Instant,
+    pub received_at: Instant,
     /// Deadline for the response.
     pub deadline: Instant,
 }
@@ -58,7 +58,7 @@
         head: RequestHead,
         parts: Parts,
         body: Bytes,
-        received: Instant,
+        received_at: Instant,
     ) -> Self {
         let ResolvedRoute { table, route, tenant } = resolved;
         let timeout = head.deadline.map_or(route.timeout, |requested| requested.min(route.timeout));
@@ -71,8 +71,8 @@
             uri: parts.uri,
             headers: parts.headers,
             body,
-            received,
-            deadline: received + timeout,
+            received_at,
+            deadline: received_at + timeout,
         }
     }
 
@@ -112,7 +112,9 @@
 
     /// Returns the time until the program should finish.
     pub fn program_time_left(&self) -> Option<Duration> {
-        self.head.program_deadline.map(|deadline| deadline.saturating_sub(self.received.elapsed()))
+        self.head
+            .program_deadline
+            .map(|deadline| deadline.saturating_sub(self.received_at.elapsed()))
     }
 
     /// Returns the deadline of an attempt after `attempts` others. While a request may be retried,
--- a/crates/proxy/src/flow/error.rs
+++ b/crates/proxy/src/flow/error.rs
@@ -97,7 +97,7 @@
     /// No replica of the service is listed.
     #[error("no replica")]
     NoReplica,
-    /// The homes of route and tenant have no zone in common.
+    /// No zone lies in the homes of both the route and the tenant.
     #[error("no home")]
     NoHome,
     /// The service has no replica in the request's homes.
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -48,9 +48,9 @@
 
 /// Serves a single client request.
 pub async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let received = Instant::now();
+    let received_at = Instant::now();
     let guard = app.begin_request();
-    match read_request(&app, request, received).await {
+    match read_request(&app, request, received_at).await {
         Ok(call) => {
             let call = Arc::new(call);
             log_received(&call);
@@ -62,25 +62,25 @@
             };
             disconnect_guard.disarm();
             result.unwrap_or_else(|error| {
-                log_error(&call.head.request_id, &call.route.name, received, &error);
+                log_error(&call.head.request_id, &call.route.name, received_at, &error);
                 error.into_response(app.dialect(), &call.head.request_id)
             })
         }
         Err((id, error)) => {
-            log_error(&id, "-", received, &error);
+            log_error(&id, "-", received_at, &error);
             error.into_response(app.dialect(), &id)
         }
     }
 }
 
-fn log_error(id: &str, route: &str, received: Instant, error: &GatewayError) {
-    record_end(error.metric_label(), received.elapsed());
+fn log_error(id: &str, route: &str, received_at: Instant, error: &GatewayError) {
+    record_end(error.metric_label(), received_at.elapsed());
     emit!(
         Event::RequestEnded;
         request = id,
         route = route,
         outcome = error,
-        after_ms = received.elapsed().as_millis(),
+        after_ms = received_at.elapsed().as_millis(),
     );
 }
 
@@ -129,13 +129,13 @@
         let Some(call) = &self.call else {
             return;
         };
-        record_end("caller_left", call.received.elapsed());
+        record_end("caller_left", call.received_at.elapsed());
         emit!(
             Event::RequestEnded;
             request = call.head.request_id,
             route = call.route.name,
             outcome = "caller left before an answer",
-            after_ms = call.received.elapsed().as_millis(),
+            after_ms = call.received_at.elapsed().as_millis(),
         );
     }
 }
@@ -144,7 +144,7 @@
 async fn read_request(
     app: &Arc<App>,
     request: Request<Incoming>,
-    received: Instant,
+    received_at: Instant,
 ) -> Result<Call, (String, GatewayError)> {
     let (mut parts, body) = request.into_parts();
     let without_id = |error| ("-".to_owned(), error);
@@ -155,7 +155,7 @@
     let id = head.request_id.clone();
     let limits = resolved.table.limits();
     let body = read_body(app, body, limits).await.map_err(|error| (id, error))?;
-    Ok(Call::new(resolved, head, parts, body, received))
+    Ok(Call::new(resolved, head, parts, body, received_at))
 }
 
 /// Looks up the route and the tenant of a request. The API key is not passed on.
--- a/crates/proxy/src/flow/stream.rs
+++ b/crates/proxy/src/flow/stream.rs
@@ -183,7 +183,7 @@
     }
 
     fn log_end(&self, outcome: &str) {
-        super::record_end(outcome, self.call.received.elapsed());
+        super::record_end(outcome, self.call.received_at.elapsed());
         emit!(
             Event::RequestEnded;
             request = self.call.head.request_id,
@@ -192,7 +192,7 @@
             outcome = outcome,
             events = self.events,
             attempts = self.attempt_state.attempts,
-            after_ms = self.call.received.elapsed().as_millis(),
+            after_ms = self.call.received_at.elapsed().as_millis(),
         );
     }
 
--- a/crates/proxy/tests/incarnations.rs
+++ b/crates/proxy/tests/incarnations.rs
@@ -46,7 +46,7 @@
         let mut newest = [0; IDENTITIES as usize];
         for start_times in lists {
             let list: Vec<Replica> =
-                (0..).zip(&start_times).map(|(identity, start_time)| replica(identity, *start_time)).collect();
+                (0..).zip(&start_times).map(|(identity, start)| replica(identity, *start)).collect();
             fleet.update(list.clone());
             fleet.record_other_loads(&[10, 11, 12], Instant::now());
             for ((position, start_time), listed) in start_times.iter().enumerate().zip(&list) {
--- a/crates/proxy/tests/memory.rs
+++ b/crates/proxy/tests/memory.rs
@@ -41,9 +41,9 @@
     let mut body = budget.try_reserve(MemoryClass::RequestBody, 20).expect("within its share");
     assert!(!body.grow_to(30));
     assert!(body.grow_to(25));
-    let mut answer = budget.try_reserve(MemoryClass::Response, 20).expect("within its share");
-    assert!(answer.grow_to(400));
-    drop((body, answer));
+    let mut response = budget.try_reserve(MemoryClass::Response, 20).expect("within its share");
+    assert!(response.grow_to(400));
+    drop((body, response));
     assert_eq!(budget.reserved(), 0);
 }
 
