--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderOwner {
     /// Set by the client. Includes unknown headers.
-    Caller,
+    Client,
     /// Set by the gateway. A client's value is dropped.
     Gateway,
     /// Hop-by-hop header, which is not forwarded.
