--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Data plane of the gateway: forwards client requests to replicas and their responses back.
 //!
-//! Modules, from the lowest layer to the highest; each depends only on those above it:
+//! Modules, from the lowest layer to the highest:
 //!
 //! - [`dialect`]: trait that reads and writes the platform's headers and documents;
 //! - [`settings`]: startup settings of a gateway;
