--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -13,7 +13,7 @@
 
 /// Request metadata from the headers of a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// Id of the request; each attempt of a client has its own.
     pub request_id: String,
     /// Time for which the client waits for the response.
@@ -21,19 +21,19 @@
     /// Id of the agent program that the request belongs to.
     pub program: Option<String>,
     /// Time until the program should finish.
-    pub finish: Option<Duration>,
+    pub program_deadline: Option<Duration>,
     /// Token budget for the output of all turns of the program.
     pub budget: Option<u64>,
     /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
     /// Maximum number of generated tokens.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
     /// Id of the turn that this one continues.
     pub previous_turn: Option<String>,
     /// Id of the last event that the client received, if it resumes a stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// Request metadata sent to a replica.
@@ -44,7 +44,7 @@
     /// Identity of the replica that must run the request.
     pub replica: &'a str,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderOwner {
     /// Set by the client. Includes unknown headers.
-    Caller,
+    Client,
     /// Set by the gateway. A client's value is dropped.
     Gateway,
     /// Hop-by-hop header, which is not forwarded.
@@ -62,7 +62,7 @@
 
 /// Response metadata from the headers of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
     /// Whether the replica reports that it did not run the request.
@@ -90,13 +90,13 @@
     ///
     /// # Errors
     /// Returns all headers that are invalid.
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, Findings>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, Findings>;
 
     /// Sets the headers that the gateway sends to a replica.
-    fn write_call(&self, headers: &mut HeaderMap, outgoing: &OutgoingHead<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, outgoing: &OutgoingHead<'_>);
 
     /// Reads the metadata of a response.
-    fn read_answer(&self, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, headers: &HeaderMap) -> ResponseHead;
 
     /// Sets the header that tells the client when to retry.
     fn write_retry_after(&self, headers: &mut HeaderMap, after: Duration);
--- a/crates/proxy/src/flow/plain.rs
+++ b/crates/proxy/src/flow/buffered.rs
@@ -9,12 +9,12 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-use super::answer::ResponseBody;
 use super::body::{BodyReadError, expected_bytes, read_whole};
 use super::call::Call;
 use super::dispatch::{AttemptState, Payload, dispatch};
+use super::error::GatewayError;
 use super::headers::remove_hop_by_hop_headers;
-use super::refusal::GatewayError;
+use super::response::ResponseBody;
 use crate::app::App;
 use crate::upstream::Exchange;
 
@@ -30,7 +30,7 @@
     app: &Arc<App>,
     call: &Arc<Call>,
 ) -> Result<Response<ResponseBody>, GatewayError> {
-    let payload = Payload { body: call.body.clone(), last_event: None };
+    let payload = Payload { body: call.body.clone(), last_event_id: None };
     let mut attempt_state = AttemptState::default();
     loop {
         let exchange = dispatch(app, call, &payload, &mut attempt_state).await?;
@@ -93,7 +93,7 @@
     attempt_state: &AttemptState,
 ) {
     let outcome = response.status();
-    super::record_end(outcome.as_str(), call.received.elapsed());
+    super::record_end(outcome.as_str(), call.received_at.elapsed());
     emit!(
         Event::RequestEnded;
         request = call.head.request_id,
@@ -101,6 +101,6 @@
         replica = replica,
         outcome = outcome.as_u16(),
         attempts = attempt_state.attempts,
-        after_ms = call.received.elapsed().as_millis(),
+        after_ms = call.received_at.elapsed().as_millis(),
     );
 }
--- a/crates/proxy/src/flow/call.rs
+++ b/crates/proxy/src/flow/call.rs
@@ -11,10 +11,10 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Uri};
 
-use crate::dialect::CallHead;
+use crate::dialect::RequestHead;
 
 /// Separates the tenant name from a program or turn id. Neither can contain it: tenant names are
-/// validated, and ids come from headers.
+/// validated, and ids come from headers, which exclude control characters.
 const SCOPE_SEPARATOR: char = '\u{1f}';
 
 /// Route and tenant of a request.
@@ -36,7 +36,7 @@
     /// Tenant that sent the request; `None` if no key is required and none was sent.
     pub tenant: Option<Arc<Tenant>>,
     /// Metadata from the request headers.
-    pub head: CallHead,
+    pub head: RequestHead,
     /// Method of the request.
     pub method: Method,
     /// Path and query of the request.
@@ -46,7 +46,7 @@
     /// Body of the request.
     pub body: Bytes,
     /// Time at which the head of the request was received.
-    pub received: Instant,
+    pub received_at: Instant,
     /// Deadline for the response.
     pub deadline: Instant,
 }
@@ -55,10 +55,10 @@
     /// Creates a call from its parts; `head` contains the metadata from its headers.
     pub fn new(
         resolved: ResolvedRoute,
-        head: CallHead,
+        head: RequestHead,
         parts: Parts,
         body: Bytes,
-        received: Instant,
+        received_at: Instant,
     ) -> Self {
         let ResolvedRoute { table, route, tenant } = resolved;
         let timeout = head.deadline.map_or(route.timeout, |requested| requested.min(route.timeout));
@@ -71,8 +71,8 @@
             uri: parts.uri,
             headers: parts.headers,
             body,
-            received,
-            deadline: received + timeout,
+            received_at,
+            deadline: received_at + timeout,
         }
     }
 
@@ -112,7 +112,9 @@
 
     /// Returns the time until the program should finish.
     pub fn program_time_left(&self) -> Option<Duration> {
-        self.head.finish.map(|finish| finish.saturating_sub(self.received.elapsed()))
+        self.head
+            .program_deadline
+            .map(|deadline| deadline.saturating_sub(self.received_at.elapsed()))
     }
 
     /// Returns the deadline of an attempt after `attempts` others. While a request may be retried,
--- a/crates/proxy/src/flow/dispatch.rs
+++ b/crates/proxy/src/flow/dispatch.rs
@@ -12,12 +12,12 @@
 use calicohoist_telemetry::{Event, emit};
 
 use super::call::Call;
+use super::error::{GatewayError, NotExecutedReason};
 use super::failure;
 use super::permit::{self, Permit};
-use super::refusal::{GatewayError, NotExecutedReason};
 use crate::app::App;
-use crate::fleet::{Member, WantedReplica};
-use crate::upstream::{Exchange, ExchangeError, Outgoing, exchange};
+use crate::fleet::{Member, ReplicaCriteria};
+use crate::upstream::{Exchange, ExchangeError, OutgoingRequest, exchange};
 
 static ATTEMPTS_FAILED: Counter = Counter::new(
     "calicohoist_proxy_attempts_failed_total",
@@ -52,7 +52,7 @@
     /// Body, including the history.
     pub body: Bytes,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// State of a request across its attempts.
@@ -105,13 +105,13 @@
     attempt_state: &mut AttemptState,
 ) -> Result<Exchange, GatewayError> {
     let service = call.service().ok_or_else(no_replica)?;
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         method: &call.method,
         uri: &call.uri,
         headers: &call.headers,
         request_id: &call.head.request_id,
         body: payload.body.clone(),
-        last_event: payload.last_event.as_deref(),
+        last_event_id: payload.last_event_id.as_deref(),
         tenant: call.tenant_name(),
         deadline: call.deadline,
     };
@@ -151,7 +151,7 @@
             after_ms = started_at.elapsed().as_millis(),
         );
         let may_still_send = send_by.is_none_or(|send_by| Instant::now() < send_by);
-        if error == ExchangeError::Lapsed && may_still_send {
+        if error == ExchangeError::SendTimeout && may_still_send {
             // The permit expired while a connection was opened. The replica is not at fault.
             attempt_state.permit.invalidate();
             continue;
@@ -199,7 +199,7 @@
             member.penalize(UNREACHABLE_PENALTY.0, UNREACHABLE_PENALTY.1);
             attempt_state.rejections += 1;
         }
-        ExchangeError::Lapsed => COLD_REQUESTS.inc("lapsed"),
+        ExchangeError::SendTimeout => COLD_REQUESTS.inc("lapsed"),
         ExchangeError::NotExecuted => {
             member.penalize(AT_CAPACITY_PENALTY.0, AT_CAPACITY_PENALTY.1);
             attempt_state.rejections += 1;
@@ -255,33 +255,33 @@
     attempt_state: &mut AttemptState,
 ) -> Option<(Arc<Member>, Option<Instant>)> {
     let homes = call.homes();
-    let leaves_out_cold = service.cold.is_some();
+    let exclude_cold = service.cold.is_some();
     let now = Instant::now();
     if let Some(started_on) = attempt_state.started_on.take()
-        && app.fleet.is_open(&started_on.replica, &homes)
-        && !(leaves_out_cold && app.fleet.is_cold(&started_on.replica, now))
+        && app.fleet.is_eligible(&started_on.replica, &homes)
+        && !(exclude_cold && app.fleet.is_cold(&started_on.replica, now))
     {
         return Some((started_on, None));
     }
     if let Some(placement) = attempt_state.placement.take()
-        && let Some(member) = app.fleet.untroubled(&service.name, &placement.id, &homes)
+        && let Some(member) = app.fleet.find_healthy(&service.name, &placement.id, &homes)
     {
-        let is_cold = leaves_out_cold && app.fleet.is_cold(&member.replica, now);
+        let is_cold = exclude_cold && app.fleet.is_cold(&member.replica, now);
         if placement.is_valid(is_cold, now) {
             return Some((member, placement.send_by));
         }
         COLD_REQUESTS.inc("lapsed");
     }
-    let wanted = WantedReplica {
+    let criteria = ReplicaCriteria {
         service: &service.name,
         zone: &app.settings.zone,
         homes: &homes,
         excluded: &attempt_state.excluded,
         request: &call.head.request_id,
         affinity: call.affinity(),
-        leaves_out_cold,
+        exclude_cold,
     };
-    app.fleet.choose(&wanted, &app.weights, &app.pool).map(|member| (member, None))
+    app.fleet.choose(&criteria, &app.weights, &app.pool).map(|member| (member, None))
 }
 
 fn no_replica() -> GatewayError {
--- a/crates/proxy/src/flow/refusal.rs
+++ b/crates/proxy/src/flow/error.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONTENT_TYPE, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
 
-use super::answer::ResponseBody;
+use super::response::ResponseBody;
 use crate::dialect::Dialect;
 
 /// Reason for which a request has no response of a replica.
@@ -97,7 +97,7 @@
     /// No replica of the service is listed.
     #[error("no replica")]
     NoReplica,
-    /// The homes of route and tenant have no zone in common.
+    /// No zone lies in the homes of both the route and the tenant.
     #[error("no home")]
     NoHome,
     /// The service has no replica in the request's homes.
--- a/crates/proxy/src/flow/mod.rs
+++ b/crates/proxy/src/flow/mod.rs
@@ -5,16 +5,16 @@
 //! request to a replica; [`buffered`] and [`stream`] forward the response; [`turn`] manages the
 //! token budgets and turn histories of programs.
 
-mod answer;
 mod body;
+mod buffered;
 mod call;
 mod dispatch;
+mod error;
 mod failure;
 mod headers;
 mod home;
 mod permit;
-mod plain;
-mod refusal;
+mod response;
 mod stream;
 mod turn;
 
@@ -32,10 +32,10 @@
 
 use crate::app::App;
 use crate::memory::MemoryClass;
-pub use answer::{BodyAborted, ResponseBody};
 use body::BodyReadError;
 use call::{Call, ResolvedRoute};
-use refusal::{GatewayError, KeyError, NotExecutedReason};
+use error::{GatewayError, KeyError, NotExecutedReason};
+pub use response::{BodyAborted, ResponseBody};
 
 /// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
@@ -48,9 +48,9 @@
 
 /// Serves a single client request.
 pub async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let received = Instant::now();
+    let received_at = Instant::now();
     let guard = app.begin_request();
-    match read_call(&app, request, received).await {
+    match read_request(&app, request, received_at).await {
         Ok(call) => {
             let call = Arc::new(call);
             log_received(&call);
@@ -58,29 +58,29 @@
             let result = match (home::check(&app, &call), call.route.kind) {
                 (Err(error), _) => Err(error),
                 (Ok(()), RouteKind::Stream) => stream::serve(&app, &call, guard).await,
-                (Ok(()), RouteKind::Safe | RouteKind::Unsafe) => plain::serve(&app, &call).await,
+                (Ok(()), RouteKind::Safe | RouteKind::Unsafe) => buffered::serve(&app, &call).await,
             };
             disconnect_guard.disarm();
             result.unwrap_or_else(|error| {
-                log_error(&call.head.request_id, &call.route.name, received, &error);
+                log_error(&call.head.request_id, &call.route.name, received_at, &error);
                 error.into_response(app.dialect(), &call.head.request_id)
             })
         }
         Err((id, error)) => {
-            log_error(&id, "-", received, &error);
+            log_error(&id, "-", received_at, &error);
             error.into_response(app.dialect(), &id)
         }
     }
 }
 
-fn log_error(id: &str, route: &str, received: Instant, error: &GatewayError) {
-    record_end(error.metric_label(), received.elapsed());
+fn log_error(id: &str, route: &str, received_at: Instant, error: &GatewayError) {
+    record_end(error.metric_label(), received_at.elapsed());
     emit!(
         Event::RequestEnded;
         request = id,
         route = route,
         outcome = error,
-        after_ms = received.elapsed().as_millis(),
+        after_ms = received_at.elapsed().as_millis(),
     );
 }
 
@@ -129,33 +129,33 @@
         let Some(call) = &self.call else {
             return;
         };
-        record_end("caller_left", call.received.elapsed());
+        record_end("caller_left", call.received_at.elapsed());
         emit!(
             Event::RequestEnded;
             request = call.head.request_id,
             route = call.route.name,
             outcome = "caller left before an answer",
-            after_ms = call.received.elapsed().as_millis(),
+            after_ms = call.received_at.elapsed().as_millis(),
         );
     }
 }
 
 /// Reads a request including its body. Errors include the request id, if known.
-async fn read_call(
+async fn read_request(
     app: &Arc<App>,
     request: Request<Incoming>,
-    received: Instant,
+    received_at: Instant,
 ) -> Result<Call, (String, GatewayError)> {
     let (mut parts, body) = request.into_parts();
     let without_id = |error| ("-".to_owned(), error);
     let resolved = resolve_route(app, &mut parts).await.map_err(without_id)?;
-    let head = app.dialect().read_call(&parts.headers);
+    let head = app.dialect().read_request(&parts.headers);
     let head = head.map_err(|findings| without_id(GatewayError::Malformed(findings)))?;
     headers::remove_gateway_headers(app.dialect(), &mut parts.headers);
     let id = head.request_id.clone();
     let limits = resolved.table.limits();
     let body = read_body(app, body, limits).await.map_err(|error| (id, error))?;
-    Ok(Call::new(resolved, head, parts, body, received))
+    Ok(Call::new(resolved, head, parts, body, received_at))
 }
 
 /// Looks up the route and the tenant of a request. The API key is not passed on.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Data plane of the gateway: forwards client requests to replicas and their responses back.
 //!
-//! Modules, from the lowest layer to the highest; each depends only on those above it:
+//! Modules, from the lowest layer to the highest:
 //!
 //! - [`dialect`]: trait that reads and writes the platform's headers and documents;
 //! - [`settings`]: startup settings of a gateway;
@@ -18,12 +18,12 @@
 pub mod events;
 pub mod fleet;
 pub mod flow;
-pub mod front;
+pub mod frontend;
+pub mod ledger_watch;
 pub mod memory;
-pub mod news;
 pub mod settings;
 pub mod upstream;
 
 pub use app::App;
-pub use dialect::{AnswerHead, CallHead, Dialect, HeaderOwner, OutgoingHead};
+pub use dialect::{Dialect, HeaderOwner, OutgoingHead, RequestHead, ResponseHead};
 pub use settings::ProxySettings;
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -12,12 +12,12 @@
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 
 use super::{Checkout, Pool};
-use crate::dialect::{AnswerHead, Dialect, OutgoingHead};
+use crate::dialect::{Dialect, OutgoingHead, ResponseHead};
 use crate::fleet::{LoadGuard, Member};
 
 /// Request to a replica.
 #[derive(Clone, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Method of the client's request.
     pub method: &'a Method,
     /// Path and query of the client's request.
@@ -29,7 +29,7 @@
     /// Complete body.
     pub body: Bytes,
     /// Id of the event after which a stream is resumed.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Tenant that sent the request.
     pub tenant: Option<&'a str>,
     /// Deadline of the client. The replica receives the remaining time.
@@ -44,7 +44,7 @@
     NotSent,
     /// The deadline for sending passed before the request was sent.
     #[error("too late to be sent")]
-    Lapsed,
+    SendTimeout,
     /// The replica reports that it did not run the request.
     #[error("the replica did not run it")]
     NotExecuted,
@@ -93,7 +93,7 @@
     pool: &Pool,
     dialect: &dyn Dialect,
     member: &Arc<Member>,
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     send_by: Option<Instant>,
     response_deadline: Instant,
 ) -> Result<Exchange, ExchangeError> {
@@ -107,7 +107,7 @@
         if send_by.is_some_and(|send_by| send_by <= Instant::now()) {
             // Nothing was sent on the connection, so it can be reused.
             pool.check_in(&replica.id, connection.sender, None);
-            return Err(ExchangeError::Lapsed);
+            return Err(ExchangeError::SendTimeout);
         }
         let request = build_request(dialect, outgoing, Incarnation::identity_of(&replica.id));
         let sending = connection.sender.try_send_request(request);
@@ -126,7 +126,7 @@
                 checkout = Checkout::New;
             }
             Ok(Ok(response)) => {
-                let head = dialect.read_answer(response.headers());
+                let head = dialect.read_response(response.headers());
                 check_response(&head, outgoing.request_id)?;
                 let reuse = connection_reuse(&response);
                 let member = Arc::clone(member);
@@ -139,7 +139,7 @@
 
 /// Checks that the response belongs to the request. Otherwise it is ignored and the connection is
 /// closed.
-fn check_response(head: &AnswerHead, request_id: &str) -> Result<(), ExchangeError> {
+fn check_response(head: &ResponseHead, request_id: &str) -> Result<(), ExchangeError> {
     if head.request_id.as_deref().is_some_and(|id| id != request_id) {
         return Err(ExchangeError::Unknown);
     }
@@ -154,7 +154,7 @@
 
 fn build_request(
     dialect: &dyn Dialect,
-    outgoing: &Outgoing<'_>,
+    outgoing: &OutgoingRequest<'_>,
     replica: &str,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
@@ -162,9 +162,9 @@
     *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = outgoing.headers.clone();
     let time_left = outgoing.deadline.saturating_duration_since(Instant::now());
-    let Outgoing { last_event, tenant, .. } = *outgoing;
-    let head = OutgoingHead { deadline: time_left, replica, last_event, tenant };
-    dialect.write_call(request.headers_mut(), &head);
+    let OutgoingRequest { last_event_id, tenant, .. } = *outgoing;
+    let head = OutgoingHead { deadline: time_left, replica, last_event_id, tenant };
+    dialect.write_request(request.headers_mut(), &head);
     request
 }
 
--- a/crates/proxy/tests/starts.rs
+++ b/crates/proxy/tests/incarnations.rs
@@ -46,15 +46,15 @@
         let mut newest = [0; IDENTITIES as usize];
         for start_times in lists {
             let list: Vec<Replica> =
-                (0..).zip(&start_times).map(|(identity, start_time)| replica(identity, *start_time)).collect();
+                (0..).zip(&start_times).map(|(identity, start)| replica(identity, *start)).collect();
             fleet.update(list.clone());
             fleet.record_other_loads(&[10, 11, 12], Instant::now());
             for ((position, start_time), listed) in start_times.iter().enumerate().zip(&list) {
                 newest[position] = newest[position].max(*start_time);
                 let homes = HomeRegions::anywhere();
                 let is_newest = *start_time == newest[position];
-                prop_assert_eq!(fleet.is_open(listed, &homes), is_newest);
-                let member = fleet.untroubled("models", &listed.id, &homes);
+                prop_assert_eq!(fleet.is_eligible(listed, &homes), is_newest);
+                let member = fleet.find_healthy("models", &listed.id, &homes);
                 let load = member.map(|member| member.loads().1.get());
                 prop_assert_eq!(load, is_newest.then_some(10.0 + position as f64));
             }
