--- a/crates/gateway/src/backend/engine.rs
+++ b/crates/gateway/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Model calls and cache control on an engine.
+//! Client of engines: chat completions, cache control and probes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::{CONNECT_TIMEOUT, CONTROL_TIMEOUT};
 use crate::core::message::{BackendEvent, BackendFailure, EngineOrder, EngineReport};
 
-/// Carries an order out; `report` gets every event, the last one final.
+/// Runs a task on an engine; the last event passed to `report` ends the attempt.
 pub fn run(order: &EngineOrder, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
     let opened = match &order.resume {
         Some(earlier) => resume(order, earlier, read_timeout),
@@ -53,7 +53,7 @@
     opened.map_err(|_| BackendFailure::NothingToResume)
 }
 
-/// A status other than success is given before a request starts.
+/// Maps a client error: an engine sends an error status only before it starts a request.
 fn failure_of(error: &ClientError) -> BackendFailure {
     match error {
         ClientError::NotConnected(_) | ClientError::Status { .. } => BackendFailure::NotStarted,
@@ -74,7 +74,7 @@
             None => return report(BackendEvent::Failed(BackendFailure::Broken)),
         };
         if chunk.id != expected {
-            emit!(Event::FrameMismatch, "got {} for {expected}", chunk.id);
+            emit!(Event::FrameMismatch, "received a chunk of {} instead of {expected}", chunk.id);
             return report(BackendEvent::Failed(BackendFailure::Broken));
         }
         let text = chunk.text().to_owned();
@@ -100,25 +100,25 @@
     serde_json::from_str(&data).ok()
 }
 
-/// Cancels an attempt. Whether that worked does not matter: nobody listens to it.
+/// Cancels an attempt; errors are ignored, as its result is no longer used.
 pub fn cancel(address: SocketAddr, attempt: &AttemptId) {
     let path = format!("/v1/attempts/{attempt}");
     let _ = client(address, CONTROL_TIMEOUT).delete::<serde_json::Value>(&path);
 }
 
-/// Releases a program's memory; `true` when the engine confirmed.
+/// Releases a program's cache memory; returns whether the engine confirmed it.
 pub fn release(address: SocketAddr, program: &ProgramId) -> bool {
     let path = format!("/v1/cache/{program}");
     client(address, CONTROL_TIMEOUT).delete::<CacheReleased>(&path).is_ok()
 }
 
-/// Programs the engine holds memory of; `None` when it does not answer.
+/// Lists the programs in the engine's cache; `None` when the engine does not answer.
 pub fn list(address: SocketAddr) -> Option<Vec<ProgramId>> {
     let listing = client(address, CONTROL_TIMEOUT).get::<CacheListing>("/v1/cache").ok()?;
     Some(listing.programs.into_iter().map(|held| held.program).collect())
 }
 
-/// What the engine says of itself; `None` when it does not answer.
+/// Queries the engine's status; `None` when the engine does not answer.
 pub fn probe(address: SocketAddr) -> Option<EngineReport> {
     let report = client(address, CONTROL_TIMEOUT).get::<LoadReport>("/v1/load").ok()?;
     Some(EngineReport { leaving: report.leaving })
--- a/crates/gateway/src/backend/mod.rs
+++ b/crates/gateway/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! Clients of engines, services and the platform: each carries out one kind of
-//! [`Action`](crate::core::Action) over HTTP and reports [`Input`](crate::core::Input)s.
+//! HTTP clients of engines, services and the platform. They execute
+//! [`Action`](crate::core::Action)s and return results as [`Input`](crate::core::Input)s.
 
 pub mod engine;
 pub mod platform;
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-/// Longest time to connect to a back end.
+/// Timeout for connecting to a back end.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest silence of a control request.
+/// Read timeout of control requests.
 pub const CONTROL_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/gateway/src/backend/platform.rs
+++ b/crates/gateway/src/backend/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines.
+//! Client of the platform's machine list.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use super::{CONNECT_TIMEOUT, CONTROL_TIMEOUT};
 
-/// Reads the list; `None` when the platform does not answer.
+/// Fetches the machine list; `None` when the platform does not answer.
 pub fn list(address: SocketAddr) -> Option<Vec<MachineStatus>> {
     let client = HttpClient::new(address, CONNECT_TIMEOUT, CONTROL_TIMEOUT);
     match client.get("/v1/machines") {
--- a/crates/gateway/src/backend/service.rs
+++ b/crates/gateway/src/backend/service.rs
@@ -1,4 +1,4 @@
-//! Requests to replicas of tool services.
+//! Client of the replicas of tool services.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use super::CONNECT_TIMEOUT;
 use crate::core::message::{BackendEvent, BackendFailure, ServiceOrder};
 
-/// Why an answer of a service ends.
+/// Finish reason of service answers.
 const FINISH_REASON: &str = "stop";
 
-/// Carries an order out; `report` gets the answer and its end, or a failure.
+/// Runs a task on a replica and reports its answer or failure.
 pub fn run(order: &ServiceOrder, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
     let client = HttpClient::new(order.address, CONNECT_TIMEOUT, read_timeout)
         .with_header(openai::HEADER_KEY, order.key.as_str());
@@ -37,7 +37,7 @@
     };
     let result = client.post::<_, JobResult>("/v1/jobs", &job).map_err(|error| match error {
         ClientError::NotConnected(_) => BackendFailure::NotStarted,
-        // 503 is given before a job starts; any other failure may come after it.
+        // Replicas send 503 only before a job starts; other errors may come later.
         ClientError::Status { status: 503, .. } => BackendFailure::NotStarted,
         _ => BackendFailure::Broken,
     })?;
@@ -51,7 +51,7 @@
     checked(result, order)
 }
 
-/// An answer under another key belongs to somebody else.
+/// Rejects a result with another key, which belongs to another request.
 fn checked(result: JobResult, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
     if result.key == order.key.as_str() { Ok(result) } else { Err(BackendFailure::Broken) }
 }
--- a/crates/gateway/src/core/call.rs
+++ b/crates/gateway/src/core/call.rs
@@ -1,4 +1,4 @@
-//! One call under way in a gateway.
+//! State of one active call.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,136 +11,136 @@
 
 use super::message::{CallRequest, FailureCause, Ticket};
 
-/// A caller that listens, and how much of the answer it has.
+/// A caller that receives the answer, and its progress.
 #[derive(Clone, Debug)]
 pub struct Listener {
     /// The caller.
     pub ticket: Ticket,
-    /// Bytes of the answer sent to it.
+    /// Bytes of the answer that were sent.
     pub sent: usize,
-    /// Whether it was told that the call is admitted.
+    /// Whether [`CallerEvent::Admitted`](super::message::CallerEvent::Admitted) was sent.
     pub told_admitted: bool,
 }
 
-/// What a call waits for.
+/// Processing state of a call, by what it waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// The store's answer to its admission.
+    /// Waits for the store to admit the call.
     Beginning,
-    /// Its turn, or the same request elsewhere; asks again at this moment.
+    /// Waits until the call can be admitted.
     WaitingTurn {
-        /// When to ask again.
+        /// Time of the next admission request.
         again_at: Moment,
-        /// When to stop asking.
+        /// Time at which waiting ends with a failure.
         until: Moment,
-        /// What it waits for.
+        /// Reason for waiting.
         what: Waiting,
     },
-    /// A back end that takes it; looks again at this moment.
+    /// Waits for a back end that accepts the call.
     Routing {
-        /// When to look again.
+        /// Time of the next routing attempt.
         again_at: Moment,
     },
-    /// A slot of an engine.
+    /// Waits for a slot on an engine.
     Queued {
         /// The engine.
         engine: EngineId,
-        /// The owner that was asked.
+        /// The owner that received the slot request.
         owner: NodeId,
-        /// When to ask again.
+        /// Time at which the slot request is repeated.
         again_at: Moment,
     },
-    /// The store's word that the dispatch mark is durable.
+    /// Waits for the dispatch record to become durable.
     Dispatching,
-    /// The back end.
+    /// Runs on the back end.
     Running {
-        /// When it last made progress.
+        /// Time of the last progress.
         progress: Moment,
     },
-    /// A back end's word on an earlier attempt.
+    /// Waits for a replica's result of an earlier attempt.
     LookingUp {
-        /// When it was asked.
+        /// Time at which the lookup was sent.
         since: Moment,
     },
-    /// The store's word that the answer is durable.
+    /// Waits for the answer to become durable.
     Completing,
-    /// The store's word that the call is closed.
+    /// Waits for the store to close the call.
     Closing(NotRunReason),
-    /// The store's word that another attempt may start.
+    /// Waits for the store to allow another attempt.
     Retrying,
-    /// The store's word on the claim of another gateway's call.
+    /// Waits for the store to transfer a call to this gateway.
     Claiming,
-    /// The store's word that the outcome is given up.
+    /// Waits for the store to record an unknown outcome.
     GivingUp,
 }
 
-/// What [`Phase::WaitingTurn`] waits for.
+/// Reason for [`Phase::WaitingTurn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
-    /// An earlier call that has not arrived.
+    /// An earlier call has not arrived.
     EarlierCall,
-    /// An earlier call that runs.
+    /// An earlier call is running.
     RunningCall,
-    /// The same request in another gateway.
+    /// Another gateway runs the same request.
     SameCall,
-    /// The gateway's lease, and with it the newest configuration.
+    /// The gateway has no lease, so its configuration may be outdated.
     Lease,
 }
 
-/// Where an attempt was sent.
+/// Back end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The back end.
     pub backend: Backend,
-    /// Its address.
+    /// The back end's address.
     pub address: SocketAddr,
 }
 
-/// One call under way.
+/// An active call.
 #[derive(Debug)]
 pub struct Call {
-    /// The caller's request; `None` for a call that was only attached to.
+    /// The caller's request; `None` when a caller attached to an existing call.
     pub request: Option<CallRequest>,
-    /// Its tenant.
+    /// The caller's tenant.
     pub tenant: TenantId,
-    /// Its program.
+    /// The program of the call.
     pub program: ProgramId,
-    /// Its key.
+    /// Idempotency key.
     pub key: IdempotencyKey,
-    /// Whether the program was made for this call alone.
+    /// Whether the program was created for this call only.
     pub is_alone: bool,
-    /// The place a caller attached to.
+    /// The existing call that a caller attached to.
     pub attached: Option<CallId>,
-    /// Callers that listen.
+    /// Callers that receive the answer.
     pub listeners: Vec<Listener>,
-    /// What it waits for.
+    /// Processing state.
     pub phase: Phase,
-    /// When it arrived here.
+    /// Arrival time at this gateway.
     pub since: Moment,
-    /// What the store admitted.
+    /// The store's admission, once granted.
     pub admission: Option<Box<Admission>>,
-    /// The attempt under way.
+    /// The current attempt.
     pub attempt: Option<AttemptId>,
-    /// Where it was sent.
+    /// Back end of the current attempt.
     pub target: Option<Target>,
-    /// The earlier attempt whose stream is resumed.
+    /// Earlier attempt whose stream is resumed.
     pub resumes: Option<AttemptId>,
     /// The answer so far.
     pub text: String,
-    /// Text that was produced before the attempt under way.
+    /// Bytes of the answer that earlier attempts produced.
     pub continuation: usize,
-    /// Engines or replicas that failed it.
+    /// Back ends to avoid because an attempt on them failed.
     pub excluded: BTreeSet<String>,
-    /// The whole answer, while it is stored.
+    /// The complete answer, while it is being stored.
     pub answer: Option<StoredAnswer>,
-    /// What to report when the call is given up.
+    /// Failure to report once the unknown outcome is recorded.
     pub cause: Option<FailureCause>,
-    /// Its program was cancelled.
+    /// Whether the program was cancelled.
     pub cancelled: bool,
 }
 
 impl Call {
-    /// A call that has just arrived.
+    /// Creates a call with one listener.
     pub fn new(
         tenant: TenantId,
         program: ProgramId,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The slot it holds, if it does.
+    /// Returns the engine slot that the call holds.
     pub fn held_slot(&self) -> Option<(EngineId, AttemptId)> {
         let has_slot =
             matches!(self.phase, Phase::Dispatching | Phase::Running { .. } | Phase::Completing);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Tokens of its prompt.
+    /// Returns the number of prompt tokens; 0 before admission.
     pub fn prompt_tokens(&self) -> u64 {
         self.admission.as_ref().map_or(0, |admission| admission.prompt_tokens)
     }
--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: asking the store, waiting for a turn, taking calls over.
+//! Admission of calls, waiting for earlier calls, and takeover of calls.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
 use crate::core::message::{Action, CallRequest, CallerEvent, Failure, FailureCause, Ticket, Work};
 use crate::core::{Gateway, Purpose, program_answer};
 
-/// Pause before the store is asked again about a turn.
+/// Time between admission requests while a call waits.
 const TURN_POLL: Duration = Duration::from_millis(25);
-/// Tokens to generate when neither caller nor model sets a limit.
+/// Token limit of service calls, which generate no tokens.
 const SERVICE_TOKENS: u64 = 0;
 
 impl Gateway {
@@ -40,7 +40,7 @@
         self.begin(now, id);
     }
 
-    /// Refusals that need no word of the store.
+    /// Checks whether to refuse a request without contacting the store.
     fn refuse_at_the_door(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
         let cause = if self.stopping {
             FailureCause::NotRun(NotRunReason::ShuttingDown)
@@ -59,9 +59,8 @@
                 _ => return None,
             }
         };
-        // Nothing durable was written. A request with the caller's own key may
-        // have run before, or may yet run as a resend, so only a request without
-        // one can be told that it did not run.
+        // A request with the caller's idempotency key may be a resend of one that
+        // ran, so only a request without a key is certain not to have run.
         let outcome = if request.key.is_some() { Outcome::Unknown } else { Outcome::NotRun };
         Some(Failure { outcome, cause, call: None })
     }
@@ -78,7 +77,7 @@
         id
     }
 
-    /// Asks the store to admit the call, or asks again.
+    /// Sends the admission request, or the status query of an attached call.
     pub(super) fn begin(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -91,7 +90,7 @@
             return;
         };
         if !self.view.has_lease(now) && !is_broken(Rule::UseCurrentLimits) {
-            // Limits of an old configuration must not be used.
+            // Without a lease the limits may be outdated.
             return self.wait(now, id, Waiting::Lease, self.settings.gap_timeout);
         }
         let program = call.program.clone();
@@ -162,8 +161,7 @@
             Phase::WaitingTurn { again_at: now + TURN_POLL, until: call.since + patience, what };
     }
 
-    /// The same request is under way: here, in a gateway that lives, or in one
-    /// that is gone.
+    /// Handles a request that is already running in this or another gateway.
     pub(super) fn on_running_elsewhere(
         &mut self,
         now: Moment,
@@ -174,8 +172,7 @@
         if *by == self.settings.node {
             return match self.by_attempt.get(&attempt).copied() {
                 Some(other) if other != id => self.join(now, id, other),
-                // This gateway admitted it and forgot it, since the store's
-                // answer never came.
+                // The call was admitted for this gateway, but the store's reply was lost.
                 _ => self.claim(now, id, attempt),
             };
         }
@@ -186,7 +183,7 @@
         self.wait(now, id, Waiting::SameCall, self.settings.duplicate_timeout);
     }
 
-    /// Moves the listeners of `id` to the call that runs already.
+    /// Moves the listeners of `id` to the call that is already running.
     fn join(&mut self, now: Moment, id: u64, other: u64) {
         let Some(joining) = self.calls.remove(&id) else {
             return;
@@ -222,7 +219,7 @@
         call.attempt = Some(attempt);
         call.admission = Some(admission);
         if previous.is_none() {
-            // Nothing was sent, so there is no stream to resume.
+            // No attempt was sent, so there is no stream to resume.
             call.resumes = None;
         }
         self.retries.deposit();
@@ -262,7 +259,7 @@
         self.begin(now, id);
     }
 
-    /// The record has moved on: asks it what became of the call, and reports that.
+    /// Queries and reports the recorded outcome after the record changed elsewhere.
     pub(super) fn resolve(&mut self, now: Moment, id: u64) {
         self.release_slot(now, id);
         let Some(call) = self.calls.get_mut(&id) else {
@@ -323,7 +320,7 @@
     }
 }
 
-/// The name of the program made for a single call: the same for each resend of it.
+/// Returns the ID of a single-call program; resends get the same ID.
 fn program_of_one(tenant: &TenantId, key: &IdempotencyKey) -> ProgramId {
     let digest = calicohoist_types::Digest::of(format!("{tenant}\n{key}").as_bytes());
     ProgramId::new(format!("call-{:016x}", digest.prefix()))
--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -1,4 +1,4 @@
-//! Storing answers, closing calls, and telling callers.
+//! Storing answers, closing calls and sending results to callers.
 
 use calicohoist_store::commands::program::{ProgramCommand, ProgramError};
 use calicohoist_store::state::programs::StoredAnswer;
@@ -14,7 +14,7 @@
 use crate::core::{Gateway, Purpose};
 
 impl Gateway {
-    /// Stores the whole answer; the caller gets its end once that is durable.
+    /// Stores the complete answer; the caller gets its end once it is durable.
     pub(super) fn complete(&mut self, now: Moment, id: u64, answer: StoredAnswer) {
         let by = self.settings.node.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends what is left of a stored answer, and its end.
+    /// Sends the rest of a stored answer and ends the call.
     pub(super) fn finish_stored(
         &mut self,
         now: Moment,
@@ -64,10 +64,10 @@
         self.end_call(now, id, &CallerEvent::Finished(finish));
     }
 
-    /// Sends listeners what they lack of the answer so far.
+    /// Sends each listener the text that it has not received.
     ///
-    /// Nothing is said before there is text: until then a refusal can still have
-    /// a status of its own.
+    /// Sends nothing before there is text, because a failure until then can still
+    /// set the HTTP status.
     pub(super) fn forward(&mut self, _now: Moment, id: u64) {
         let has_text = self.calls.get(&id).is_some_and(|call| !call.text.is_empty());
         if !has_text {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Closes a call that was not dispatched in its present attempt.
+    /// Closes a call whose current attempt was not dispatched.
     pub(super) fn close(&mut self, now: Moment, id: u64, reason: NotRunReason) {
         let by = self.settings.node.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -116,7 +116,7 @@
         self.command(now, Purpose::Call(id), &program, command);
     }
 
-    /// Closes the place of a call that was never admitted.
+    /// Closes the sequence number of a call that was not admitted.
     pub(super) fn refuse(&mut self, now: Moment, id: u64, reason: NotRunReason) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -157,7 +157,7 @@
         self.fail_unknown(now, id, cause.unwrap_or(FailureCause::BackendLost));
     }
 
-    /// The store refused to admit the call: nothing was changed.
+    /// Fails a call that the store refused to admit.
     pub(super) fn fail_refused(&mut self, now: Moment, id: u64, error: &ProgramError) {
         let (outcome, cause) = match error {
             ProgramError::KeyMismatch => (Outcome::NotRun, FailureCause::KeyMismatch),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Gives the slot back, or the place in the queue.
+    /// Releases the call's slot or its queue entry.
     pub(super) fn release_slot(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -225,7 +225,7 @@
 }
 
 impl Call {
-    /// Its place in its program, as far as known.
+    /// Returns the ID of the call, if known.
     fn place(&self) -> Option<CallId> {
         let attempted = self.attempt.as_ref().map(|attempt| attempt.call.clone());
         attempted.or_else(|| self.attached.clone())
--- a/crates/gateway/src/core/flow/mod.rs
+++ b/crates/gateway/src/core/flow/mod.rs
@@ -1,10 +1,10 @@
-//! What happens to calls, from admission to the final answer.
+//! Processing of calls, from admission to the final answer.
 //!
-//! - [`admit`]: asking the store, waiting for a turn, taking calls over;
-//! - [`route`]: choosing a back end and getting a slot;
-//! - [`run`]: what back ends report, retries, looking up lost requests;
-//! - [`finish`]: storing answers, refusals, telling callers;
-//! - [`timers`]: everything that happens because time passed.
+//! - [`admit`]: admission, waiting for earlier calls, takeover;
+//! - [`route`]: choice of a back end, slot requests and dispatch;
+//! - [`run`]: back-end events, retries and recovery of attempts;
+//! - [`finish`]: storing answers, closing calls and sending results;
+//! - [`timers`]: timeouts and periodic retries.
 
 mod admit;
 mod finish;
@@ -20,7 +20,7 @@
 use super::message::FailureCause;
 
 impl Gateway {
-    /// The store answered a step of a call.
+    /// Handles the store's reply to a step of a call.
     pub(super) fn on_call_answer(&mut self, now: Moment, id: u64, output: Option<ProgramOutput>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -46,7 +46,7 @@
             (Phase::Beginning, Some(ProgramOutput::Refused(error))) => {
                 self.fail_refused(now, id, &error);
             }
-            // The record has moved on without this gateway: report what it says.
+            // Another gateway or caller changed the record: report the recorded outcome.
             (_, Some(ProgramOutput::Refused(_))) => self.resolve(now, id),
             (_, Some(_)) => {}
         }
--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -1,4 +1,4 @@
-//! Choosing a back end, getting a slot, and the durable mark before the send.
+//! Choice of a back end, slot requests, and the durable dispatch record.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::core::metrics::ATTEMPTS_SENT;
 use crate::core::{Gateway, Purpose};
 
-/// Pause before a call that no back end takes looks again.
+/// Delay before a call that no back end accepts is routed again.
 const ROUTE_POLL: Duration = Duration::from_millis(50);
-/// Pause before a request for a slot is repeated.
+/// Time after which a slot request is repeated.
 const ENQUEUE_REPEAT: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// Looks for a back end that takes the call.
+    /// Chooses a back end for the call.
     pub(super) fn route(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -40,7 +40,7 @@
 
     fn route_later(&mut self, now: Moment, id: u64) {
         if let Some(call) = self.calls.get_mut(&id) {
-            // What failed before may have come back, and nothing else is left.
+            // No other back end is available, so retry those that failed.
             call.excluded.clear();
             call.phase = Phase::Routing { again_at: now + ROUTE_POLL };
         }
@@ -81,7 +81,7 @@
         choose(costed, &self.settings.weights)
     }
 
-    /// Calls of this gateway that wait for or run on each engine.
+    /// Counts this gateway's queued and running calls per engine.
     fn calls_by_engine(&self) -> BTreeMap<EngineId, u32> {
         let mut counts = BTreeMap::new();
         for engine in self.calls.values().filter_map(Call::engine) {
@@ -101,7 +101,7 @@
         let load = self.view.load(engine);
         let holdings = call.admission.iter().flat_map(|admission| &admission.holdings);
         let held = holdings.clone().find(|(holder, _)| holder == engine);
-        // Loads are late: calls that went there from here count at least.
+        // Reported loads lag behind, so use this gateway's own calls as the minimum.
         let running = load.map_or(0, |load| load.running);
         let waiting = load.map_or(0, |load| load.waiting);
         CostInputs {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Asks the engine's owner for a slot, or asks again.
+    /// Sends or repeats a slot request to the engine's owner.
     pub(super) fn enqueue(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -164,7 +164,7 @@
         call.phase = Phase::Routing { again_at: now + ROUTE_POLL };
     }
 
-    /// Whether no engine is left that has not just refused for want of room.
+    /// Returns whether no engine is left that has not refused the call.
     fn is_everything_full(&self, now: Moment, id: u64) -> bool {
         let admission = self.calls.get(&id).and_then(|call| call.admission.as_ref());
         match admission.map(|admission| &admission.target) {
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Marks the attempt as possibly sent; [`Gateway::launch`] follows once the
-    /// mark is durable.
+    /// Records the attempt as dispatched; [`Gateway::launch`] sends it once the
+    /// record is durable.
     pub(super) fn dispatch(&mut self, now: Moment, id: u64, target: Target) {
         let by = self.settings.node.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -246,8 +246,8 @@
         self.command(now, Purpose::Call(id), &program, command);
     }
 
-    /// Whether the back end of a new attempt takes no new work any more. One that only
-    /// asks for the rest of its own stream brings no new work.
+    /// Returns whether the back end of a new attempt no longer accepts work. Always
+    /// false for an attempt that resumes a stream.
     fn target_has_left(&self, id: u64) -> bool {
         let call = self.calls.get(&id).filter(|call| call.resumes.is_none());
         match call.and_then(|call| call.target.as_ref()).map(|target| &target.backend) {
@@ -257,14 +257,14 @@
         }
     }
 
-    /// The mark is durable: sends the attempt.
+    /// Sends the attempt after its dispatch record became durable.
     pub(super) fn launch(&mut self, now: Moment, id: u64) {
         if !self.view.has_lease(now) {
-            // The view may be too old to know that the back end is leaving.
+            // Without a lease the view may not show that the back end is leaving.
             return self.retry(now, id, true);
         }
         if self.target_has_left(id) {
-            // It began to leave while the mark became durable, which an election delays.
+            // The back end began to leave before the record became durable.
             return self.retry(now, id, true);
         }
         let Some(call) = self.calls.get_mut(&id) else {
@@ -283,12 +283,12 @@
 }
 
 impl Call {
-    /// Whether it waits for a slot of `engine`.
+    /// Returns whether the call waits for a slot of `engine`.
     fn waits_for(&self, engine: &EngineId) -> bool {
         matches!(&self.phase, Phase::Queued { engine: queued, .. } if queued == engine)
     }
 
-    /// The engine it waits for or runs on.
+    /// Returns the engine on which the call is queued or running.
     fn engine(&self) -> Option<EngineId> {
         match &self.phase {
             Phase::Queued { engine, .. } => Some(engine.clone()),
@@ -306,7 +306,7 @@
     }
 }
 
-/// The order for the engine the call is dispatched to.
+/// Builds the task for the engine to which the call is dispatched.
 pub(super) fn engine_order(call: &Call) -> Option<EngineOrder> {
     let (target, admission) = (call.target.as_ref()?, call.admission.as_ref()?);
     let (Backend::Engine(engine), CallTarget::Model(model)) = (&target.backend, &admission.target)
@@ -326,7 +326,7 @@
     })
 }
 
-/// The order for the replica the call is dispatched to.
+/// Builds the task for the replica to which the call is dispatched.
 pub(super) fn service_order(call: &Call, only_look_up: bool) -> Option<ServiceOrder> {
     let (target, admission) = (call.target.as_ref()?, call.admission.as_ref()?);
     let CallTarget::Service(service) = &admission.target else {
@@ -343,7 +343,7 @@
     })
 }
 
-/// The key that every attempt of one call shares.
+/// Returns the idempotency key that all attempts of a call share.
 fn service_key(call: &Call, attempt: &AttemptId) -> IdempotencyKey {
     IdempotencyKey::new(format!("{}/{}", attempt.call, call.key))
 }
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -1,4 +1,4 @@
-//! What back ends report, retries, and looking up requests that got lost.
+//! Back-end events, retries, and recovery of attempts of other gateways.
 
 use calicohoist_scheduler::backoff;
 use calicohoist_store::broken::{Rule, is_broken};
@@ -21,7 +21,7 @@
         attempt: AttemptId,
         event: BackendEvent,
     ) {
-        // Events of attempts that were replaced are nobody's any more.
+        // Ignore events of attempts that were replaced.
         let Some(id) = self.by_attempt.get(&attempt).copied() else {
             return;
         };
@@ -55,8 +55,8 @@
         };
         let known = call.text.len();
         if offset > known || call.text.get(offset..) != text.get(..known - offset.min(known)) {
-            // A hole, or other text than before: this is not the same answer.
-            emit!(Event::FrameMismatch, "{:?} at byte {offset}", call.attempt);
+            // A gap, or text that differs from the text received before.
+            emit!(Event::FrameMismatch, "{:?}: text differs or has a gap at byte {offset}", call.attempt);
             return self.on_attempt_failed(now, id, BackendFailure::Broken);
         }
         call.text.push_str(&text[known - offset..]);
@@ -82,8 +82,8 @@
         }
         let repeatable = call.admission.as_ref().is_some_and(|admission| admission.repeatable)
             || is_broken(Rule::RepeatOnlyRepeatable);
-        // An attempt that only asked for the rest of an earlier one ran nothing
-        // itself, but the earlier one may have run.
+        // An attempt that resumes a stream runs nothing itself, but the earlier
+        // attempt may have run.
         let only_resumed = call.resumes.is_some();
         let never_sent = match failure {
             BackendFailure::NotStarted => !was_lookup && (repeatable || !only_resumed),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Asks for another attempt.
+    /// Requests another attempt from the store.
     pub(super) fn retry(&mut self, now: Moment, id: u64, never_sent: bool) {
         self.release_slot(now, id);
         let by = self.settings.node.clone();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Finds out what became of an attempt that another gateway had sent.
+    /// Recovers an attempt that another gateway may have sent.
     pub(super) fn recover(&mut self, now: Moment, id: u64, backend: Backend) {
         let address = match &backend {
             Backend::Engine(engine) => self.view.engine(engine).map(|spec| spec.address),
@@ -153,7 +153,7 @@
         let is_engine = matches!(backend, Backend::Engine(_));
         let target = Target { backend, address };
         match (repeatable, is_engine) {
-            // The engine may still have the stream: resume it under a new mark.
+            // The engine may still have the stream: resume it with a new dispatch record.
             (true, true) => self.dispatch(now, id, target),
             (true, false) => {
                 call.resumes = None;
@@ -192,7 +192,7 @@
         self.command(now, Purpose::Call(id), &program, command);
     }
 
-    /// The program of the attempt was cancelled, here or through another gateway.
+    /// Handles the cancellation of the attempt's program.
     pub(in crate::core) fn on_cancel(&mut self, now: Moment, attempt: &AttemptId) {
         let Some(id) = self.by_attempt.get(attempt).copied() else {
             return;
@@ -204,7 +204,7 @@
         self.resolve(now, id);
     }
 
-    /// Tells the engine that nobody wants the attempt any more.
+    /// Cancels the running attempt on its engine.
     pub(super) fn cancel_on_engine(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -221,7 +221,7 @@
     }
 }
 
-/// A back end's name, for lists of back ends to avoid.
+/// Returns the name of a back end.
 pub(super) fn backend_name(backend: &Backend) -> String {
     match backend {
         Backend::Engine(engine) => engine.as_str().to_owned(),
--- a/crates/gateway/src/core/flow/timers.rs
+++ b/crates/gateway/src/core/flow/timers.rs
@@ -1,4 +1,4 @@
-//! Everything that happens to calls because time passed.
+//! Timeouts and periodic retries of calls.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::core::call::{Phase, Waiting};
 use crate::core::message::{BackendFailure, FailureCause};
 
-/// Patience with a replica that is asked about an earlier request.
+/// Timeout of a lookup at a replica.
 const LOOK_UP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is due for a call.
+/// An action that is due for a call.
 enum Due {
     Begin,
     StopWaiting(Waiting),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Asks for the slot again, from the owner of today.
+    /// Repeats the slot request to the engine's current owner.
     fn enqueue_at_owner(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/gateway/src/core/memory.rs
+++ b/crates/gateway/src/core/memory.rs
@@ -1,9 +1,9 @@
-//! Release of engine memory that ended programs hold.
+//! Release of the cache memory that ended programs hold on engines.
 //!
-//! The record of a program lists every engine that may hold its history; ending
-//! it makes release orders in the store. The owner of an engine carries them out
-//! and confirms each. A sweep compares the engine's own listing with the records,
-//! for memory that no record knows of.
+//! The record of a program lists every engine that may cache its history. When
+//! the program ends, the store creates release orders, which the owner of each
+//! engine executes and confirms. A periodic sweep compares the engine's cache
+//! listing with the records to find cached programs that have no record.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,21 +18,21 @@
 use super::message::Action;
 use super::{Gateway, Purpose, program_answer};
 
-/// Time between questions for new release orders.
+/// Time between queries for new release orders.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between listings of one engine.
+/// Time between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
-/// Pause after a release that failed.
+/// Delay before a release order is sent again.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Release orders fetched at a time for one engine.
+/// Maximum number of release orders per query.
 const FETCH_LIMIT: usize = 64;
 
-/// Release orders under way.
+/// State of polling, sweeps and pending release orders.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryDuty {
     next_ask: Moment,
     next_sweep: Moment,
-    /// Orders that were sent, and not before when each may be sent again.
+    /// Orders that were sent, with the earliest time to send them again.
     sent: BTreeMap<(EngineId, ProgramId), Moment>,
 }
 
--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and actions of the core, and the messages between gateways.
 
 use std::net::SocketAddr;
 
@@ -9,149 +9,149 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Names one caller's request inside a gateway.
+/// Identifies a caller's request within a gateway.
 pub type Ticket = u64;
 
-/// What a call asks for.
+/// Payload of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// Generation by a model.
+    /// A chat completion by a model.
     Model {
         /// The model.
         model: ModelId,
-        /// Messages to add to the history.
+        /// Messages to append to the program's history.
         messages: Vec<ChatMessage>,
-        /// Most tokens to generate, if the caller set a limit.
+        /// Maximum number of tokens to generate, if the caller set a limit.
         max_tokens: Option<u64>,
     },
     /// A request to a tool service.
     Service {
         /// The service.
         service: ServiceId,
-        /// Its input.
+        /// Input of the service.
         input: String,
     },
 }
 
-/// A call as a caller issued it.
+/// A call as received from a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallRequest {
     /// The caller's tenant.
     pub tenant: TenantId,
-    /// Its program; `None` makes a program of one call.
+    /// The program of the call; `None` creates a program for this call only.
     pub program: Option<ProgramId>,
-    /// Its place; `None` takes the next.
+    /// Sequence number within the program; `None` takes the next one.
     pub sequence: Option<u64>,
-    /// The caller's key, if it gave one.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<IdempotencyKey>,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// What it asks for.
+    /// Payload of the call.
     pub work: Work,
 }
 
-/// What becomes of a call, told to its caller.
+/// Progress of a call, as sent to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerEvent {
-    /// The call was admitted as this attempt.
+    /// The call was admitted with this attempt.
     Admitted(AttemptId),
-    /// More of the answer.
+    /// The next part of the answer.
     Text(String),
-    /// The answer is whole and stored.
+    /// The answer is complete and durable.
     Finished(Finish),
-    /// There will be no answer.
+    /// The call failed.
     Failed(Failure),
-    /// Answer of the store to [`Input::Ask`]; `None` when it did not answer in time.
+    /// The store's reply to [`Input::Ask`]; `None` after a timeout.
     Store(Option<Box<StoreReply>>),
 }
 
-/// End of a whole answer.
+/// Final data of a complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finish {
-    /// The attempt whose answer it is.
+    /// The attempt that produced the answer.
     pub attempt: AttemptId,
     /// Why generation ended.
     pub finish_reason: String,
-    /// Tokens used.
+    /// Token usage.
     pub usage: Usage,
-    /// Where it ran.
+    /// Name of the back end that produced the answer.
     pub backend: String,
 }
 
-/// Why there is no answer.
+/// Reason for a failed call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Failure {
-    /// What became of the call.
+    /// Whether the call ran, as far as known.
     pub outcome: Outcome,
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: FailureCause,
-    /// The call, where it has a place.
+    /// ID of the call, if one was assigned.
     pub call: Option<CallId>,
 }
 
-/// What went wrong with a call.
+/// Cause of a call's failure.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailureCause {
-    /// It was closed without running.
+    /// The call was closed without running.
     NotRun(NotRunReason),
-    /// There is no such model.
+    /// The model does not exist.
     UnknownModel(ModelId),
-    /// There is no such service.
+    /// The service does not exist.
     UnknownService(ServiceId),
-    /// There is no such program for this tenant.
+    /// The tenant has no such program.
     UnknownProgram,
-    /// The place in the program was used under another key.
+    /// The sequence number was used with another idempotency key.
     KeyMismatch,
     /// The program has ended or was cancelled.
     ProgramOver,
-    /// The prompt is longer than the model takes.
+    /// The prompt exceeds the model's limit.
     PromptTooLong,
-    /// The store gave no answer in time.
+    /// The store did not reply in time.
     StoreUnavailable,
-    /// The back end did not say what became of it.
+    /// The connection to the back end was lost and the outcome is unknown.
     BackendLost,
     /// Another gateway took the call over.
     TakenOver,
-    /// The same request is under way elsewhere and did not finish in time.
+    /// A duplicate of the request is running and did not finish in time.
     StillRunning,
 }
 
-/// What a back end reports of an attempt.
+/// An event of an attempt, as reported by its back end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendEvent {
-    /// More text, from this byte of the answer on.
+    /// The next part of the answer.
     Text {
-        /// Where it starts, in bytes.
+        /// Byte offset of the text in the answer.
         offset: usize,
         /// The text.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
         /// Why generation ended.
         finish_reason: String,
-        /// Tokens used.
+        /// Token usage.
         usage: Usage,
     },
     /// The attempt failed.
     Failed(BackendFailure),
 }
 
-/// How an attempt failed.
+/// Failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendFailure {
-    /// The back end certainly saw nothing of it, or refused before it started.
+    /// The back end did not receive the attempt, or refused it before starting.
     NotStarted,
     /// The back end has no such attempt to resume.
     NothingToResume,
-    /// The connection broke; the back end may have run it.
+    /// The connection failed; the back end may have run the attempt.
     Broken,
-    /// The back end has no record of the key.
+    /// The back end has no record of the idempotency key.
     NotSeen,
 }
 
 impl BackendFailure {
-    /// Its name, for metrics.
+    /// Returns the metric label value.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotStarted => "not_started",
@@ -162,28 +162,28 @@
     }
 }
 
-/// What gateways say to each other.
+/// A message between gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Asks the owner of an engine for a slot; repeated until answered.
+    /// Requests a slot from the owner of an engine; repeated until answered.
     Enqueue {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EngineId,
-        /// Tokens computed for its program so far.
+        /// Tokens computed for the program so far.
         attained_tokens: u64,
-        /// Tokens of its prompt.
+        /// Tokens in the prompt.
         prompt_tokens: u64,
     },
-    /// A slot was given.
+    /// Grants a slot.
     Granted {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EngineId,
     },
-    /// No slot will be given: ask another engine or owner.
+    /// Refuses a slot; the call has to be routed again.
     Refused {
         /// The attempt.
         attempt: AttemptId,
@@ -192,147 +192,147 @@
         /// Whether the queue was full.
         overloaded: bool,
     },
-    /// A slot or place in the queue is not needed any more.
+    /// Releases a slot or removes the attempt from the queue.
     Release {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EngineId,
     },
-    /// All slots that the sender holds on an engine.
+    /// Lists all slots that the sender holds on an engine.
     Holding {
         /// The engine.
         engine: EngineId,
         /// The attempts.
         attempts: Vec<AttemptId>,
     },
-    /// The program of this attempt was cancelled.
+    /// Cancels an attempt whose program was cancelled.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
 }
 
-/// A model call to send to an engine.
+/// An attempt to run on an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOrder {
     /// The attempt.
     pub attempt: AttemptId,
     /// The engine.
     pub engine: EngineId,
-    /// Its address.
+    /// The engine's address.
     pub address: SocketAddr,
     /// The model.
     pub model: ModelId,
-    /// The whole prompt.
+    /// The full prompt, including the history.
     pub prompt: Vec<ChatMessage>,
-    /// Text of the answer that an earlier attempt produced already.
+    /// Part of the answer that earlier attempts produced.
     pub continuation: String,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens in the full answer.
     pub max_tokens: u64,
-    /// Smaller goes first.
+    /// Scheduling priority; lower values run first.
     pub priority: u64,
-    /// Resumes the stream of this earlier attempt instead of starting one.
+    /// Earlier attempt whose stream is resumed instead of starting a new one.
     pub resume: Option<AttemptId>,
 }
 
-/// A request to send to a replica of a service.
+/// An attempt to run on, or look up at, a replica of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceOrder {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its address.
+    /// The replica's address.
     pub address: SocketAddr,
     /// The service.
     pub service: ServiceId,
-    /// The key under which the replica counts it.
+    /// Idempotency key at the replica.
     pub key: IdempotencyKey,
-    /// Its input.
+    /// Input of the service.
     pub input: String,
-    /// Only asks what became of the key; executes nothing.
+    /// Looks up the result of an earlier request without executing anything.
     pub only_look_up: bool,
 }
 
-/// What an engine says of itself.
+/// Status that an engine reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// It is leaving and takes no new work.
+    /// Whether the engine is leaving and takes no new work.
     pub leaving: bool,
 }
 
-/// What goes into the core.
+/// An input of the core.
 #[derive(Debug)]
 pub enum Input {
-    /// A caller issues a call.
+    /// A new call of a caller.
     Call(Ticket, Box<CallRequest>),
-    /// A caller wants the answer of a call from a byte on.
+    /// A caller's request for the answer of an existing call.
     Attach {
         /// The caller.
         ticket: Ticket,
-        /// Its tenant.
+        /// The caller's tenant.
         tenant: TenantId,
         /// The call.
         call: CallId,
-        /// The first byte wanted.
+        /// Byte offset in the answer to start from.
         offset: usize,
     },
-    /// A caller's request that only the store has to answer.
+    /// A caller's request to the store.
     Ask(Ticket, Box<StoreRequest>),
-    /// A caller went away.
+    /// The caller disconnected.
     CallerGone(Ticket),
-    /// A store machine answered a try.
+    /// A reply of a store machine.
     StoreReply {
-        /// The try.
+        /// ID of the request.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
-    /// Another gateway says something.
+    /// A message of another gateway.
     Peer {
         /// The sender.
         from: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A back end reports of an attempt.
+    /// An event of an attempt.
     Backend(AttemptId, BackendEvent),
-    /// An engine released a program's memory, or failed to.
+    /// Result of releasing a program's cache memory on an engine.
     CacheReleased {
         /// The engine.
         engine: EngineId,
         /// The program.
         program: ProgramId,
-        /// Whether it confirmed.
+        /// Whether the engine confirmed the release.
         confirmed: bool,
     },
-    /// Programs an engine holds memory of.
+    /// The programs that have cache memory on an engine.
     CacheListing {
         /// The engine.
         engine: EngineId,
         /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// What an engine says of itself; `None` when it did not answer.
+    /// Result of a probe; `None` when the engine did not answer.
     EngineProbe {
         /// The engine.
         engine: EngineId,
-        /// Its report.
+        /// The engine's report.
         report: Option<EngineReport>,
     },
-    /// The platform's list; `None` when it could not be read.
+    /// The platform's machine list; `None` when it could not be read.
     Platform(Option<Vec<MachineStatus>>),
-    /// A planned stop begins.
+    /// Begins a graceful stop.
     Stop,
 }
 
-/// What the driver must do.
+/// An action for the driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a store machine.
     ToStore {
         /// The machine.
         machine: u32,
-        /// Names the try.
+        /// ID of the request.
         id: u64,
         /// The request.
         request: Box<StoreRequest>,
@@ -346,9 +346,9 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Tell a caller.
+    /// Send an event to a caller.
     ToCaller(Ticket, CallerEvent),
-    /// Send a model call.
+    /// Run an attempt on an engine.
     RunOnEngine(Box<EngineOrder>),
     /// Cancel an attempt on an engine.
     CancelOnEngine {
@@ -357,9 +357,9 @@
         /// The engine's address.
         address: SocketAddr,
     },
-    /// Send a service request, or look one up.
+    /// Run an attempt on a replica, or look one up.
     RunOnService(Box<ServiceOrder>),
-    /// Have an engine release a program's memory.
+    /// Release a program's cache memory on an engine.
     ReleaseCache {
         /// The engine.
         engine: EngineId,
@@ -368,20 +368,20 @@
         /// The program.
         program: ProgramId,
     },
-    /// List what an engine holds.
+    /// List the programs in an engine's cache.
     ListCache {
         /// The engine.
         engine: EngineId,
         /// Its address.
         address: SocketAddr,
     },
-    /// Ask an engine about itself.
+    /// Query the status of an engine.
     ProbeEngine {
         /// The engine.
         engine: EngineId,
         /// Its address.
         address: SocketAddr,
     },
-    /// The planned stop is complete.
+    /// Report that the graceful stop is complete.
     Stopped,
 }
--- a/crates/gateway/src/core/metrics.rs
+++ b/crates/gateway/src/core/metrics.rs
@@ -1,23 +1,23 @@
-//! What a gateway counts of its calls.
+//! Metrics of a gateway's calls.
 
 use calicohoist_telemetry::metrics::{Counter, Gauge};
 
-/// Calls that ended, by what is certain about them.
+/// Calls that ended, by outcome.
 pub(super) static CALLS_ENDED: Counter =
     Counter::new("calicohoist_calls_ended_total", "Calls that ended, by outcome", "outcome");
 
-/// Attempts that were sent to back ends, by whether they resumed an earlier one.
+/// Attempts sent to back ends, by whether they resume an earlier attempt.
 pub(super) static ATTEMPTS_SENT: Counter =
     Counter::new("calicohoist_attempts_sent_total", "Attempts sent to back ends", "kind");
 
-/// Attempts that failed.
+/// Attempts that failed, by kind of failure.
 pub(super) static ATTEMPTS_FAILED: Counter =
     Counter::new("calicohoist_attempts_failed_total", "Attempts that failed, by how", "failure");
 
-/// Calls under way.
+/// Number of active calls.
 pub(super) static CALLS_UNDER_WAY: Gauge =
     Gauge::new("calicohoist_calls_under_way", "Calls under way in this process");
 
-/// Revision of the configuration that this gateway acts on.
+/// Configuration revision that this gateway applies.
 pub(super) static APPLIED_REVISION: Gauge =
     Gauge::new("calicohoist_applied_revision", "Revision of the configuration");
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -1,9 +1,12 @@
-//! Everything a gateway decides, as a state machine without I/O.
+//! The decisions of a gateway, as a state machine without I/O.
 //!
-//! [`Gateway`] takes [`Input`]s and the passing of time, and returns [`Action`]s.
-//! Its parts: [`view`] is what it knows of the fleet and its lease, [`owner`]
-//! the queues of the engines it owns, [`memory`] the release of engine memory,
-//! [`call`] one call under way, and `flow` what happens to calls.
+//! [`Gateway`] takes [`Input`]s and clock ticks, and returns [`Action`]s.
+//!
+//! - [`view`]: the gateway's copy of the fleet state, and its lease;
+//! - [`owner`]: the queues of the engines that the gateway owns;
+//! - [`memory`]: release of the cache memory of ended programs;
+//! - [`call`]: the state of one active call;
+//! - `flow`: the steps of a call, from admission to the response.
 
 pub mod call;
 mod flow;
@@ -37,71 +40,70 @@
 use owner::EngineOwner;
 use view::FleetView;
 
-/// Settings of a gateway's decisions.
+/// Settings of the gateway core.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// This start of this gateway.
+    /// The gateway's node ID and incarnation.
     pub node: NodeRef,
-    /// Where other gateways reach it.
+    /// Address for connections from other gateways.
     pub peer_address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the gateway runs.
     pub zone: Zone,
     /// Numbers of the store machines.
     pub store_machines: Vec<u32>,
-    /// Groups that hold programs.
+    /// Number of replication groups that hold programs.
     pub program_groups: u32,
-    /// Longest time a call waits for a slot.
+    /// Maximum time a call waits for a slot.
     pub queue_timeout: Duration,
-    /// Longest time a call waits for an earlier one that has not arrived.
+    /// Maximum time a call waits for an earlier call that has not arrived.
     pub gap_timeout: Duration,
-    /// Silence of a back end after which an attempt is tried elsewhere.
+    /// Time without progress after which an attempt counts as failed.
     pub stall_timeout: Duration,
-    /// Longest time a request waits for the same request elsewhere.
+    /// Maximum time a request waits for a duplicate that is running.
     pub duplicate_timeout: Duration,
-    /// Calls under way in this gateway; more are refused.
+    /// Maximum number of active calls in this gateway.
     pub max_calls: usize,
-    /// Calls waiting for one engine.
+    /// Maximum number of calls that wait for one engine.
     pub max_waiting_per_engine: usize,
-    /// Attempts of one call.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
     /// Weights of the routing cost.
     pub weights: CostWeights,
-    /// Whether leaving back ends are known from the platform's list.
+    /// Whether the platform's machine list is available.
     pub has_platform: bool,
-    /// Seed of jitter and names.
+    /// Seed for jitter and generated keys.
     pub seed: u64,
 }
 
 /// Time between heartbeats to the store.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Requests that were on their way when a stop began are read and refused within
-/// this time; ending at once would cut them.
+/// Minimum duration of a graceful stop, in which requests in transit are still read and refused.
 const STOP_GRACE: Duration = Duration::from_millis(250);
-/// Patience with the store for one request.
+/// Timeout of one store request.
 const STORE_PATIENCE: Duration = Duration::from_secs(10);
-/// Time between the lists of held slots that owners get.
+/// Time between reports of held slots to the owners of engines.
 const HOLDING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an answer of the store is for.
+/// A store request that awaits its reply, by the code that handles the reply.
 #[derive(Debug)]
 enum Purpose {
-    /// A step of a call.
+    /// A step of the call with this ID.
     Call(u64),
-    /// A caller's own request.
+    /// A store request on behalf of a caller.
     Caller(Ticket),
-    /// A caller that wants a stored answer.
+    /// A query for the stored answer of the call with this ID.
     Attach(u64),
-    /// The lease; sent at this moment.
+    /// A heartbeat sent at this time.
     Heartbeat(Moment),
-    /// Programs whose memory is to be released.
+    /// A query for programs whose cache memory is to be released.
     Releases,
-    /// Which programs of an engine's listing have ended.
+    /// A query for the programs in an engine's cache that are not active.
     NotActive(EngineId),
-    /// Nothing waits for it.
+    /// A request whose reply is ignored.
     Forget,
 }
 
-/// A gateway.
+/// The state machine of a gateway.
 pub struct Gateway {
     settings: GatewaySettings,
     groups: GroupMap,
@@ -121,14 +123,14 @@
     heartbeat_is_out: bool,
     next_holding: Moment,
     stopping: bool,
-    /// A planned stop does not complete before this moment.
+    /// Earliest time at which a graceful stop completes.
     may_stop_from: Moment,
     stopped: bool,
     actions: Vec<Action>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway with an empty view of the fleet.
     pub fn new(settings: GatewaySettings, now: Moment) -> Self {
         let offset = settings.seed as usize;
         let router = StoreRouter::new(settings.store_machines.clone(), offset);
@@ -157,27 +159,27 @@
         }
     }
 
-    /// What this gateway knows of the fleet.
+    /// Returns the gateway's view of the fleet.
     pub fn view(&self) -> &FleetView {
         &self.view
     }
 
-    /// Calls under way.
+    /// Returns the number of active calls.
     pub fn calls_under_way(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// Whether it may start work now.
+    /// Returns whether the gateway may start new work.
     pub fn is_ready(&self, now: Moment) -> bool {
         !self.stopping && self.view.has_lease(now)
     }
 
-    /// Takes one input and returns what to do.
+    /// Processes one input and returns the resulting actions.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Action> {
         match input {
             Input::Call(ticket, request) => self.on_call(now, ticket, *request),
@@ -207,7 +209,7 @@
         self.take_actions(now)
     }
 
-    /// Lets time pass and returns what to do.
+    /// Runs timers and periodic work, and returns the resulting actions.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.router.tick(now);
         self.view.tick(now);
@@ -225,7 +227,7 @@
     }
 
     fn take_actions(&mut self, now: Moment) -> Vec<Action> {
-        // A reply may lead to another request, so this goes on until nothing is new.
+        // Handling a reply can create further router events.
         loop {
             let events = self.router.take_events();
             if events.is_empty() {
@@ -300,7 +302,7 @@
         self.actions.push(Action::ToCaller(ticket, event));
     }
 
-    /// Says something to a gateway, perhaps this one.
+    /// Sends a message to a gateway; handles a message to this gateway directly.
     fn tell(&mut self, now: Moment, to: calicohoist_types::NodeId, message: PeerMessage) {
         if to == self.settings.node.node {
             return self.on_peer(now, to, message);
@@ -339,13 +341,13 @@
         self.view.on_heartbeat(now, sent, *reply);
         if self.view.applied() > applied_before {
             emit!(Event::ConfigurationApplied, "revision {}", self.view.applied());
-            // The sooner the store hears of it, the sooner it is in force.
+            // Report the applied revision at once: it takes effect when all nodes have it.
             self.next_heartbeat = now;
         }
         self.run_owner(now);
     }
 
-    /// Updates which engines this gateway owns, and gives out slots.
+    /// Updates the set of owned engines and grants slots.
     fn run_owner(&mut self, now: Moment) {
         let own = self.settings.node.node.clone();
         let stopping = self.stopping;
@@ -397,7 +399,7 @@
         if self.stopping {
             return;
         }
-        emit!(Event::StopRequested, "{} calls under way", self.calls.len());
+        emit!(Event::StopRequested, "{} active calls", self.calls.len());
         self.stopping = true;
         self.may_stop_from = now + STOP_GRACE;
         self.next_heartbeat = now;
--- a/crates/gateway/src/core/owner.rs
+++ b/crates/gateway/src/core/owner.rs
@@ -1,8 +1,8 @@
-//! The queues of the engines that this gateway owns.
+//! Queues of the engines that this gateway owns.
 //!
-//! Two gateways may both believe that they own an engine for a moment. That
-//! costs order, not safety: the engine itself batches what it gets, and every
-//! attempt is fenced in the program's record.
+//! Two gateways may consider themselves the owner of an engine for a short time.
+//! This affects scheduling order but not correctness: the engine batches its
+//! requests itself, and every attempt is fenced in the program's record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 
 /// Time between probes of an owned engine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// An engine that has not answered for this long gets no new work.
+/// Time without a probe reply after which an engine gets no new work.
 const PROBE_EXPIRY: Duration = Duration::from_secs(3);
-/// A slot is not taken back for a missing mention while it is younger than this.
+/// Minimum age of a slot before its absence from a holder's report frees it.
 const HOLDING_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
@@ -31,20 +31,20 @@
     leaving: bool,
 }
 
-/// What follows from a run of the owner's duty.
+/// Results of [`EngineOwner::run`].
 #[derive(Debug, Default)]
 pub(crate) struct OwnerOutcome {
     /// Engines to probe.
     pub(crate) probes: Vec<(EngineId, SocketAddr)>,
-    /// Messages to holders.
+    /// Messages to gateways about their attempts.
     pub(crate) messages: Vec<(NodeId, PeerMessage)>,
 }
 
-/// All owned engines.
+/// The engines that this gateway owns.
 #[derive(Debug)]
 pub(crate) struct EngineOwner {
     engines: BTreeMap<EngineId, OwnedEngine>,
-    /// Version of the owners that was followed last, and whether it was stopping.
+    /// Owners version and stopping flag of the last ownership update.
     followed: Option<(u64, bool)>,
     max_waiting: usize,
 }
@@ -54,12 +54,12 @@
         Self { engines: BTreeMap::new(), followed: None, max_waiting }
     }
 
-    /// The owned engines.
+    /// Returns the owned engines.
     pub(crate) fn engines(&self) -> impl Iterator<Item = &EngineId> {
         self.engines.keys()
     }
 
-    /// Follows the view: takes over and gives up engines, gives out slots.
+    /// Updates ownership from the view, schedules probes and grants slots.
     pub(crate) fn run(
         &mut self,
         now: Moment,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes a message of a holder; returns the answer, if one is due at once.
+    /// Handles a message of another gateway; returns the reply, if any.
     pub(crate) fn on_message(
         &mut self,
         now: Moment,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Loads of the owned engines, for routing.
+    /// Returns the loads of the owned engines, which gateways use for routing.
     pub(crate) fn loads(&self, now: Moment, view: &FleetView) -> Vec<EngineLoad> {
         let load = |(engine, owned): (&EngineId, &OwnedEngine)| EngineLoad {
             engine: engine.clone(),
@@ -212,7 +212,7 @@
     }
 }
 
-/// Sends every waiting call back to its holder, to go elsewhere.
+/// Refuses all waiting attempts, so that their gateways route them again.
 fn bounce(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
     for entry in owned.queue.drain_waiting() {
         let message = PeerMessage::Refused {
--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -1,5 +1,5 @@
-//! What a gateway knows of the fleet: its lease, the configuration, the other
-//! gateways, loads, and which back ends are leaving.
+//! A gateway's copy of the fleet state: lease, configuration, other gateways,
+//! engine loads and leaving back ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
     TenantSpec,
 };
 
-/// Limits of a tenant that no operator declared.
+/// Limits of tenants without a declared resource.
 pub const DEFAULT_TENANT: TenantSpec =
     TenantSpec { default_program_tokens: 200_000, max_program_tokens: 1_000_000, max_calls: 1_000 };
 
-/// What a gateway knows of the fleet.
+/// A gateway's copy of the fleet state.
 #[derive(Debug)]
 pub struct FleetView {
     lease_until: Moment,
@@ -33,16 +33,16 @@
     nodes_complete: bool,
     loads: BTreeMap<EngineId, EngineLoad>,
     loads_version: u64,
-    /// The gateway that keeps each engine's queue.
+    /// The gateway that owns each engine's queue.
     owners: BTreeMap<EngineId, NodeId>,
-    /// Changes with every change of `owners`.
+    /// Incremented on every change of `owners`.
     owners_version: u64,
     leaving: BTreeSet<String>,
     has_platform: bool,
 }
 
 impl FleetView {
-    /// A view that knows nothing.
+    /// Creates an empty view.
     pub fn new(has_platform: bool, _now: Moment) -> Self {
         Self {
             lease_until: Moment::ZERO,
@@ -62,22 +62,22 @@
         }
     }
 
-    /// Whether the gateway may start work: its view is at most a lease old.
+    /// Returns whether the gateway holds a lease and may start work.
     pub fn has_lease(&self, now: Moment) -> bool {
         now < self.lease_until
     }
 
-    /// Revision of the configuration it acts on.
+    /// Returns the configuration revision that this gateway applies.
     pub fn applied(&self) -> Revision {
         self.applied
     }
 
-    /// Every node acts on this revision or a later one.
+    /// Returns the revision that every node has applied, or a later one.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
-    /// Version of the list of gateways.
+    /// Returns the version of the list of gateways.
     pub fn nodes_version(&self) -> u64 {
         self.nodes_version
     }
@@ -85,7 +85,7 @@
     pub(crate) fn tick(&mut self, now: Moment) {
         let has_lease = self.has_lease(now);
         if self.had_lease && !has_lease {
-            emit!(Event::LeaseLost, "no answer from the store");
+            emit!(Event::LeaseLost, "the store did not renew the lease in time");
         }
         if !self.had_lease && has_lease {
             emit!(Event::LeaseHeld, "at revision {}", self.applied);
@@ -109,7 +109,7 @@
             self.update_owners(nodes_changed);
         }
         if self.applied >= self.in_force {
-            // Whoever may start work acts on the configuration that is in force.
+            // A gateway with a lease must apply the configuration in force.
             self.lease_until = self.lease_until.max(sent + reply.lease);
         }
         self.tick(now);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Finds the owners of engines that are new, or of all when gateways changed.
+    /// Computes the owners of new engines, or of all engines when the gateways changed.
     fn update_owners(&mut self, nodes_changed: bool) {
         let known = |engine: &EngineId| self.owners.get(engine).filter(|_| !nodes_changed).cloned();
         let owners: BTreeMap<EngineId, NodeId> = self
@@ -149,7 +149,7 @@
         owner_of(engine, serving.map(|info| &info.node.node)).cloned()
     }
 
-    /// Applies an update unless it is older than what is known already.
+    /// Applies a configuration update unless its revision is already applied.
     fn apply(&mut self, update: Update) {
         if update.revision <= self.applied {
             return;
@@ -179,7 +179,7 @@
         self.leaving = leaving.map(|machine| machine.name).collect();
     }
 
-    /// Whether the view comes with a list of leaving machines.
+    /// Returns whether the platform's machine list is available.
     pub fn has_platform(&self) -> bool {
         self.has_platform
     }
@@ -189,15 +189,15 @@
         self.resources.get(&key).map(|resource| &resource.spec)
     }
 
-    /// All resources of a kind, without a look at the others: there may be tens
-    /// of thousands of tenants.
+    /// Returns all resources of a kind by a range scan, since there may be tens of
+    /// thousands of tenants.
     fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         let first = ResourceKey { kind, name: String::new() };
         let from_first = self.resources.range(first..).map(|(_, resource)| resource);
         from_first.take_while(move |resource| resource.key.kind == kind)
     }
 
-    /// A model.
+    /// Returns the spec of a model.
     pub fn model(&self, model: &ModelId) -> Option<&ModelSpec> {
         match self.get(ResourceKind::Model, model.as_str()) {
             Some(ResourceSpec::Model(spec)) => Some(spec),
@@ -205,13 +205,13 @@
         }
     }
 
-    /// The names of all models.
+    /// Returns the names of all models.
     pub fn models(&self) -> Vec<ModelId> {
         let models = self.of_kind(ResourceKind::Model);
         models.map(|resource| ModelId::new(&resource.key.name)).collect()
     }
 
-    /// A tenant's limits.
+    /// Returns a tenant's limits, or the defaults.
     pub fn tenant(&self, tenant: &TenantId) -> TenantSpec {
         match self.get(ResourceKind::Tenant, tenant.as_str()) {
             Some(ResourceSpec::Tenant(spec)) => spec.clone(),
@@ -219,7 +219,7 @@
         }
     }
 
-    /// The limits of all tenants that operators declared.
+    /// Returns the limits of all declared tenants.
     pub fn tenants(&self) -> BTreeMap<TenantId, TenantSpec> {
         let declared =
             self.of_kind(ResourceKind::Tenant).filter_map(|resource| match &resource.spec {
@@ -231,7 +231,7 @@
         declared.collect()
     }
 
-    /// An engine.
+    /// Returns the spec of an engine.
     pub fn engine(&self, engine: &EngineId) -> Option<&EngineSpec> {
         match self.get(ResourceKind::Engine, engine.as_str()) {
             Some(ResourceSpec::Engine(spec)) => Some(spec),
@@ -239,7 +239,7 @@
         }
     }
 
-    /// All engines.
+    /// Returns all engines and their specs.
     pub fn engines(&self) -> impl Iterator<Item = (EngineId, &EngineSpec)> {
         self.of_kind(ResourceKind::Engine).filter_map(|resource| match &resource.spec {
             ResourceSpec::Engine(spec) => Some((EngineId::new(&resource.key.name), spec)),
@@ -247,7 +247,7 @@
         })
     }
 
-    /// Replicas of a service that take new work.
+    /// Returns the replicas of a service that accept new work.
     pub fn replicas(&self, service: &ServiceId) -> Vec<(String, ServiceSpec)> {
         let replicas =
             self.of_kind(ResourceKind::Service).filter_map(|resource| match &resource.spec {
@@ -260,7 +260,7 @@
         replicas.filter(serves).collect()
     }
 
-    /// A replica of a service by its name.
+    /// Returns the spec of a service replica.
     pub fn replica(&self, name: &str) -> Option<&ServiceSpec> {
         match self.get(ResourceKind::Service, name) {
             Some(ResourceSpec::Service(spec)) => Some(spec),
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Whether any replica of `service` is declared.
+    /// Returns whether any replica of `service` is declared.
     pub fn knows_service(&self, service: &ServiceId) -> bool {
         self.of_kind(ResourceKind::Service).any(|resource| match &resource.spec {
             ResourceSpec::Service(spec) => spec.service == service.as_str(),
@@ -276,7 +276,7 @@
         })
     }
 
-    /// Whether operator and platform let `engine` take new work.
+    /// Returns whether `engine` is declared, not draining and not leaving.
     pub fn may_use(&self, engine: &EngineId) -> bool {
         let spec = self.engine(engine);
         if is_broken(Rule::AvoidLeaving) {
@@ -285,7 +285,7 @@
         spec.is_some_and(|spec| !spec.drain) && !self.leaving.contains(engine.as_str())
     }
 
-    /// Whether operator and platform let a replica take new work.
+    /// Returns whether a replica is declared, not draining and not leaving.
     pub fn may_use_replica(&self, name: &str) -> bool {
         let spec = self.replica(name);
         if is_broken(Rule::AvoidLeaving) {
@@ -294,43 +294,43 @@
         spec.is_some_and(|spec| !spec.drain) && !self.leaving.contains(name)
     }
 
-    /// What the engine's owner last said of it.
+    /// Returns the engine load last reported by its owner.
     pub fn load(&self, engine: &EngineId) -> Option<&EngineLoad> {
         self.loads.get(engine)
     }
 
-    /// The gateway that keeps `engine`'s queue.
+    /// Returns the gateway that owns `engine`'s queue.
     pub fn owner_of(&self, engine: &EngineId) -> Option<NodeId> {
         self.owners.get(engine).cloned()
     }
 
-    /// Changes whenever an engine gets another owner.
+    /// Returns a version that changes with every change of an owner.
     pub fn owners_version(&self) -> u64 {
         self.owners_version
     }
 
-    /// Version of the loads of all engines.
+    /// Returns the version of the engine loads.
     pub fn loads_version(&self) -> u64 {
         self.loads_version
     }
 
-    /// Where other gateways reach `node`.
+    /// Returns the peer address of a gateway.
     pub fn address_of(&self, node: &NodeId) -> Option<SocketAddr> {
         self.nodes.get(node).map(|info| info.peer_address)
     }
 
-    /// Whether a gateway of that name has a lease.
+    /// Returns whether the list of gateways with a lease contains `node`.
     pub fn is_listed(&self, node: &NodeId) -> bool {
         self.nodes.contains_key(node)
     }
 
-    /// Whether that start of that gateway certainly has no lease any more.
+    /// Returns whether the lease of this incarnation of a gateway has definitely expired.
     pub fn is_certainly_gone(&self, now: Moment, node: &NodeRef) -> bool {
         let is_listed = self.nodes.get(&node.node).is_some_and(|info| info.node == *node);
         self.has_lease(now) && self.nodes_complete && !is_listed
     }
 
-    /// Whether the fleet has heard that this gateway is stopping.
+    /// Returns whether the list of gateways shows `node` as stopping.
     pub(crate) fn knows_stopping(&self, node: &NodeRef) -> bool {
         self.nodes.get(&node.node).is_some_and(|info| info.stopping)
     }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,9 +1,9 @@
-//! Threads and rings around the core.
+//! Threads and channels around the core.
 //!
-//! Duties: `core` owns the [`Gateway`] and takes everything that happens from one
-//! bounded ring; HTTP workers serve callers; a bounded set of attempt threads
-//! talks to back ends; control threads release memory and probe engines; one
-//! duty reads the platform's list; links carry frames to store and peers.
+//! The `core` thread owns the [`Gateway`] and reads all inputs from one bounded
+//! channel. HTTP workers serve callers, attempt threads call back ends, control
+//! threads release cache memory and probe engines, and the `platform` thread polls
+//! the platform's machine list. Links carry frames to the store and other gateways.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -28,36 +28,36 @@
 use crate::front::callers::Callers;
 use crate::view::SharedView;
 
-/// Inputs that may wait for the core.
+/// Capacity of the core's input channel.
 const RING: usize = 65_536;
-/// Inputs taken before time passes again.
+/// Maximum number of inputs processed between checks for the next tick.
 const MAX_BATCH: usize = 256;
-/// How often time passes for the core.
+/// Time between ticks of the core.
 const TICK: Duration = Duration::from_millis(20);
-/// Control requests that may wait.
+/// Capacity of the channel of control requests.
 const CONTROL_RING: usize = 4_096;
-/// Threads that carry out control requests.
+/// Number of threads that execute control requests.
 const CONTROL_THREADS: usize = 4;
-/// Time between readings of the platform's list.
+/// Time between polls of the platform's machine list.
 const PLATFORM_INTERVAL: Duration = Duration::from_secs(1);
 const STOP_POLL: Duration = Duration::from_millis(50);
 
 /// Settings of a gateway process.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Settings of its decisions. Its peer address is replaced by the bound one.
+    /// Settings of the core. The peer address is replaced by the bound address.
     pub core: GatewaySettings,
-    /// Store machines.
+    /// Addresses of the store machines.
     pub stores: BTreeMap<u32, SocketAddr>,
-    /// The platform's list of machines.
+    /// Address of the platform API, if there is one.
     pub platform: Option<SocketAddr>,
-    /// Bounds of the HTTP server.
+    /// Settings of the HTTP server.
     pub http: ServerSettings,
-    /// Attempts under way on back ends at a time.
+    /// Maximum number of concurrent attempts on back ends.
     pub attempt_threads: usize,
 }
 
-/// One frame between gateways.
+/// A frame between gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerFrame {
     /// The sender.
@@ -66,14 +66,14 @@
     pub message: PeerMessage,
 }
 
-/// What the core's ring carries.
+/// An item of the core's input channel.
 #[derive(Debug)]
 pub enum CoreInput {
-    /// For the core.
+    /// An input of the core.
     Input(Input),
 }
 
-/// A running gateway. Dropping it stops it at once, as a crash would.
+/// A running gateway. Dropping it stops it without finishing active calls.
 pub struct GatewayServer {
     http: HttpServer,
     peer_address: SocketAddr,
@@ -85,10 +85,10 @@
 }
 
 impl GatewayServer {
-    /// Starts a gateway for callers on `http` and other gateways on `peers`.
+    /// Starts a gateway that serves callers on `http` and other gateways on `peers`.
     ///
     /// # Errors
-    /// When a socket or thread cannot be had.
+    /// Fails when a socket or thread cannot be created.
     pub fn start(
         mut config: ServerConfig,
         http: TcpListener,
@@ -137,33 +137,33 @@
         Ok(Self { http, peer_address, core: sender, stop, stopped, threads, _peers: peer_server })
     }
 
-    /// Address for callers.
+    /// Returns the address for callers.
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Address for other gateways.
+    /// Returns the address for other gateways.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Begins a planned stop: new calls are refused, those under way finish.
+    /// Begins a graceful stop: refuses new calls and finishes active ones.
     pub fn begin_stop(&self) {
         let _ = self.core.send(CoreInput::Input(Input::Stop));
     }
 
-    /// Waits for the planned stop to complete; `false` when `patience` ran out.
+    /// Waits for the graceful stop to complete; returns `false` after the timeout.
     pub fn wait_stopped(&self, patience: Duration) -> bool {
         self.stopped.recv_timeout(patience).is_ok()
     }
 
-    /// A planned stop with patience; `true` when nothing was cut.
+    /// Stops the gateway; returns `true` when all active calls finished before the timeout.
     pub fn stop_gracefully(mut self, patience: Duration) -> bool {
         self.begin_stop();
         let complete = self.wait_stopped(patience);
         let event = if complete { Event::StopFinished } else { Event::StopForced };
         emit!(event, "gateway");
-        // Workers still write the last bytes of answers that are complete.
+        // Workers may still be writing the end of complete answers.
         self.http.stop();
         complete
     }
@@ -218,9 +218,9 @@
     }
 }
 
-/// Work for attempt and control threads.
+/// A job for an attempt or control thread.
 type Job = Box<dyn FnOnce(&Sender<CoreInput>) + Send>;
-/// A ring of jobs, and the threads behind it.
+/// The job channel of a thread pool, and its threads.
 type Crew = (Sender<Job>, Vec<JoinHandle<()>>);
 
 fn start_attempt_threads(
@@ -250,7 +250,7 @@
     for index in 0..threads {
         let (receiver, core, stop) = (receiver.clone(), core.clone(), stop.clone());
         handles.push(spawn(&format!("{name}-{index}"), move || {
-            // The ring is closed when the core ends; an idle thread costs nothing.
+            // The channel is closed when the core thread ends.
             while let Ok(job) = receiver.recv() {
                 if stop.load(Ordering::SeqCst) {
                     return;
@@ -262,7 +262,7 @@
     Ok((sender, handles))
 }
 
-/// The duty that owns the core.
+/// State of the thread that owns the core.
 struct CoreDuty {
     receiver: Receiver<CoreInput>,
     callers: Arc<Callers>,
@@ -281,7 +281,7 @@
 impl CoreDuty {
     fn run(mut self, settings: GatewaySettings) {
         let origin = Instant::now();
-        // The origin lies in the past, so that moments just before now exist.
+        // Start at one second, so that short durations can be subtracted from now.
         let now = || Moment::from_micros(1_000_000) + origin.elapsed();
         let stall_timeout = settings.stall_timeout;
         let mut gateway = Gateway::new(settings, now());
@@ -372,8 +372,7 @@
         }
     }
 
-    /// Runs an attempt on a free thread. Without one it counts as not started,
-    /// since nothing was sent.
+    /// Runs an attempt on a free thread; reports it as not started if there is none.
     fn run_attempt(
         &self,
         attempt: calicohoist_types::AttemptId,
@@ -392,7 +391,7 @@
     }
 
     fn control(&self, job: impl FnOnce(&Sender<CoreInput>) + Send + 'static) {
-        // A control request that finds no room is repeated by its duty.
+        // Dropped when the channel is full; periodic requests are sent again.
         let _ = self.control.try_send(Box::new(job));
     }
 
--- a/crates/gateway/src/front/callers.rs
+++ b/crates/gateway/src/front/callers.rs
@@ -1,4 +1,4 @@
-//! The way from the core back to the worker that serves a caller.
+//! Channels from the core to the HTTP workers that serve callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 
 use crate::core::message::{CallerEvent, Ticket};
 
-/// Events that may wait for one worker. A worker that lets its ring fill up is
-/// written off as gone; its caller can resume the answer.
+/// Maximum number of queued events per worker. Further events are dropped; the
+/// caller can fetch the stored answer.
 const RING: usize = 4_096;
 
-/// Workers that wait for events.
+/// The channels of all workers that wait for events.
 #[derive(Default)]
 pub struct Callers {
     next: AtomicU64,
@@ -22,7 +22,7 @@
 }
 
 impl Callers {
-    /// Opens a ring for one request.
+    /// Opens a channel for one request.
     pub fn open(self: &Arc<Self>) -> CallerRing {
         let ticket = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = bounded(RING);
@@ -30,14 +30,14 @@
         CallerRing { ticket, receiver, callers: self.clone() }
     }
 
-    /// Hands an event to its worker; `false` when nobody takes it.
+    /// Sends an event to a worker; returns `false` if the worker is gone or its channel is full.
     pub fn deliver(&self, ticket: Ticket, event: CallerEvent) -> bool {
         let rings = self.rings.lock();
         rings.get(&ticket).is_some_and(|ring| ring.try_send(event).is_ok())
     }
 }
 
-/// The worker's end of a ring; dropping it closes the ring.
+/// The worker's end of a channel, which is closed on drop.
 pub struct CallerRing {
     ticket: Ticket,
     receiver: Receiver<CallerEvent>,
@@ -45,12 +45,12 @@
 }
 
 impl CallerRing {
-    /// The name of the request towards the core.
+    /// Returns the ticket that identifies the request in the core.
     pub fn ticket(&self) -> Ticket {
         self.ticket
     }
 
-    /// Waits for the next event.
+    /// Waits for the next event; returns `None` after the timeout.
     pub fn next(&self, timeout: Duration) -> Option<CallerEvent> {
         self.receiver.recv_timeout(timeout).ok()
     }
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -15,7 +15,7 @@
 use super::{Front, Reply};
 use crate::core::message::{CallRequest, CallerEvent, Finish, Input, Work};
 
-/// How an answer is to be written.
+/// Format of the response to a call.
 struct Style {
     model: String,
     streamed: bool,
@@ -69,10 +69,9 @@
         }
     }
 
-    /// Writes the answer of a call as it comes.
+    /// Writes the response of a call.
     fn answer(&self, exchange: Exchange, ring: &CallerRing, style: &Style) {
-        // Until the call is admitted nothing is written, so that a refusal can
-        // still have its own status.
+        // Write nothing before admission, so that a failure can set the HTTP status.
         let attempt = loop {
             match self.next_event(ring) {
                 Some(CallerEvent::Admitted(attempt)) => break attempt,
@@ -192,7 +191,7 @@
     Ok((request, style))
 }
 
-/// Headers that tell a caller where to ask again.
+/// Returns the headers that identify a call and its attempt.
 pub(super) fn call_headers(attempt: &AttemptId) -> Vec<(&'static str, String)> {
     vec![
         (HEADER_PROGRAM, attempt.call.program.to_string()),
--- a/crates/gateway/src/front/errors.rs
+++ b/crates/gateway/src/front/errors.rs
@@ -1,4 +1,4 @@
-//! Every refusal, with its status and whether the request ran.
+//! Error responses: HTTP status, code, and whether the request ran.
 
 use calicohoist_http::{BodyError, Exchange};
 use calicohoist_store::commands::program::ProgramError;
@@ -12,10 +12,10 @@
 const CONFLICT: &str = "conflict_error";
 const LIMIT: &str = "limit_error";
 
-/// Seconds after which a refused caller should come back.
+/// Value of the `retry-after` header.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiError {
     status: u16,
@@ -42,38 +42,37 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// Requests with everything that is wrong with them.
+    /// Creates an error for an invalid request.
     pub fn invalid(findings: Vec<Finding>) -> Self {
         let lines: Vec<String> = findings.iter().map(Finding::to_string).collect();
         Self { findings, ..Self::new(400, INVALID_REQUEST, "invalid_request", lines.join("; ")) }
     }
 
-    /// One field that is wrong.
+    /// Creates an error for a single invalid field.
     pub fn invalid_field(field: &str, problem: impl Into<String>, accepted: &str) -> Self {
         Self::invalid(vec![Finding::of_field(field, problem, accepted)])
     }
 
-    /// A path or method that does not exist.
+    /// Creates an error for an unknown path or method.
     pub fn no_such_endpoint(method: &str, path: &str) -> Self {
         let message = format!("there is no endpoint {method} {path}");
         Self::new(404, INVALID_REQUEST, "no_such_endpoint", message)
     }
 
-    /// Something that was asked for by name does not exist.
+    /// Creates an error for a named object that does not exist.
     pub fn missing(what: &str, name: &str) -> Self {
         let code = format!("unknown_{what}");
         Self::new(404, INVALID_REQUEST, &code, format!("there is no {what} {name:?}"))
     }
 
-    /// No worker is free.
+    /// Creates an error for a request that found no free worker.
     pub fn busy(has_key: bool) -> Self {
-        // Nothing durable says that a request with the caller's own key did not
-        // run before this one.
+        // A request with an idempotency key may be a resend of one that ran.
         let outcome = if has_key { Outcome::Unknown } else { Outcome::NotRun };
         Self {
             outcome: Some(outcome),
@@ -82,7 +81,7 @@
         }
     }
 
-    /// The gateway is stopping.
+    /// Creates an error for a request to a stopping gateway.
     pub fn shutting_down() -> Self {
         Self {
             retry_after: Some(RETRY_AFTER_SECONDS),
@@ -90,7 +89,7 @@
         }
     }
 
-    /// The store did not answer in time, so a change may have taken effect.
+    /// Creates an error for a store timeout, after which a change may have taken effect.
     pub fn store_unavailable() -> Self {
         Self {
             outcome: Some(Outcome::Unknown),
@@ -99,7 +98,7 @@
         }
     }
 
-    /// The resource has another version than expected.
+    /// Creates an error for a resource whose version differs from the expected one.
     pub fn version_conflict(current: serde_json::Value) -> Self {
         Self {
             extra: Some(Box::new(current)),
@@ -107,7 +106,7 @@
         }
     }
 
-    /// A refusal of the program's record.
+    /// Converts a program error of the store.
     pub fn of_program(error: &ProgramError, program: &str) -> Self {
         match error {
             ProgramError::Missing => Self::missing("program", program),
@@ -132,7 +131,7 @@
         }
     }
 
-    /// A call that has no answer.
+    /// Converts the failure of a call.
     pub fn of_failure(failure: &Failure) -> Self {
         let mut error = match &failure.cause {
             FailureCause::NotRun(reason) => not_run(*reason),
@@ -167,7 +166,7 @@
         error
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self) -> ErrorBody {
         let param = self.findings.first().map(|finding| finding.place.field.clone());
         ErrorBody {
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Sends it.
+    /// Sends the response.
     pub fn reply(self, exchange: Exchange) {
         let mut headers = Vec::new();
         if let Some(outcome) = self.outcome {
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! The fields this project adds to requests, as headers.
+//! Request headers that extend the OpenAI API.
 
 use calicohoist_http::Exchange;
 use calicohoist_types::openai::{
@@ -6,29 +6,29 @@
 };
 use calicohoist_types::{Finding, IdempotencyKey, ProgramId, TenantId};
 
-/// Tenant of callers that name none.
+/// Tenant of requests without a tenant header.
 pub const DEFAULT_TENANT_NAME: &str = "default";
-/// Highest accepted place of a call.
+/// Highest accepted sequence number.
 const MAX_SEQUENCE: u64 = 1_000_000;
 const ACCEPTED_NAME: &str = "1 to 128 letters, digits, '-', '_', '.' or ':'";
 
-/// The added fields of a call.
+/// The extension headers of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallHeaders {
     /// The caller's tenant.
     pub tenant: TenantId,
-    /// Its program.
+    /// The program of the call.
     pub program: Option<ProgramId>,
-    /// Its place.
+    /// Sequence number within the program.
     pub sequence: Option<u64>,
-    /// Its key.
+    /// Idempotency key.
     pub key: Option<IdempotencyKey>,
-    /// Whether it may run more than once, if the caller said so.
+    /// Whether the call may run more than once, if the header is present.
     pub repeatable: Option<bool>,
 }
 
 impl CallHeaders {
-    /// Reads all fields; every wrong one is put into `found`.
+    /// Parses all headers; adds a finding for each invalid one.
     pub fn read(exchange: &Exchange, found: &mut Vec<Finding>) -> Self {
         let sequence = parse(exchange, HEADER_SEQUENCE, found, "1 to 1000000", parse_sequence);
         let program = parse(exchange, HEADER_PROGRAM, found, ACCEPTED_NAME, ProgramId::parse);
@@ -48,7 +48,7 @@
     }
 }
 
-/// The caller's tenant.
+/// Parses the tenant header; returns the default tenant if it is absent or invalid.
 pub fn tenant(exchange: &Exchange, found: &mut Vec<Finding>) -> TenantId {
     let given = parse(exchange, HEADER_TENANT, found, ACCEPTED_NAME, TenantId::parse);
     given.unwrap_or_else(|| TenantId::new(DEFAULT_TENANT_NAME))
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -1,12 +1,12 @@
-//! Callers and operators over HTTP.
+//! The HTTP API for callers and operators.
 //!
-//! - [`chat`]: the OpenAI chat endpoint and the stored answers;
-//! - [`programs`]: creating, looking at, ending and cancelling programs;
+//! - [`chat`]: the OpenAI chat endpoint and stored answers;
+//! - [`programs`]: creation, inspection, end and cancellation of programs;
 //! - [`services`]: calls to tool services;
-//! - [`resources`]: the operators' resource API;
-//! - [`headers`]: the fields this project adds to requests;
-//! - [`errors`]: every refusal, with its status and whether the request ran;
-//! - [`callers`]: the way from the core back to a waiting worker.
+//! - [`resources`]: the resource API for operators;
+//! - [`headers`]: request headers that extend the OpenAI API;
+//! - [`errors`]: error responses;
+//! - [`callers`]: channels from the core to the HTTP workers.
 
 pub mod callers;
 pub mod chat;
@@ -31,11 +31,10 @@
 use callers::{CallerRing, Callers};
 use errors::ApiError;
 
-/// Longest silence of the core towards one worker; the core has timeouts of its own
-/// for everything, so this only ends what would otherwise be a fault.
+/// Maximum wait for an event of the core. The core's own timeouts are shorter.
 const CORE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What the endpoints share.
+/// Handler of all endpoints.
 pub struct Front {
     pub(crate) core: Sender<CoreInput>,
     pub(crate) callers: Arc<Callers>,
@@ -45,7 +44,7 @@
 }
 
 impl Front {
-    /// Registers a caller with the core's way back.
+    /// Opens a channel for events of the core.
     pub(crate) fn open(&self) -> CallerRing {
         self.callers.open()
     }
@@ -55,7 +54,7 @@
         sent.map_err(|_| ApiError::shutting_down())
     }
 
-    /// Asks the store and waits for its answer.
+    /// Sends a request to the store and waits for the reply.
     pub(crate) fn ask(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
         let ring = self.open();
         self.send(Input::Ask(ring.ticket(), Box::new(request)))?;
@@ -125,18 +124,18 @@
     }
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Extra headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// JSON body.
     pub body: serde_json::Value,
 }
 
 impl Reply {
-    /// Status 200 with `body`.
+    /// Creates a response with status 200.
     pub fn ok(body: serde_json::Value) -> Self {
         Self { status: 200, headers: Vec::new(), body }
     }
@@ -148,7 +147,7 @@
     }
 
     fn refuse_busy(&self, exchange: Exchange) {
-        emit!(Event::RequestRefused, "busy: {}", exchange.path());
+        emit!(Event::RequestRefused, "all workers are busy: {}", exchange.path());
         let has_key = exchange.header(calicohoist_types::openai::HEADER_KEY).is_some();
         ApiError::busy(has_key).reply(exchange);
     }
--- a/crates/gateway/src/front/programs.rs
+++ b/crates/gateway/src/front/programs.rs
@@ -1,4 +1,4 @@
-//! Creating, looking at, ending and cancelling programs.
+//! Creation, inspection, end and cancellation of programs.
 
 use calicohoist_http::Exchange;
 use calicohoist_store::commands::program::{NewProgram, ProgramCommand, ProgramOutput};
@@ -15,23 +15,23 @@
 use super::headers::tenant;
 use super::{Front, Reply};
 
-/// Longest accepted lifetime of a program, in milliseconds: seven days.
+/// Maximum lifetime of a program: seven days.
 const MAX_LIFETIME_MILLIS: u64 = 7 * 24 * 3_600 * 1_000;
 
-/// Body of a creation.
+/// Request body for the creation of a program.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProgramRequest {
-    /// Name; made up if missing. Not for sub-agents.
+    /// Program ID; generated if missing. Not used for sub-agents.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    /// Most tokens of the whole tree.
+    /// Token budget of the program and its sub-agents.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget_tokens: Option<u64>,
-    /// Most calls.
+    /// Maximum number of calls.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_calls: Option<u64>,
-    /// Cancelled this long after creation, in milliseconds.
+    /// Time from creation to cancellation, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lifetime_millis: Option<u64>,
 }
--- a/crates/gateway/src/front/resources.rs
+++ b/crates/gateway/src/front/resources.rs
@@ -1,4 +1,4 @@
-//! The operators' resource API.
+//! The resource API for operators.
 
 use calicohoist_http::Exchange;
 use calicohoist_store::commands::resource::{ResourceCommand, ResourceOutput};
@@ -18,7 +18,7 @@
 
 /// Header that identifies a change across resends.
 pub const HEADER_REQUEST: &str = "calicohoist-request";
-/// Header that names who changes something.
+/// Header that names the author of a change.
 pub const HEADER_ACTOR: &str = "calicohoist-actor";
 const DEFAULT_PAGE: usize = 100;
 
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Changes after a revision; `whole` says that older ones are no longer kept
-    /// and the watcher has to start from the state given.
+    /// Lists the changes after a revision. If they are no longer kept, returns the full
+    /// state with `whole` set instead.
     pub(super) fn list_changes(&self, exchange: &Exchange) -> Result<Reply, ApiError> {
         let after = number(exchange, "after")?.unwrap_or(0) as u64;
         let query = ResourceQuery::Changes {
@@ -195,10 +195,10 @@
     })
 }
 
-/// Reads the declaration of a resource of `kind`.
+/// Parses the spec of a resource of `kind`.
 ///
 /// # Errors
-/// A finding with the field that is missing, unknown or of the wrong type.
+/// Returns a finding for a field that is missing, unknown or of the wrong type.
 pub fn read_spec(kind: ResourceKind, body: Value) -> Result<ResourceSpec, ApiError> {
     match kind {
         ResourceKind::Model => typed(body).map(ResourceSpec::Model),
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -19,12 +19,12 @@
     pub input: String,
 }
 
-/// Answer to a service call.
+/// Response body of a service call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceReply {
-    /// What the service says.
+    /// Output of the service.
     pub output: String,
-    /// The replica that executed it.
+    /// Name of the replica that executed the call.
     pub replica: String,
 }
 
@@ -74,7 +74,7 @@
         program: headers.program,
         sequence: headers.sequence,
         key: headers.key,
-        // Whoever says nothing gets the careful treatment.
+        // Service calls may have side effects, so they are not repeated by default.
         repeatable: headers.repeatable.unwrap_or(false),
         work: Work::Service { service, input: body.input },
     })
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! A gateway: callers' HTTP API, engine ownership, and clients of back ends.
+//! The gateway: HTTP API for callers, engine queues, and clients of the back ends.
 //!
-//! - [`core`]: everything a gateway decides, as a state machine without I/O;
-//! - [`front`]: callers and operators over HTTP;
-//! - [`backend`]: engines, services and the platform over HTTP;
-//! - [`driver`]: threads and rings around the core.
+//! - [`core`]: the decisions of a gateway, as a state machine without I/O;
+//! - [`front`]: the HTTP API for callers and operators;
+//! - [`backend`]: HTTP clients of engines, services and the platform;
+//! - [`driver`]: the threads and channels around the core.
 
 pub mod backend;
 pub mod core;
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! The part of the core's view that endpoints read without asking the core.
+//! The part of the core's view that HTTP endpoints read directly.
 
 use calicohoist_types::{ModelId, Revision, TenantId, TenantSpec};
 use parking_lot::RwLock;
@@ -13,14 +13,14 @@
     tenants: std::collections::BTreeMap<TenantId, TenantSpec>,
 }
 
-/// A copy of the view, renewed by the core's duty when it changes.
+/// A copy of the view, updated by the core thread.
 #[derive(Default)]
 pub struct SharedView {
     shared: RwLock<Shared>,
 }
 
 impl SharedView {
-    /// Renews the copy.
+    /// Updates the copy when the configuration revision or readiness changed.
     pub fn update(&self, view: &FleetView, ready: bool) {
         let is_current = {
             let shared = self.shared.read();
@@ -36,17 +36,17 @@
         shared.tenants = view.tenants();
     }
 
-    /// Whether the gateway may start work.
+    /// Returns whether the gateway may start new work.
     pub fn is_ready(&self) -> bool {
         self.shared.read().ready
     }
 
-    /// The names of all models.
+    /// Returns the names of all models.
     pub fn models(&self) -> Vec<ModelId> {
         self.shared.read().models.clone()
     }
 
-    /// A tenant's limits.
+    /// Returns a tenant's limits, or the defaults.
     pub fn tenant(&self, tenant: &TenantId) -> TenantSpec {
         let shared = self.shared.read();
         shared.tenants.get(tenant).cloned().unwrap_or(DEFAULT_TENANT)
