--- a/crates/gateway/src/backend/engine.rs
+++ b/crates/gateway/src/backend/engine.rs
@@ -22,7 +22,7 @@
     };
     let expected = order.resume.as_ref().unwrap_or(&order.attempt).to_string();
     match opened {
-        Ok(events) => follow(order, &expected, events, &mut report),
+        Ok(events) => relay_events(order, &expected, events, &mut report),
         Err(failure) => report(BackendEvent::Failed(failure)),
     }
 }
@@ -41,7 +41,7 @@
         .with_header(HEADER_ENGINE_ATTEMPT, order.attempt.to_string())
         .with_header(HEADER_ENGINE_PROGRAM, order.attempt.call.program.as_str())
         .with_header(HEADER_ENGINE_PRIORITY, order.priority.to_string());
-    client.post_events("/v1/chat/completions", &request).map_err(|error| failure_of(&error))
+    client.post_events("/v1/chat/completions", &request).map_err(|error| classify_error(&error))
 }
 
 fn resume(
@@ -54,14 +54,14 @@
 }
 
 /// Maps a client error: an engine sends an error status only before it starts a request.
-fn failure_of(error: &ClientError) -> BackendFailure {
+fn classify_error(error: &ClientError) -> BackendFailure {
     match error {
         ClientError::NotConnected(_) | ClientError::Status { .. } => BackendFailure::NotStarted,
         ClientError::Broken(_) | ClientError::Malformed(_) => BackendFailure::Broken,
     }
 }
 
-fn follow(
+fn relay_events(
     order: &EngineOrder,
     expected: &str,
     mut events: Events,
--- a/crates/gateway/src/backend/service.rs
+++ b/crates/gateway/src/backend/service.rs
@@ -41,17 +41,17 @@
         ClientError::Status { status: 503, .. } => BackendFailure::NotStarted,
         _ => BackendFailure::Broken,
     })?;
-    checked(result, order)
+    verify_key(result, order)
 }
 
 fn look_up(client: &HttpClient, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
     let key = order.key.as_str().replace('/', ":");
     let result = client.get::<JobResult>(&format!("/v1/jobs/{key}"));
     let result = result.map_err(|_| BackendFailure::NotSeen)?;
-    checked(result, order)
+    verify_key(result, order)
 }
 
 /// Rejects a result with another key, which belongs to another request.
-fn checked(result: JobResult, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
+fn verify_key(result: JobResult, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
     if result.key == order.key.as_str() { Ok(result) } else { Err(BackendFailure::Broken) }
 }
--- a/crates/gateway/src/core/call.rs
+++ b/crates/gateway/src/core/call.rs
@@ -17,29 +17,29 @@
     /// The caller.
     pub ticket: Ticket,
     /// Bytes of the answer that were sent.
-    pub sent: usize,
+    pub sent_bytes: usize,
     /// Whether [`CallerEvent::Admitted`](super::message::CallerEvent::Admitted) was sent.
-    pub told_admitted: bool,
+    pub admitted_sent: bool,
 }
 
 /// Processing state of a call, by what it waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
     /// Waits for the store to admit the call.
-    Beginning,
+    Admitting,
     /// Waits until the call can be admitted.
-    WaitingTurn {
+    WaitingForTurn {
         /// Time of the next admission request.
-        again_at: Moment,
+        retry_at: Moment,
         /// Time at which waiting ends with a failure.
-        until: Moment,
+        deadline: Moment,
         /// Reason for waiting.
-        what: Waiting,
+        reason: WaitReason,
     },
     /// Waits for a back end that accepts the call.
     Routing {
         /// Time of the next routing attempt.
-        again_at: Moment,
+        retry_at: Moment,
     },
     /// Waits for a slot on an engine.
     Queued {
@@ -48,19 +48,19 @@
         /// The owner that received the slot request.
         owner: NodeId,
         /// Time at which the slot request is repeated.
-        again_at: Moment,
+        retry_at: Moment,
     },
     /// Waits for the dispatch record to become durable.
     Dispatching,
     /// Runs on the back end.
     Running {
         /// Time of the last progress.
-        progress: Moment,
+        last_progress: Moment,
     },
     /// Waits for a replica's result of an earlier attempt.
     LookingUp {
         /// Time at which the lookup was sent.
-        since: Moment,
+        sent_at: Moment,
     },
     /// Waits for the answer to become durable.
     Completing,
@@ -74,9 +74,9 @@
     GivingUp,
 }
 
-/// Reason for [`Phase::WaitingTurn`].
+/// Reason for [`Phase::WaitingForTurn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum WaitReason {
     /// An earlier call has not arrived.
     EarlierCall,
     /// An earlier call is running.
@@ -108,15 +108,15 @@
     /// Idempotency key.
     pub key: IdempotencyKey,
     /// Whether the program was created for this call only.
-    pub is_alone: bool,
+    pub is_single_call: bool,
     /// The existing call that a caller attached to.
-    pub attached: Option<CallId>,
+    pub attached_to: Option<CallId>,
     /// Callers that receive the answer.
     pub listeners: Vec<Listener>,
     /// Processing state.
     pub phase: Phase,
     /// Arrival time at this gateway.
-    pub since: Moment,
+    pub arrived_at: Moment,
     /// The store's admission, once granted.
     pub admission: Option<Box<Admission>>,
     /// The current attempt.
@@ -128,13 +128,13 @@
     /// The answer so far.
     pub text: String,
     /// Bytes of the answer that earlier attempts produced.
-    pub continuation: usize,
+    pub continuation_len: usize,
     /// Back ends to avoid because an attempt on them failed.
     pub excluded: BTreeSet<String>,
     /// The complete answer, while it is being stored.
     pub answer: Option<StoredAnswer>,
     /// Failure to report once the unknown outcome is recorded.
-    pub cause: Option<FailureCause>,
+    pub failure_cause: Option<FailureCause>,
     /// Whether the program was cancelled.
     pub cancelled: bool,
 }
@@ -145,29 +145,29 @@
         tenant: TenantId,
         program: ProgramId,
         key: IdempotencyKey,
-        listener: Ticket,
+        ticket: Ticket,
         now: Moment,
     ) -> Self {
-        let listener = Listener { ticket: listener, sent: 0, told_admitted: false };
+        let listener = Listener { ticket, sent_bytes: 0, admitted_sent: false };
         Self {
             request: None,
             tenant,
             program,
             key,
-            is_alone: false,
-            attached: None,
+            is_single_call: false,
+            attached_to: None,
             listeners: vec![listener],
-            phase: Phase::Beginning,
-            since: now,
+            phase: Phase::Admitting,
+            arrived_at: now,
             admission: None,
             attempt: None,
             target: None,
             resumes: None,
             text: String::new(),
-            continuation: 0,
+            continuation_len: 0,
             excluded: BTreeSet::new(),
             answer: None,
-            cause: None,
+            failure_cause: None,
             cancelled: false,
         }
     }
--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -14,34 +14,36 @@
 };
 use rand::RngExt;
 
-use crate::core::call::{Call, Listener, Phase, Waiting};
+use crate::core::call::{Call, Listener, Phase, WaitReason};
 use crate::core::message::{Action, CallRequest, CallerEvent, Failure, FailureCause, Ticket, Work};
-use crate::core::{Gateway, Purpose, program_answer};
+use crate::core::{Gateway, PendingRequest, program_answer};
 
 /// Time between admission requests while a call waits.
-const TURN_POLL: Duration = Duration::from_millis(25);
+const TURN_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Token limit of service calls, which generate no tokens.
-const SERVICE_TOKENS: u64 = 0;
+const SERVICE_MAX_TOKENS: u64 = 0;
 
 impl Gateway {
     pub(in crate::core) fn on_call(&mut self, now: Moment, ticket: Ticket, request: CallRequest) {
-        if let Some(failure) = self.refuse_at_the_door(now, &request) {
+        if let Some(failure) = self.early_refusal(now, &request) {
             self.actions.push(Action::ToCaller(ticket, CallerEvent::Failed(failure)));
             return;
         }
-        let is_alone = request.program.is_none();
+        let is_single_call = request.program.is_none();
         let key = request.key.clone().unwrap_or_else(|| self.make_key());
-        let program =
-            request.program.clone().unwrap_or_else(|| program_of_one(&request.tenant, &key));
+        let program = request
+            .program
+            .clone()
+            .unwrap_or_else(|| single_call_program_id(&request.tenant, &key));
         let mut call = Call::new(request.tenant.clone(), program, key, ticket, now);
-        call.is_alone = is_alone;
+        call.is_single_call = is_single_call;
         call.request = Some(request);
         let id = self.insert_call(call, ticket);
         self.begin(now, id);
     }
 
     /// Checks whether to refuse a request without contacting the store.
-    fn refuse_at_the_door(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
+    fn early_refusal(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
         let cause = if self.stopping {
             FailureCause::NotRun(NotRunReason::ShuttingDown)
         } else if self.calls.len() >= self.settings.max_calls {
@@ -53,7 +55,7 @@
                 Work::Model { model, .. } if self.view.model(model).is_none() => {
                     FailureCause::UnknownModel(model.clone())
                 }
-                Work::Service { service, .. } if !self.view.knows_service(service) => {
+                Work::Service { service, .. } if !self.view.has_service(service) => {
                     FailureCause::UnknownService(service.clone())
                 }
                 _ => return None,
@@ -82,8 +84,8 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase = Phase::Beginning;
-        if call.attached.is_some() {
+        call.phase = Phase::Admitting;
+        if call.attached_to.is_some() {
             return self.ask_about_call(now, id);
         }
         let Some(request) = call.request.clone() else {
@@ -91,12 +93,15 @@
         };
         if !self.view.has_lease(now) && !is_broken(Rule::UseCurrentLimits) {
             // Without a lease the limits may be outdated.
-            return self.wait(now, id, Waiting::Lease, self.settings.gap_timeout);
+            return self.wait(now, id, WaitReason::Lease, self.settings.gap_timeout);
         }
         let program = call.program.clone();
         let begin = BeginCall {
             program: program.clone(),
-            create: call.is_alone.then(|| self.program_for(id, &request)).flatten(),
+            create: call
+                .is_single_call
+                .then(|| self.new_single_call_program(id, &request))
+                .flatten(),
             tenant: request.tenant.clone(),
             sequence: request.sequence,
             key: self.calls[&id].key.clone(),
@@ -108,10 +113,10 @@
             by: self.settings.node.clone(),
         };
         let command = ProgramCommand::Begin(Box::new(begin));
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    fn program_for(&self, id: u64, request: &CallRequest) -> Option<NewProgram> {
+    fn new_single_call_program(&self, id: u64, request: &CallRequest) -> Option<NewProgram> {
         let call = self.calls.get(&id)?;
         let limits = self.view.tenant(&request.tenant);
         Some(NewProgram {
@@ -131,7 +136,7 @@
                 let limit = self.view.model(model).map_or(0, |spec| spec.max_output_tokens);
                 max_tokens.unwrap_or(limit).min(limit)
             }
-            Work::Service { .. } => SERVICE_TOKENS,
+            Work::Service { .. } => SERVICE_MAX_TOKENS,
         }
     }
 
@@ -145,24 +150,27 @@
     }
 
     pub(super) fn wait_for_turn(&mut self, now: Moment, id: u64, is_running: bool) {
-        let (what, patience) = if is_running {
-            (Waiting::RunningCall, self.settings.duplicate_timeout)
+        let (reason, timeout) = if is_running {
+            (WaitReason::RunningCall, self.settings.duplicate_timeout)
         } else {
-            (Waiting::EarlierCall, self.settings.gap_timeout)
+            (WaitReason::EarlierCall, self.settings.gap_timeout)
         };
-        self.wait(now, id, what, patience);
+        self.wait(now, id, reason, timeout);
     }
 
-    fn wait(&mut self, now: Moment, id: u64, what: Waiting, patience: Duration) {
+    fn wait(&mut self, now: Moment, id: u64, reason: WaitReason, timeout: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase =
-            Phase::WaitingTurn { again_at: now + TURN_POLL, until: call.since + patience, what };
+        call.phase = Phase::WaitingForTurn {
+            retry_at: now + TURN_POLL_INTERVAL,
+            deadline: call.arrived_at + timeout,
+            reason,
+        };
     }
 
     /// Handles a request that is already running in this or another gateway.
-    pub(super) fn on_running_elsewhere(
+    pub(super) fn on_already_running(
         &mut self,
         now: Moment,
         id: u64,
@@ -171,20 +179,20 @@
     ) {
         if *by == self.settings.node {
             return match self.by_attempt.get(&attempt).copied() {
-                Some(other) if other != id => self.join(now, id, other),
+                Some(other) if other != id => self.merge_into(now, id, other),
                 // The call was admitted for this gateway, but the store's reply was lost.
                 _ => self.claim(now, id, attempt),
             };
         }
-        if self.view.is_certainly_gone(now, by) {
+        if self.view.is_lease_expired(now, by) {
             emit!(Event::CallTakenOver, "{attempt} from {}", by.node);
             return self.claim(now, id, attempt);
         }
-        self.wait(now, id, Waiting::SameCall, self.settings.duplicate_timeout);
+        self.wait(now, id, WaitReason::SameCall, self.settings.duplicate_timeout);
     }
 
     /// Moves the listeners of `id` to the call that is already running.
-    fn join(&mut self, now: Moment, id: u64, other: u64) {
+    fn merge_into(&mut self, now: Moment, id: u64, other: u64) {
         let Some(joining) = self.calls.remove(&id) else {
             return;
         };
@@ -194,7 +202,7 @@
         if let Some(call) = self.calls.get_mut(&other) {
             call.listeners.extend(joining.listeners);
         }
-        self.forward(now, other);
+        self.forward_text(now, other);
     }
 
     pub(super) fn claim(&mut self, now: Moment, id: u64, attempt: AttemptId) {
@@ -206,7 +214,7 @@
         call.resumes = Some(attempt.clone());
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Claim { attempt, by };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     pub(super) fn start_admitted(&mut self, now: Moment, id: u64, admission: Box<Admission>) {
@@ -223,9 +231,9 @@
             call.resumes = None;
         }
         self.retries.deposit();
-        self.forward(now, id);
+        self.forward_text(now, id);
         match previous {
-            Some(backend) => self.recover(now, id, backend),
+            Some(backend) => self.recover_attempt(now, id, backend),
             None => self.route(now, id),
         }
     }
@@ -235,42 +243,42 @@
         now: Moment,
         ticket: Ticket,
         tenant: TenantId,
-        place: CallId,
+        call_id: CallId,
         offset: usize,
     ) {
         let offset = if is_broken(Rule::ResumeAtOffset) { 0 } else { offset };
         let is_same = |call: &Call| {
             let attempt = call.attempt.as_ref();
-            call.tenant == tenant && attempt.is_some_and(|attempt| attempt.call == place)
+            call.tenant == tenant && attempt.is_some_and(|attempt| attempt.call == call_id)
         };
         let running = self.calls.iter().find(|(_, call)| is_same(call)).map(|(id, _)| *id);
         if let Some(id) = running {
             self.by_ticket.insert(ticket, id);
             if let Some(call) = self.calls.get_mut(&id) {
-                call.listeners.push(Listener { ticket, sent: offset, told_admitted: false });
+                call.listeners.push(Listener { ticket, sent_bytes: offset, admitted_sent: false });
             }
-            return self.forward(now, id);
+            return self.forward_text(now, id);
         }
         let key = self.make_key();
-        let mut call = Call::new(tenant, place.program.clone(), key, ticket, now);
-        call.attached = Some(place);
-        call.listeners[0].sent = offset;
+        let mut call = Call::new(tenant, call_id.program.clone(), key, ticket, now);
+        call.attached_to = Some(call_id);
+        call.listeners[0].sent_bytes = offset;
         let id = self.insert_call(call, ticket);
         self.begin(now, id);
     }
 
     /// Queries and reports the recorded outcome after the record changed elsewhere.
-    pub(super) fn resolve(&mut self, now: Moment, id: u64) {
+    pub(super) fn report_recorded_outcome(&mut self, now: Moment, id: u64) {
         self.release_slot(now, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase = Phase::Beginning;
+        call.phase = Phase::Admitting;
         if let Some(attempt) = call.attempt.take() {
             self.by_attempt.remove(&attempt);
-            call.attached = Some(attempt.call);
+            call.attached_to = Some(attempt.call);
         }
-        if call.attached.is_none() {
+        if call.attached_to.is_none() {
             return self.fail_unknown(now, id, FailureCause::TakenOver);
         }
         self.ask_about_call(now, id);
@@ -280,12 +288,12 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let Some(place) = call.attached.clone() else {
+        let Some(call_id) = call.attached_to.clone() else {
             return;
         };
-        let group = self.groups.group_of(&place.program);
-        let query = ProgramQuery::Call { call: place, tenant: call.tenant.clone() };
-        self.query(now, Purpose::Attach(id), group, query);
+        let group = self.groups.group_of(&call_id.program);
+        let query = ProgramQuery::Call { call: call_id, tenant: call.tenant.clone() };
+        self.send_query(now, PendingRequest::Attach(id), group, query);
     }
 
     pub(in crate::core) fn on_attach_answer(
@@ -302,10 +310,10 @@
     }
 
     fn on_call_view(&mut self, now: Moment, id: u64, view: CallView) {
-        let Some(place) = self.calls.get(&id).and_then(|call| call.attached.clone()) else {
+        let Some(call_id) = self.calls.get(&id).and_then(|call| call.attached_to.clone()) else {
             return;
         };
-        let attempt = AttemptId { call: place, number: view.attempts };
+        let attempt = AttemptId { call: call_id, number: view.attempts };
         match (view.outcome, view.answer) {
             (Some(Outcome::Completed), Some(answer)) => {
                 self.finish_stored(now, id, attempt, answer);
@@ -315,13 +323,13 @@
                 self.fail_not_run(now, id, reason);
             }
             (Some(_), _) => self.fail_unknown(now, id, FailureCause::BackendLost),
-            (None, _) => self.on_running_elsewhere(now, id, attempt, &view.by),
+            (None, _) => self.on_already_running(now, id, attempt, &view.by),
         }
     }
 }
 
 /// Returns the ID of a single-call program; resends get the same ID.
-fn program_of_one(tenant: &TenantId, key: &IdempotencyKey) -> ProgramId {
+fn single_call_program_id(tenant: &TenantId, key: &IdempotencyKey) -> ProgramId {
     let digest = calicohoist_types::Digest::of(format!("{tenant}\n{key}").as_bytes());
     ProgramId::new(format!("call-{:016x}", digest.prefix()))
 }
--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -11,7 +11,7 @@
     Action, CallerEvent, Failure, FailureCause, Finish, PeerMessage, Ticket,
 };
 use crate::core::metrics::CALLS_ENDED;
-use crate::core::{Gateway, Purpose};
+use crate::core::{Gateway, PendingRequest};
 
 impl Gateway {
     /// Stores the complete answer; the caller gets its end once it is durable.
@@ -23,13 +23,14 @@
         let Some(attempt) = call.attempt.clone() else {
             return;
         };
-        let is_alone = call.is_alone;
+        let is_single_call = call.is_single_call;
         call.phase = Phase::Completing;
         call.answer = Some(answer.clone());
         self.release_slot(now, id);
         let program = attempt.call.program.clone();
-        let command = ProgramCommand::Complete { attempt, by, answer, ends_program: is_alone };
-        self.command(now, Purpose::Call(id), &program, command);
+        let command =
+            ProgramCommand::Complete { attempt, by, answer, ends_program: is_single_call };
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     pub(super) fn finish(&mut self, now: Moment, id: u64) {
@@ -53,8 +54,8 @@
             call.attempt.get_or_insert_with(|| attempt.clone());
             call.text = answer.text.clone();
         }
-        self.forward(now, id);
-        self.tell_admitted(id);
+        self.forward_text(now, id);
+        self.notify_admitted(id);
         let finish = Finish {
             attempt,
             finish_reason: answer.finish_reason,
@@ -68,34 +69,34 @@
     ///
     /// Sends nothing before there is text, because a failure until then can still
     /// set the HTTP status.
-    pub(super) fn forward(&mut self, _now: Moment, id: u64) {
+    pub(super) fn forward_text(&mut self, _now: Moment, id: u64) {
         let has_text = self.calls.get(&id).is_some_and(|call| !call.text.is_empty());
         if !has_text {
             return;
         }
-        self.tell_admitted(id);
+        self.notify_admitted(id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         for listener in &mut call.listeners {
-            let missing = call.text.get(listener.sent..).unwrap_or_default();
-            if !missing.is_empty() {
-                let event = CallerEvent::Text(missing.to_owned());
-                listener.sent = call.text.len();
+            let unsent = call.text.get(listener.sent_bytes..).unwrap_or_default();
+            if !unsent.is_empty() {
+                let event = CallerEvent::Text(unsent.to_owned());
+                listener.sent_bytes = call.text.len();
                 self.actions.push(Action::ToCaller(listener.ticket, event));
             }
         }
     }
 
-    fn tell_admitted(&mut self, id: u64) {
+    fn notify_admitted(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let Some(attempt) = &call.attempt else {
             return;
         };
-        for listener in call.listeners.iter_mut().filter(|listener| !listener.told_admitted) {
-            listener.told_admitted = true;
+        for listener in call.listeners.iter_mut().filter(|listener| !listener.admitted_sent) {
+            listener.admitted_sent = true;
             let event = CallerEvent::Admitted(attempt.clone());
             self.actions.push(Action::ToCaller(listener.ticket, event));
         }
@@ -113,7 +114,7 @@
         call.phase = Phase::Closing(reason);
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Close { attempt, by, reason };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     /// Closes the sequence number of a call that was not admitted.
@@ -133,12 +134,12 @@
             key: call.key.clone(),
             reason,
         };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    pub(super) fn note_place(&mut self, id: u64, place: CallId) {
+    pub(super) fn record_call_id(&mut self, id: u64, call_id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
-            call.attached.get_or_insert(place);
+            call.attached_to.get_or_insert(call_id);
         }
     }
 
@@ -153,7 +154,7 @@
     }
 
     pub(super) fn fail_given_up(&mut self, now: Moment, id: u64) {
-        let cause = self.calls.get_mut(&id).and_then(|call| call.cause.take());
+        let cause = self.calls.get_mut(&id).and_then(|call| call.failure_cause.take());
         self.fail_unknown(now, id, cause.unwrap_or(FailureCause::BackendLost));
     }
 
@@ -170,8 +171,8 @@
     }
 
     pub(super) fn fail(&mut self, now: Moment, id: u64, outcome: Outcome, cause: FailureCause) {
-        let place = self.calls.get(&id).and_then(Call::place);
-        let failure = Failure { outcome, cause, call: place };
+        let call_id = self.calls.get(&id).and_then(Call::call_id);
+        let failure = Failure { outcome, cause, call: call_id };
         self.end_call(now, id, &CallerEvent::Failed(failure));
     }
 
@@ -209,11 +210,11 @@
             return;
         };
         if let Some(owner) = self.view.owner_of(&engine) {
-            self.tell(now, owner, PeerMessage::Release { attempt, engine });
+            self.send_peer_message(now, owner, PeerMessage::Release { attempt, engine });
         }
     }
 
-    pub(in crate::core) fn on_caller_gone(&mut self, ticket: Ticket) {
+    pub(in crate::core) fn on_caller_disconnected(&mut self, ticket: Ticket) {
         let Some(id) = self.by_ticket.remove(&ticket) else {
             return;
         };
@@ -226,8 +227,8 @@
 
 impl Call {
     /// Returns the ID of the call, if known.
-    fn place(&self) -> Option<CallId> {
+    fn call_id(&self) -> Option<CallId> {
         let attempted = self.attempt.as_ref().map(|attempt| attempt.call.clone());
-        attempted.or_else(|| self.attached.clone())
+        attempted.or_else(|| self.attached_to.clone())
     }
 }
--- a/crates/gateway/src/core/flow/mod.rs
+++ b/crates/gateway/src/core/flow/mod.rs
@@ -29,7 +29,7 @@
         match (phase, output) {
             (_, None) => self.fail_unknown(now, id, FailureCause::StoreUnavailable),
             (_, Some(ProgramOutput::Begin(outcome))) => self.on_begin(now, id, outcome),
-            (Phase::Dispatching, Some(ProgramOutput::Done)) => self.launch(now, id),
+            (Phase::Dispatching, Some(ProgramOutput::Done)) => self.send_attempt(now, id),
             (Phase::Completing, Some(ProgramOutput::Done)) => self.finish(now, id),
             (Phase::Closing(reason), Some(ProgramOutput::Done)) => {
                 self.fail_not_run(now, id, reason);
@@ -43,11 +43,11 @@
             | (Phase::Closing(_), Some(ProgramOutput::Refused(ProgramError::MayHaveRun))) => {
                 self.give_up(now, id, FailureCause::BackendLost);
             }
-            (Phase::Beginning, Some(ProgramOutput::Refused(error))) => {
+            (Phase::Admitting, Some(ProgramOutput::Refused(error))) => {
                 self.fail_refused(now, id, &error);
             }
             // Another gateway or caller changed the record: report the recorded outcome.
-            (_, Some(ProgramOutput::Refused(_))) => self.resolve(now, id),
+            (_, Some(ProgramOutput::Refused(_))) => self.report_recorded_outcome(now, id),
             (_, Some(_)) => {}
         }
     }
@@ -59,12 +59,12 @@
                 self.finish_stored(now, id, attempt, answer);
             }
             BeginOutcome::NotRun(call, reason) => {
-                self.note_place(id, call);
+                self.record_call_id(id, call);
                 self.fail_not_run(now, id, reason);
             }
             BeginOutcome::Unknown(attempt) => self.claim(now, id, attempt),
             BeginOutcome::Running { attempt, by } => {
-                self.on_running_elsewhere(now, id, attempt, &by);
+                self.on_already_running(now, id, attempt, &by);
             }
             BeginOutcome::NotYet { expected: _, is_running } => {
                 self.wait_for_turn(now, id, is_running)
--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -13,12 +13,12 @@
 use crate::core::call::{Call, Phase, Target};
 use crate::core::message::{Action, EngineOrder, PeerMessage, ServiceOrder};
 use crate::core::metrics::ATTEMPTS_SENT;
-use crate::core::{Gateway, Purpose};
+use crate::core::{Gateway, PendingRequest};
 
 /// Delay before a call that no back end accepts is routed again.
-const ROUTE_POLL: Duration = Duration::from_millis(50);
+const ROUTE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time after which a slot request is repeated.
-const ENQUEUE_REPEAT: Duration = Duration::from_millis(500);
+const ENQUEUE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Gateway {
     /// Chooses a back end for the call.
@@ -42,7 +42,7 @@
         if let Some(call) = self.calls.get_mut(&id) {
             // No other back end is available, so retry those that failed.
             call.excluded.clear();
-            call.phase = Phase::Routing { again_at: now + ROUTE_POLL };
+            call.phase = Phase::Routing { retry_at: now + ROUTE_RETRY_DELAY };
         }
     }
 
@@ -56,7 +56,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase = Phase::Queued { engine: engine.clone(), owner, again_at: now };
+        call.phase = Phase::Queued { engine: engine.clone(), owner, retry_at: now };
         self.enqueue(now, id);
     }
 
@@ -65,24 +65,24 @@
             return None;
         }
         let call = self.calls.get(&id)?;
-        let takes = |(engine, spec): &(EngineId, &EngineSpec)| {
+        let is_candidate = |(engine, spec): &(EngineId, &EngineSpec)| {
             let accepts = self.view.load(engine).is_some_and(|load| load.accepts);
             let is_excluded = call.excluded.contains(engine.as_str());
-            spec.model == *model && accepts && self.view.may_use(engine) && !is_excluded
+            spec.model == *model && accepts && self.view.is_schedulable(engine) && !is_excluded
         };
-        let candidates = self.view.engines().filter(takes);
-        let own = self.calls_by_engine();
+        let candidates = self.view.engines().filter(is_candidate);
+        let own_calls = self.count_calls_by_engine();
         let prompt_tokens = call.prompt_tokens();
-        let costed = candidates.map(|(engine, spec)| {
-            let own = own.get(&engine).copied().unwrap_or_default();
-            let inputs = self.cost_inputs(call, prompt_tokens, own, &engine, spec);
+        let with_costs = candidates.map(|(engine, spec)| {
+            let own_calls = own_calls.get(&engine).copied().unwrap_or_default();
+            let inputs = self.cost_inputs(call, prompt_tokens, own_calls, &engine, spec);
             (engine, inputs)
         });
-        choose(costed, &self.settings.weights)
+        choose(with_costs, &self.settings.weights)
     }
 
     /// Counts this gateway's queued and running calls per engine.
-    fn calls_by_engine(&self) -> BTreeMap<EngineId, u32> {
+    fn count_calls_by_engine(&self) -> BTreeMap<EngineId, u32> {
         let mut counts = BTreeMap::new();
         for engine in self.calls.values().filter_map(Call::engine) {
             *counts.entry(engine).or_default() += 1;
@@ -94,7 +94,7 @@
         &self,
         call: &Call,
         prompt_tokens: u64,
-        own: u32,
+        own_calls: u32,
         engine: &EngineId,
         spec: &EngineSpec,
     ) -> CostInputs {
@@ -107,7 +107,7 @@
         CostInputs {
             prompt_tokens,
             cached_tokens: held.map_or(0, |(_, tokens)| *tokens),
-            running: running.max(own),
+            running: running.max(own_calls),
             waiting,
             slots: spec.slots,
             same_zone: spec.zone == self.settings.zone,
@@ -119,10 +119,10 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let Phase::Queued { engine, again_at, .. } = &mut call.phase else {
+        let Phase::Queued { engine, retry_at, .. } = &mut call.phase else {
             return;
         };
-        *again_at = now + ENQUEUE_REPEAT;
+        *retry_at = now + ENQUEUE_RETRY_INTERVAL;
         let engine = engine.clone();
         let (Some(attempt), Some(admission)) = (call.attempt.clone(), &call.admission) else {
             return;
@@ -134,7 +134,7 @@
             prompt_tokens: call.prompt_tokens(),
         };
         if let Some(owner) = self.view.owner_of(&engine) {
-            self.tell(now, owner, message);
+            self.send_peer_message(now, owner, message);
         }
     }
 
@@ -156,16 +156,16 @@
         }
         if overloaded {
             call.excluded.insert(engine.as_str().to_owned());
-            if self.is_everything_full(now, id) {
+            if self.all_engines_refused(now, id) {
                 return self.close(now, id, NotRunReason::Overloaded);
             }
             return self.route(now, id);
         }
-        call.phase = Phase::Routing { again_at: now + ROUTE_POLL };
+        call.phase = Phase::Routing { retry_at: now + ROUTE_RETRY_DELAY };
     }
 
     /// Returns whether no engine is left that has not refused the call.
-    fn is_everything_full(&self, now: Moment, id: u64) -> bool {
+    fn all_engines_refused(&self, now: Moment, id: u64) -> bool {
         let admission = self.calls.get(&id).and_then(|call| call.admission.as_ref());
         match admission.map(|admission| &admission.target) {
             Some(CallTarget::Model(model)) => self.choose_engine(now, id, model).is_none(),
@@ -186,19 +186,20 @@
             if is_held.is_none_or(|(held, _)| held != engine)
                 && let Some(owner) = self.view.owner_of(&engine)
             {
-                self.tell(now, owner, PeerMessage::Release { attempt, engine });
+                self.send_peer_message(now, owner, PeerMessage::Release { attempt, engine });
             }
             return;
         };
         let address = self.view.engine(&engine).map(|spec| spec.address);
-        let usable = address.filter(|_| self.view.has_lease(now) && self.view.may_use(&engine));
+        let usable =
+            address.filter(|_| self.view.has_lease(now) && self.view.is_schedulable(&engine));
         let target =
             usable.map(|address| Target { backend: Backend::Engine(engine.clone()), address });
         match target {
             Some(target) => self.dispatch(now, id, target),
             None => {
                 if let Some(owner) = self.view.owner_of(&engine) {
-                    self.tell(now, owner, PeerMessage::Release { attempt, engine });
+                    self.send_peer_message(now, owner, PeerMessage::Release { attempt, engine });
                 }
                 self.route_later(now, id);
             }
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Records the attempt as dispatched; [`Gateway::launch`] sends it once the
+    /// Records the attempt as dispatched; [`Gateway::send_attempt`] sends it once the
     /// record is durable.
     pub(super) fn dispatch(&mut self, now: Moment, id: u64, target: Target) {
         let by = self.settings.node.clone();
@@ -243,27 +244,27 @@
         let program = attempt.call.program.clone();
         let resumes = call.resumes.is_some();
         let command = ProgramCommand::Dispatch { attempt, by, backend, resumes };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     /// Returns whether the back end of a new attempt no longer accepts work. Always
     /// false for an attempt that resumes a stream.
-    fn target_has_left(&self, id: u64) -> bool {
+    fn target_is_leaving(&self, id: u64) -> bool {
         let call = self.calls.get(&id).filter(|call| call.resumes.is_none());
         match call.and_then(|call| call.target.as_ref()).map(|target| &target.backend) {
-            Some(Backend::Engine(engine)) => !self.view.may_use(engine),
-            Some(Backend::Replica(name)) => !self.view.may_use_replica(name),
+            Some(Backend::Engine(engine)) => !self.view.is_schedulable(engine),
+            Some(Backend::Replica(name)) => !self.view.is_replica_schedulable(name),
             None => false,
         }
     }
 
     /// Sends the attempt after its dispatch record became durable.
-    pub(super) fn launch(&mut self, now: Moment, id: u64) {
+    pub(super) fn send_attempt(&mut self, now: Moment, id: u64) {
         if !self.view.has_lease(now) {
             // Without a lease the view may not show that the back end is leaving.
             return self.retry(now, id, true);
         }
-        if self.target_has_left(id) {
+        if self.target_is_leaving(id) {
             // The back end began to leave before the record became durable.
             return self.retry(now, id, true);
         }
@@ -272,8 +273,8 @@
         };
         let kind = if call.resumes.is_some() { "resumed" } else { "new" };
         ATTEMPTS_SENT.count(kind);
-        call.phase = Phase::Running { progress: now };
-        call.continuation = call.text.len();
+        call.phase = Phase::Running { last_progress: now };
+        call.continuation_len = call.text.len();
         if let Some(order) = engine_order(call) {
             self.actions.push(Action::RunOnEngine(Box::new(order)));
         } else if let Some(order) = service_order(call, false) {
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -12,10 +12,10 @@
 use crate::core::call::{Phase, Target};
 use crate::core::message::{Action, BackendEvent, BackendFailure, FailureCause};
 use crate::core::metrics::ATTEMPTS_FAILED;
-use crate::core::{Gateway, Purpose};
+use crate::core::{Gateway, PendingRequest};
 
 impl Gateway {
-    pub(in crate::core) fn on_backend(
+    pub(in crate::core) fn on_backend_event(
         &mut self,
         now: Moment,
         attempt: AttemptId,
@@ -53,15 +53,21 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let known = call.text.len();
-        if offset > known || call.text.get(offset..) != text.get(..known - offset.min(known)) {
+        let known_len = call.text.len();
+        if offset > known_len
+            || call.text.get(offset..) != text.get(..known_len - offset.min(known_len))
+        {
             // A gap, or text that differs from the text received before.
-            emit!(Event::FrameMismatch, "{:?}: text differs or has a gap at byte {offset}", call.attempt);
+            emit!(
+                Event::FrameMismatch,
+                "{:?}: text differs or has a gap at byte {offset}",
+                call.attempt
+            );
             return self.on_attempt_failed(now, id, BackendFailure::Broken);
         }
-        call.text.push_str(&text[known - offset..]);
-        call.phase = Phase::Running { progress: now };
-        self.forward(now, id);
+        call.text.push_str(&text[known_len - offset..]);
+        call.phase = Phase::Running { last_progress: now };
+        self.forward_text(now, id);
     }
 
     pub(super) fn on_attempt_failed(&mut self, now: Moment, id: u64, failure: BackendFailure) {
@@ -84,9 +90,9 @@
             || is_broken(Rule::RepeatOnlyRepeatable);
         // An attempt that resumes a stream runs nothing itself, but the earlier
         // attempt may have run.
-        let only_resumed = call.resumes.is_some();
+        let is_resumption = call.resumes.is_some();
         let never_sent = match failure {
-            BackendFailure::NotStarted => !was_lookup && (repeatable || !only_resumed),
+            BackendFailure::NotStarted => !was_lookup && (repeatable || !is_resumption),
             BackendFailure::NothingToResume => repeatable,
             _ => false,
         };
@@ -113,7 +119,7 @@
         call.resumes = None;
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Retry { attempt, by, never_sent };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     pub(super) fn start_retry(&mut self, now: Moment, id: u64, next: AttemptId) {
@@ -126,14 +132,14 @@
         }
         self.by_attempt.insert(next.clone(), id);
         call.target = None;
-        call.phase = Phase::Routing { again_at: now + backoff(next.number - 1, jitter) };
+        call.phase = Phase::Routing { retry_at: now + backoff(next.number - 1, jitter) };
         if let Some(admission) = &mut call.admission {
             admission.attempt = next;
         }
     }
 
     /// Recovers an attempt that another gateway may have sent.
-    pub(super) fn recover(&mut self, now: Moment, id: u64, backend: Backend) {
+    pub(super) fn recover_attempt(&mut self, now: Moment, id: u64, backend: Backend) {
         let address = match &backend {
             Backend::Engine(engine) => self.view.engine(engine).map(|spec| spec.address),
             Backend::Replica(name) => self.view.replica(name).map(|spec| spec.address),
@@ -161,14 +167,14 @@
             }
             (false, true) => {
                 call.target = Some(target);
-                call.phase = Phase::Running { progress: now };
+                call.phase = Phase::Running { last_progress: now };
                 if let Some(order) = engine_order(call) {
                     self.actions.push(Action::RunOnEngine(Box::new(order)));
                 }
             }
             (false, false) => {
                 call.target = Some(target);
-                call.phase = Phase::LookingUp { since: now };
+                call.phase = Phase::LookingUp { sent_at: now };
                 if let Some(order) = service_order(call, true) {
                     self.actions.push(Action::RunOnService(Box::new(order)));
                 }
@@ -186,10 +192,10 @@
             return;
         };
         call.phase = Phase::GivingUp;
-        call.cause = Some(cause);
+        call.failure_cause = Some(cause);
         let program = attempt.call.program.clone();
         let command = ProgramCommand::GiveUp { attempt, by };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     /// Handles the cancellation of the attempt's program.
@@ -201,7 +207,7 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.cancelled = true;
         }
-        self.resolve(now, id);
+        self.report_recorded_outcome(now, id);
     }
 
     /// Cancels the running attempt on its engine.
--- a/crates/gateway/src/core/flow/timers.rs
+++ b/crates/gateway/src/core/flow/timers.rs
@@ -5,88 +5,90 @@
 use calicohoist_types::{Moment, NotRunReason};
 
 use crate::core::Gateway;
-use crate::core::call::{Phase, Waiting};
+use crate::core::call::{Phase, WaitReason};
 use crate::core::message::{BackendFailure, FailureCause};
 
 /// Timeout of a lookup at a replica.
-const LOOK_UP_TIMEOUT: Duration = Duration::from_secs(5);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An action that is due for a call.
-enum Due {
+enum DueAction {
     Begin,
-    StopWaiting(Waiting),
+    WaitExpired(WaitReason),
     Route,
     Enqueue,
-    CloseQueued(NotRunReason),
+    QueueTimedOut(NotRunReason),
     Stalled,
-    LookUpFailed,
+    LookupTimedOut,
 }
 
 impl Gateway {
     pub(in crate::core) fn tick_calls(&mut self, now: Moment) {
         let ids: Vec<u64> = self.calls.keys().copied().collect();
         for id in ids {
-            if let Some(due) = self.what_is_due(now, id) {
-                self.perform_due(now, id, due);
+            if let Some(due) = self.due_action(now, id) {
+                self.run_due_action(now, id, due);
             }
         }
     }
 
-    fn what_is_due(&self, now: Moment, id: u64) -> Option<Due> {
+    fn due_action(&self, now: Moment, id: u64) -> Option<DueAction> {
         let call = self.calls.get(&id)?;
-        let has_waited_long = now.since(call.since) >= self.settings.queue_timeout;
+        let queue_timed_out = now.since(call.arrived_at) >= self.settings.queue_timeout;
         match &call.phase {
-            Phase::WaitingTurn { until, what, .. } if now >= *until => {
-                Some(Due::StopWaiting(*what))
+            Phase::WaitingForTurn { deadline, reason, .. } if now >= *deadline => {
+                Some(DueAction::WaitExpired(*reason))
             }
-            Phase::WaitingTurn { again_at, .. } if now >= *again_at => Some(Due::Begin),
-            Phase::Routing { .. } if has_waited_long => {
-                Some(Due::CloseQueued(NotRunReason::NoBackend))
+            Phase::WaitingForTurn { retry_at, .. } if now >= *retry_at => Some(DueAction::Begin),
+            Phase::Routing { .. } if queue_timed_out => {
+                Some(DueAction::QueueTimedOut(NotRunReason::NoBackend))
             }
-            Phase::Routing { again_at } if now >= *again_at => Some(Due::Route),
-            Phase::Queued { .. } if has_waited_long => {
-                Some(Due::CloseQueued(NotRunReason::Overloaded))
+            Phase::Routing { retry_at } if now >= *retry_at => Some(DueAction::Route),
+            Phase::Queued { .. } if queue_timed_out => {
+                Some(DueAction::QueueTimedOut(NotRunReason::Overloaded))
             }
-            Phase::Queued { again_at, owner, engine } => {
+            Phase::Queued { retry_at, owner, engine } => {
                 let owner_changed = self.view.owner_of(engine).as_ref() != Some(owner);
-                (now >= *again_at || owner_changed).then_some(Due::Enqueue)
+                (now >= *retry_at || owner_changed).then_some(DueAction::Enqueue)
             }
-            Phase::Running { progress } if now.since(*progress) >= self.settings.stall_timeout => {
-                Some(Due::Stalled)
+            Phase::Running { last_progress }
+                if now.since(*last_progress) >= self.settings.stall_timeout =>
+            {
+                Some(DueAction::Stalled)
             }
-            Phase::LookingUp { since } if now.since(*since) >= LOOK_UP_TIMEOUT => {
-                Some(Due::LookUpFailed)
+            Phase::LookingUp { sent_at } if now.since(*sent_at) >= LOOKUP_TIMEOUT => {
+                Some(DueAction::LookupTimedOut)
             }
             _ => None,
         }
     }
 
-    fn perform_due(&mut self, now: Moment, id: u64, due: Due) {
+    fn run_due_action(&mut self, now: Moment, id: u64, due: DueAction) {
         match due {
-            Due::Begin => self.begin(now, id),
-            Due::StopWaiting(Waiting::SameCall) => {
+            DueAction::Begin => self.begin(now, id),
+            DueAction::WaitExpired(WaitReason::SameCall) => {
                 self.fail_unknown(now, id, FailureCause::StillRunning);
             }
-            Due::StopWaiting(Waiting::Lease) => {
+            DueAction::WaitExpired(WaitReason::Lease) => {
                 self.fail_unknown(now, id, FailureCause::StoreUnavailable);
             }
-            Due::StopWaiting(_) => self.refuse(now, id, NotRunReason::SequenceGap),
-            Due::Route => self.route(now, id),
-            Due::Enqueue => self.enqueue_at_owner(now, id),
-            Due::CloseQueued(reason) => {
+            DueAction::WaitExpired(_) => self.refuse(now, id, NotRunReason::SequenceGap),
+            DueAction::Route => self.route(now, id),
+            DueAction::Enqueue => self.enqueue_at_current_owner(now, id),
+            DueAction::QueueTimedOut(reason) => {
                 self.release_slot(now, id);
                 self.close(now, id, reason);
             }
-            Due::Stalled => {
+            DueAction::Stalled => {
                 self.cancel_on_engine(id);
                 self.on_attempt_failed(now, id, BackendFailure::Broken);
             }
-            Due::LookUpFailed => self.on_attempt_failed(now, id, BackendFailure::NotSeen),
+            DueAction::LookupTimedOut => self.on_attempt_failed(now, id, BackendFailure::NotSeen),
         }
     }
 
     /// Repeats the slot request to the engine's current owner.
-    fn enqueue_at_owner(&mut self, now: Moment, id: u64) {
+    fn enqueue_at_current_owner(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
--- a/crates/gateway/src/core/memory.rs
+++ b/crates/gateway/src/core/memory.rs
@@ -16,39 +16,39 @@
 use calicohoist_types::{EngineId, Moment, ProgramId};
 
 use super::message::Action;
-use super::{Gateway, Purpose, program_answer};
+use super::{Gateway, PendingRequest, program_answer};
 
 /// Time between queries for new release orders.
-const ASK_INTERVAL: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
 /// Delay before a release order is sent again.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Maximum number of release orders per query.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of release orders per engine and query.
 const FETCH_LIMIT: usize = 64;
 
 /// State of polling, sweeps and pending release orders.
 #[derive(Debug, Default)]
-pub(crate) struct MemoryDuty {
-    next_ask: Moment,
+pub(crate) struct CacheReleaseState {
+    next_poll: Moment,
     next_sweep: Moment,
     /// Orders that were sent, with the earliest time to send them again.
-    sent: BTreeMap<(EngineId, ProgramId), Moment>,
+    sent_orders: BTreeMap<(EngineId, ProgramId), Moment>,
 }
 
 impl Gateway {
-    pub(super) fn run_memory(&mut self, now: Moment) {
+    pub(super) fn run_cache_release(&mut self, now: Moment) {
         let engines: Vec<EngineId> = self.owner.engines().cloned().collect();
         if engines.is_empty() || !self.view.has_lease(now) {
             return;
         }
-        if now >= self.memory.next_ask {
-            self.memory.next_ask = now + ASK_INTERVAL;
-            self.memory.sent.retain(|_, again| *again > now);
-            self.ask_for_releases(now, &engines);
+        if now >= self.cache_release.next_poll {
+            self.cache_release.next_poll = now + POLL_INTERVAL;
+            self.cache_release.sent_orders.retain(|_, retry_at| *retry_at > now);
+            self.query_releases(now, &engines);
         }
-        if now >= self.memory.next_sweep {
-            self.memory.next_sweep = now + SWEEP_INTERVAL;
+        if now >= self.cache_release.next_sweep {
+            self.cache_release.next_sweep = now + SWEEP_INTERVAL;
             for engine in engines {
                 if let Some(spec) = self.view.engine(&engine) {
                     let address = spec.address;
@@ -58,10 +58,10 @@
         }
     }
 
-    fn ask_for_releases(&mut self, now: Moment, engines: &[EngineId]) {
+    fn query_releases(&mut self, now: Moment, engines: &[EngineId]) {
         for group in self.groups.program_groups() {
             let query = ProgramQuery::Releases { engines: engines.to_vec(), limit: FETCH_LIMIT };
-            self.query(now, Purpose::Releases, group, query);
+            self.send_query(now, PendingRequest::Releases, group, query);
         }
     }
 
@@ -78,10 +78,10 @@
             return;
         };
         let order = (engine.clone(), program.clone());
-        if self.memory.sent.contains_key(&order) {
+        if self.cache_release.sent_orders.contains_key(&order) {
             return;
         }
-        self.memory.sent.insert(order, now + RETRY_PAUSE);
+        self.cache_release.sent_orders.insert(order, now + RETRY_DELAY);
         self.actions.push(Action::ReleaseCache { engine, address, program });
     }
 
@@ -98,7 +98,7 @@
         }
         emit!(Event::CacheReleased, "{program} on {engine}");
         let command = ProgramCommand::Released { engine, program: program.clone() };
-        self.command(now, Purpose::Forget, &program, command);
+        self.send_command(now, PendingRequest::Ignore, &program, command);
     }
 
     pub(super) fn on_cache_listing(
@@ -113,8 +113,8 @@
             by_group.entry(group).or_default().push(program);
         }
         for (group, programs) in by_group {
-            let purpose = Purpose::NotActive(engine.clone());
-            self.query(now, purpose, group, ProgramQuery::NotActive(programs));
+            let pending = PendingRequest::NotActive(engine.clone());
+            self.send_query(now, pending, group, ProgramQuery::NotActive(programs));
         }
     }
 
--- a/crates/gateway/src/core/metrics.rs
+++ b/crates/gateway/src/core/metrics.rs
@@ -15,7 +15,7 @@
     Counter::new("calicohoist_attempts_failed_total", "Attempts that failed, by how", "failure");
 
 /// Number of active calls.
-pub(super) static CALLS_UNDER_WAY: Gauge =
+pub(super) static ACTIVE_CALLS: Gauge =
     Gauge::new("calicohoist_calls_under_way", "Calls under way in this process");
 
 /// Configuration revision that this gateway applies.
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -35,7 +35,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use call::Call;
-use memory::MemoryDuty;
+use memory::CacheReleaseState;
 pub use message::{Action, CallerEvent, Input, PeerMessage, Ticket};
 use owner::EngineOwner;
 use view::FleetView;
@@ -80,13 +80,13 @@
 /// Minimum duration of a graceful stop, in which requests in transit are still read and refused.
 const STOP_GRACE: Duration = Duration::from_millis(250);
 /// Timeout of one store request.
-const STORE_PATIENCE: Duration = Duration::from_secs(10);
+const STORE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between reports of held slots to the owners of engines.
-const HOLDING_INTERVAL: Duration = Duration::from_secs(1);
+const SLOT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A store request that awaits its reply, by the code that handles the reply.
 #[derive(Debug)]
-enum Purpose {
+enum PendingRequest {
     /// A step of the call with this ID.
     Call(u64),
     /// A store request on behalf of a caller.
@@ -100,7 +100,7 @@
     /// A query for the programs in an engine's cache that are not active.
     NotActive(EngineId),
     /// A request whose reply is ignored.
-    Forget,
+    Ignore,
 }
 
 /// The state machine of a gateway.
@@ -109,22 +109,22 @@
     groups: GroupMap,
     random: ChaCha8Rng,
     router: StoreRouter,
-    purposes: BTreeMap<u64, Purpose>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     next_token: u64,
     view: FleetView,
     owner: EngineOwner,
-    memory: MemoryDuty,
+    cache_release: CacheReleaseState,
     calls: BTreeMap<u64, Call>,
     by_attempt: BTreeMap<AttemptId, u64>,
     by_ticket: BTreeMap<Ticket, u64>,
     next_call: u64,
     retries: RetryBudget,
     next_heartbeat: Moment,
-    heartbeat_is_out: bool,
-    next_holding: Moment,
+    heartbeat_pending: bool,
+    next_slot_report: Moment,
     stopping: bool,
     /// Earliest time at which a graceful stop completes.
-    may_stop_from: Moment,
+    earliest_stop: Moment,
     stopped: bool,
     actions: Vec<Action>,
 }
@@ -138,21 +138,21 @@
             groups: GroupMap::new(settings.program_groups),
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             router,
-            purposes: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_token: 0,
             view: FleetView::new(settings.has_platform, now),
             owner: EngineOwner::new(settings.max_waiting_per_engine),
-            memory: MemoryDuty::default(),
+            cache_release: CacheReleaseState::default(),
             calls: BTreeMap::new(),
             by_attempt: BTreeMap::new(),
             by_ticket: BTreeMap::new(),
             next_call: 0,
             retries: RetryBudget::default(),
             next_heartbeat: now,
-            heartbeat_is_out: false,
-            next_holding: now,
+            heartbeat_pending: false,
+            next_slot_report: now,
             stopping: false,
-            may_stop_from: Moment::ZERO,
+            earliest_stop: Moment::ZERO,
             stopped: false,
             actions: Vec::new(),
             settings,
@@ -187,12 +187,12 @@
                 self.on_attach(now, ticket, tenant, call, offset)
             }
             Input::Ask(ticket, request) => {
-                self.ask(now, Purpose::Caller(ticket), *request);
+                self.send_store_request(now, PendingRequest::Caller(ticket), *request);
             }
-            Input::CallerGone(ticket) => self.on_caller_gone(ticket),
+            Input::CallerGone(ticket) => self.on_caller_disconnected(ticket),
             Input::StoreReply { id, reply } => self.router.on_reply(now, id, reply),
-            Input::Peer { from, message } => self.on_peer(now, from, message),
-            Input::Backend(attempt, event) => self.on_backend(now, attempt, event),
+            Input::Peer { from, message } => self.on_peer_message(now, from, message),
+            Input::Backend(attempt, event) => self.on_backend_event(now, attempt, event),
             Input::CacheReleased { engine, program, confirmed } => {
                 self.on_cache_released(now, engine, program, confirmed)
             }
@@ -213,15 +213,15 @@
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.router.tick(now);
         self.view.tick(now);
-        if now >= self.next_heartbeat && !self.heartbeat_is_out {
+        if now >= self.next_heartbeat && !self.heartbeat_pending {
             self.send_heartbeat(now);
         }
         self.run_owner(now);
-        self.run_memory(now);
-        self.send_holdings(now);
+        self.run_cache_release(now);
+        self.send_slot_reports(now);
         self.tick_calls(now);
         self.finish_stop(now);
-        metrics::CALLS_UNDER_WAY.show(self.calls.len() as u64);
+        metrics::ACTIVE_CALLS.show(self.calls.len() as u64);
         metrics::APPLIED_REVISION.show(self.view.applied().0);
         self.take_actions(now)
     }
@@ -245,49 +245,55 @@
                 self.actions.push(Action::ToStore { machine, id, request: Box::new(request) })
             }
             RouterEvent::Done { token, reply } => {
-                if let Some(purpose) = self.purposes.remove(&token) {
-                    self.on_store_answer(now, purpose, reply);
+                if let Some(pending) = self.pending_requests.remove(&token) {
+                    self.on_store_answer(now, pending, reply);
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: Moment, purpose: Purpose, request: StoreRequest) {
+    fn send_store_request(&mut self, now: Moment, pending: PendingRequest, request: StoreRequest) {
         self.next_token += 1;
         let token = self.next_token;
-        self.purposes.insert(token, purpose);
-        self.router.ask(now, token, request, STORE_PATIENCE);
+        self.pending_requests.insert(token, pending);
+        self.router.ask(now, token, request, STORE_TIMEOUT);
     }
 
-    fn command(
+    fn send_command(
         &mut self,
         now: Moment,
-        purpose: Purpose,
+        pending: PendingRequest,
         program: &ProgramId,
         command: ProgramCommand,
     ) {
         let group = self.groups.group_of(program);
         let request = StoreRequest::Command(group, Command::Program(command));
-        self.ask(now, purpose, request);
+        self.send_store_request(now, pending, request);
     }
 
-    fn query(&mut self, now: Moment, purpose: Purpose, group: GroupId, query: ProgramQuery) {
+    fn send_query(
+        &mut self,
+        now: Moment,
+        pending: PendingRequest,
+        group: GroupId,
+        query: ProgramQuery,
+    ) {
         let request = StoreRequest::Query(group, Query::Program(query));
-        self.ask(now, purpose, request);
+        self.send_store_request(now, pending, request);
     }
 
-    fn on_store_answer(&mut self, now: Moment, purpose: Purpose, reply: Option<StoreReply>) {
-        match purpose {
-            Purpose::Call(call) => {
+    fn on_store_answer(&mut self, now: Moment, pending: PendingRequest, reply: Option<StoreReply>) {
+        match pending {
+            PendingRequest::Call(call) => {
                 let output = reply.and_then(program_output);
                 self.on_call_answer(now, call, output);
             }
-            Purpose::Caller(ticket) => self.on_caller_answer(now, ticket, reply),
-            Purpose::Attach(call) => self.on_attach_answer(now, call, reply),
-            Purpose::Heartbeat(sent) => self.on_heartbeat_answer(now, sent, reply),
-            Purpose::Releases => self.on_releases(now, reply),
-            Purpose::NotActive(engine) => self.on_not_active(now, &engine, reply),
-            Purpose::Forget => {}
+            PendingRequest::Caller(ticket) => self.on_caller_answer(now, ticket, reply),
+            PendingRequest::Attach(call) => self.on_attach_answer(now, call, reply),
+            PendingRequest::Heartbeat(sent_at) => self.on_heartbeat_answer(now, sent_at, reply),
+            PendingRequest::Releases => self.on_releases(now, reply),
+            PendingRequest::NotActive(engine) => self.on_not_active(now, &engine, reply),
+            PendingRequest::Ignore => {}
         }
     }
 
@@ -295,7 +301,7 @@
         if let Some(StoreReply::Output(Output::Program(ProgramOutput::Cancelled(running)))) = &reply
         {
             for (attempt, by) in running.clone() {
-                self.tell(now, by.node, PeerMessage::Cancel { attempt });
+                self.send_peer_message(now, by.node, PeerMessage::Cancel { attempt });
             }
         }
         let event = CallerEvent::Store(reply.map(Box::new));
@@ -303,9 +309,14 @@
     }
 
     /// Sends a message to a gateway; handles a message to this gateway directly.
-    fn tell(&mut self, now: Moment, to: calicohoist_types::NodeId, message: PeerMessage) {
+    fn send_peer_message(
+        &mut self,
+        now: Moment,
+        to: calicohoist_types::NodeId,
+        message: PeerMessage,
+    ) {
         if to == self.settings.node.node {
-            return self.on_peer(now, to, message);
+            return self.on_peer_message(now, to, message);
         }
         if let Some(address) = self.view.address_of(&to) {
             self.actions.push(Action::ToPeer { to, address, message });
@@ -314,7 +325,7 @@
 
     fn send_heartbeat(&mut self, now: Moment) {
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        self.heartbeat_is_out = true;
+        self.heartbeat_pending = true;
         let heartbeat = Heartbeat {
             from: self.settings.node.clone(),
             peer_address: self.settings.peer_address,
@@ -328,17 +339,17 @@
         let request = StoreRequest::Heartbeat(Box::new(heartbeat));
         self.next_token += 1;
         let token = self.next_token;
-        self.purposes.insert(token, Purpose::Heartbeat(now));
+        self.pending_requests.insert(token, PendingRequest::Heartbeat(now));
         self.router.ask(now, token, request, calicohoist_store::nodes::LEASE);
     }
 
-    fn on_heartbeat_answer(&mut self, now: Moment, sent: Moment, reply: Option<StoreReply>) {
-        self.heartbeat_is_out = false;
+    fn on_heartbeat_answer(&mut self, now: Moment, sent_at: Moment, reply: Option<StoreReply>) {
+        self.heartbeat_pending = false;
         let Some(StoreReply::Heartbeat(reply)) = reply else {
             return;
         };
         let applied_before = self.view.applied();
-        self.view.on_heartbeat(now, sent, *reply);
+        self.view.on_heartbeat(now, sent_at, *reply);
         if self.view.applied() > applied_before {
             emit!(Event::ConfigurationApplied, "revision {}", self.view.applied());
             // Report the applied revision at once: it takes effect when all nodes have it.
@@ -349,18 +360,23 @@
 
     /// Updates the set of owned engines and grants slots.
     fn run_owner(&mut self, now: Moment) {
-        let own = self.settings.node.node.clone();
+        let own_node = self.settings.node.node.clone();
         let stopping = self.stopping;
-        let outcome = self.owner.run(now, &own, &self.view, stopping);
+        let outcome = self.owner.run(now, &own_node, &self.view, stopping);
         for (engine, address) in outcome.probes {
             self.actions.push(Action::ProbeEngine { engine, address });
         }
         for (to, message) in outcome.messages {
-            self.tell(now, to, message);
+            self.send_peer_message(now, to, message);
         }
     }
 
-    fn on_peer(&mut self, now: Moment, from: calicohoist_types::NodeId, message: PeerMessage) {
+    fn on_peer_message(
+        &mut self,
+        now: Moment,
+        from: calicohoist_types::NodeId,
+        message: PeerMessage,
+    ) {
         match message {
             PeerMessage::Granted { attempt, engine } => self.on_granted(now, attempt, engine),
             PeerMessage::Refused { attempt, engine, overloaded } => {
@@ -370,18 +386,18 @@
             message => {
                 let answer = self.owner.on_message(now, from.clone(), message);
                 if let Some(answer) = answer {
-                    self.tell(now, from, answer);
+                    self.send_peer_message(now, from, answer);
                 }
                 self.run_owner(now);
             }
         }
     }
 
-    fn send_holdings(&mut self, now: Moment) {
-        if now < self.next_holding {
+    fn send_slot_reports(&mut self, now: Moment) {
+        if now < self.next_slot_report {
             return;
         }
-        self.next_holding = now + HOLDING_INTERVAL;
+        self.next_slot_report = now + SLOT_REPORT_INTERVAL;
         let mut by_engine: BTreeMap<EngineId, Vec<AttemptId>> = BTreeMap::new();
         for call in self.calls.values() {
             if let Some((engine, attempt)) = call.held_slot() {
@@ -390,7 +406,7 @@
         }
         for (engine, attempts) in by_engine {
             if let Some(owner) = self.view.owner_of(&engine) {
-                self.tell(now, owner, PeerMessage::Holding { engine, attempts });
+                self.send_peer_message(now, owner, PeerMessage::Holding { engine, attempts });
             }
         }
     }
@@ -401,16 +417,16 @@
         }
         emit!(Event::StopRequested, "{} active calls", self.calls.len());
         self.stopping = true;
-        self.may_stop_from = now + STOP_GRACE;
+        self.earliest_stop = now + STOP_GRACE;
         self.next_heartbeat = now;
         self.run_owner(now);
     }
 
     fn finish_stop(&mut self, now: Moment) {
         let handed_over =
-            self.view.knows_stopping(&self.settings.node) || !self.view.has_lease(now);
+            self.view.is_listed_as_stopping(&self.settings.node) || !self.view.has_lease(now);
         let is_idle = self.calls.is_empty() || is_broken(Rule::FinishCalls);
-        let is_due = self.stopping && !self.stopped && now >= self.may_stop_from;
+        let is_due = self.stopping && !self.stopped && now >= self.earliest_stop;
         if is_due && is_idle && handed_over {
             self.stopped = true;
             self.actions.push(Action::Stopped);
--- a/crates/gateway/src/core/owner.rs
+++ b/crates/gateway/src/core/owner.rs
@@ -21,13 +21,13 @@
 /// Time without a probe reply after which an engine gets no new work.
 const PROBE_EXPIRY: Duration = Duration::from_secs(3);
 /// Minimum age of a slot before its absence from a holder's report frees it.
-const HOLDING_GRACE: Duration = Duration::from_secs(3);
+const SLOT_REPORT_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
 struct OwnedEngine {
     queue: EngineQueue,
     next_probe: Moment,
-    answered: Option<Moment>,
+    last_reply: Option<Moment>,
     leaving: bool,
 }
 
@@ -45,13 +45,13 @@
 pub(crate) struct EngineOwner {
     engines: BTreeMap<EngineId, OwnedEngine>,
     /// Owners version and stopping flag of the last ownership update.
-    followed: Option<(u64, bool)>,
+    last_ownership: Option<(u64, bool)>,
     max_waiting: usize,
 }
 
 impl EngineOwner {
     pub(crate) fn new(max_waiting: usize) -> Self {
-        Self { engines: BTreeMap::new(), followed: None, max_waiting }
+        Self { engines: BTreeMap::new(), last_ownership: None, max_waiting }
     }
 
     /// Returns the owned engines.
@@ -63,12 +63,12 @@
     pub(crate) fn run(
         &mut self,
         now: Moment,
-        own: &NodeId,
+        own_node: &NodeId,
         view: &FleetView,
         stopping: bool,
     ) -> OwnerOutcome {
         let mut outcome = OwnerOutcome::default();
-        self.follow_ownership(own, view, stopping, &mut outcome);
+        self.update_ownership(own_node, view, stopping, &mut outcome);
         for (engine, owned) in &mut self.engines {
             let Some(spec) = view.engine(engine) else {
                 continue;
@@ -78,35 +78,36 @@
                 owned.next_probe = now + PROBE_INTERVAL;
                 outcome.probes.push((engine.clone(), spec.address));
             }
-            if !view.may_use(engine) || owned.leaving {
-                bounce(engine, owned, &mut outcome);
-            } else if owned.is_fresh(now) && view.has_lease(now) {
-                grant(now, engine, spec.slots, owned, &mut outcome);
+            if !view.is_schedulable(engine) || owned.leaving {
+                refuse_waiting(engine, owned, &mut outcome);
+            } else if owned.is_responsive(now) && view.has_lease(now) {
+                grant_slots(now, engine, spec.slots, owned, &mut outcome);
             }
         }
         outcome
     }
 
-    fn follow_ownership(
+    fn update_ownership(
         &mut self,
-        own: &NodeId,
+        own_node: &NodeId,
         view: &FleetView,
         stopping: bool,
         outcome: &mut OwnerOutcome,
     ) {
         let current = (view.owners_version(), stopping);
-        if self.followed.replace(current) == Some(current) {
+        if self.last_ownership.replace(current) == Some(current) {
             return;
         }
-        let is_own = |engine: &EngineId| !stopping && view.owner_of(engine).as_ref() == Some(own);
+        let is_own =
+            |engine: &EngineId| !stopping && view.owner_of(engine).as_ref() == Some(own_node);
         let engines = view.engines().map(|(engine, _)| engine);
         let wanted: BTreeSet<EngineId> = engines.filter(is_own).collect();
-        let given_up: Vec<EngineId> =
+        let disowned: Vec<EngineId> =
             self.engines.keys().filter(|engine| !wanted.contains(*engine)).cloned().collect();
-        for engine in given_up {
+        for engine in disowned {
             emit!(Event::EngineDisowned, "{engine}");
             if let Some(mut owned) = self.engines.remove(&engine) {
-                bounce(&engine, &mut owned, outcome);
+                refuse_waiting(&engine, &mut owned, outcome);
             }
         }
         for engine in wanted {
@@ -124,7 +125,7 @@
         report: Option<EngineReport>,
     ) {
         if let (Some(owned), Some(report)) = (self.engines.get_mut(engine), report) {
-            owned.answered = Some(now);
+            owned.last_reply = Some(now);
             owned.leaving = report.leaving;
         }
     }
@@ -172,7 +173,7 @@
                     for attempt in &attempts {
                         owned.queue.adopt(attempt.clone(), from.clone(), now);
                     }
-                    owned.queue.reconcile(&from, &attempts, now - HOLDING_GRACE);
+                    owned.queue.reconcile(&from, &attempts, now - SLOT_REPORT_GRACE);
                 }
                 None
             }
@@ -187,19 +188,19 @@
             running: owned.queue.running(),
             waiting: owned.queue.waiting(),
             waiting_tokens: owned.queue.waiting_tokens(),
-            accepts: view.may_use(engine) && !owned.leaving && owned.is_fresh(now),
+            accepts: view.is_schedulable(engine) && !owned.leaving && owned.is_responsive(now),
         };
         self.engines.iter().map(load).collect()
     }
 }
 
 impl OwnedEngine {
-    fn is_fresh(&self, now: Moment) -> bool {
-        self.answered.is_some_and(|answered| now.since(answered) < PROBE_EXPIRY)
+    fn is_responsive(&self, now: Moment) -> bool {
+        self.last_reply.is_some_and(|last_reply| now.since(last_reply) < PROBE_EXPIRY)
     }
 }
 
-fn grant(
+fn grant_slots(
     now: Moment,
     engine: &EngineId,
     slots: u32,
@@ -213,7 +214,7 @@
 }
 
 /// Refuses all waiting attempts, so that their gateways route them again.
-fn bounce(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
+fn refuse_waiting(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
     for entry in owned.queue.drain_waiting() {
         let message = PeerMessage::Refused {
             attempt: entry.attempt,
--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -93,7 +93,7 @@
         self.had_lease = has_lease;
     }
 
-    pub(crate) fn on_heartbeat(&mut self, now: Moment, sent: Moment, reply: HeartbeatReply) {
+    pub(crate) fn on_heartbeat(&mut self, now: Moment, sent_at: Moment, reply: HeartbeatReply) {
         self.nodes_complete = reply.nodes_complete;
         self.nodes_version = reply.nodes_version;
         let nodes_changed = reply.nodes.is_some();
@@ -110,7 +110,7 @@
         }
         if self.applied >= self.in_force {
             // A gateway with a lease must apply the configuration in force.
-            self.lease_until = self.lease_until.max(sent + reply.lease);
+            self.lease_until = self.lease_until.max(sent_at + reply.lease);
         }
         self.tick(now);
     }
@@ -191,7 +191,7 @@
 
     /// Returns all resources of a kind by a range scan, since there may be tens of
     /// thousands of tenants.
-    fn of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
+    fn resources_of_kind(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         let first = ResourceKey { kind, name: String::new() };
         let from_first = self.resources.range(first..).map(|(_, resource)| resource);
         from_first.take_while(move |resource| resource.key.kind == kind)
@@ -207,7 +207,7 @@
 
     /// Returns the names of all models.
     pub fn models(&self) -> Vec<ModelId> {
-        let models = self.of_kind(ResourceKind::Model);
+        let models = self.resources_of_kind(ResourceKind::Model);
         models.map(|resource| ModelId::new(&resource.key.name)).collect()
     }
 
@@ -221,13 +221,14 @@
 
     /// Returns the limits of all declared tenants.
     pub fn tenants(&self) -> BTreeMap<TenantId, TenantSpec> {
-        let declared =
-            self.of_kind(ResourceKind::Tenant).filter_map(|resource| match &resource.spec {
+        let declared = self.resources_of_kind(ResourceKind::Tenant).filter_map(|resource| {
+            match &resource.spec {
                 ResourceSpec::Tenant(spec) => {
                     Some((TenantId::new(&resource.key.name), spec.clone()))
                 }
                 _ => None,
-            });
+            }
+        });
         declared.collect()
     }
 
@@ -241,7 +242,7 @@
 
     /// Returns all engines and their specs.
     pub fn engines(&self) -> impl Iterator<Item = (EngineId, &EngineSpec)> {
-        self.of_kind(ResourceKind::Engine).filter_map(|resource| match &resource.spec {
+        self.resources_of_kind(ResourceKind::Engine).filter_map(|resource| match &resource.spec {
             ResourceSpec::Engine(spec) => Some((EngineId::new(&resource.key.name), spec)),
             _ => None,
         })
@@ -249,11 +250,12 @@
 
     /// Returns the replicas of a service that accept new work.
     pub fn replicas(&self, service: &ServiceId) -> Vec<(String, ServiceSpec)> {
-        let replicas =
-            self.of_kind(ResourceKind::Service).filter_map(|resource| match &resource.spec {
+        let replicas = self.resources_of_kind(ResourceKind::Service).filter_map(|resource| {
+            match &resource.spec {
                 ResourceSpec::Service(spec) => Some((resource.key.name.clone(), spec.clone())),
                 _ => None,
-            });
+            }
+        });
         let serves = |(name, spec): &(String, ServiceSpec)| {
             spec.service == service.as_str() && !spec.drain && !self.leaving.contains(name)
         };
@@ -269,15 +271,15 @@
     }
 
     /// Returns whether any replica of `service` is declared.
-    pub fn knows_service(&self, service: &ServiceId) -> bool {
-        self.of_kind(ResourceKind::Service).any(|resource| match &resource.spec {
+    pub fn has_service(&self, service: &ServiceId) -> bool {
+        self.resources_of_kind(ResourceKind::Service).any(|resource| match &resource.spec {
             ResourceSpec::Service(spec) => spec.service == service.as_str(),
             _ => false,
         })
     }
 
     /// Returns whether `engine` is declared, not draining and not leaving.
-    pub fn may_use(&self, engine: &EngineId) -> bool {
+    pub fn is_schedulable(&self, engine: &EngineId) -> bool {
         let spec = self.engine(engine);
         if is_broken(Rule::AvoidLeaving) {
             return spec.is_some();
@@ -286,7 +288,7 @@
     }
 
     /// Returns whether a replica is declared, not draining and not leaving.
-    pub fn may_use_replica(&self, name: &str) -> bool {
+    pub fn is_replica_schedulable(&self, name: &str) -> bool {
         let spec = self.replica(name);
         if is_broken(Rule::AvoidLeaving) {
             return spec.is_some();
@@ -325,13 +327,13 @@
     }
 
     /// Returns whether the lease of this incarnation of a gateway has definitely expired.
-    pub fn is_certainly_gone(&self, now: Moment, node: &NodeRef) -> bool {
+    pub fn is_lease_expired(&self, now: Moment, node: &NodeRef) -> bool {
         let is_listed = self.nodes.get(&node.node).is_some_and(|info| info.node == *node);
         self.has_lease(now) && self.nodes_complete && !is_listed
     }
 
     /// Returns whether the list of gateways shows `node` as stopping.
-    pub(crate) fn knows_stopping(&self, node: &NodeRef) -> bool {
+    pub(crate) fn is_listed_as_stopping(&self, node: &NodeRef) -> bool {
         self.nodes.get(&node.node).is_some_and(|info| info.stopping)
     }
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -24,18 +24,18 @@
 use crate::backend::{engine, platform, service};
 use crate::core::message::{Action, BackendEvent, BackendFailure, Input, PeerMessage};
 use crate::core::{Gateway, GatewaySettings};
-use crate::front::Front;
-use crate::front::callers::Callers;
+use crate::front::ApiHandler;
+use crate::front::callers::CallerChannels;
 use crate::view::SharedView;
 
 /// Capacity of the core's input channel.
-const RING: usize = 65_536;
+const INPUT_CAPACITY: usize = 65_536;
 /// Maximum number of inputs processed between checks for the next tick.
 const MAX_BATCH: usize = 256;
 /// Time between ticks of the core.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Capacity of the channel of control requests.
-const CONTROL_RING: usize = 4_096;
+const CONTROL_CAPACITY: usize = 4_096;
 /// Number of threads that execute control requests.
 const CONTROL_THREADS: usize = 4;
 /// Time between polls of the platform's machine list.
@@ -98,42 +98,42 @@
         config.core.peer_address = peer_address;
         let stop = Arc::new(AtomicBool::new(false));
         let stopping = Arc::new(AtomicBool::new(false));
-        let (sender, receiver) = bounded(RING);
+        let (sender, receiver) = bounded(INPUT_CAPACITY);
         let (stopped_sender, stopped) = bounded(1);
-        let callers = Arc::new(Callers::default());
+        let caller_channels = Arc::new(CallerChannels::default());
         let view = Arc::new(SharedView::default());
         let peer_server = FrameServer::start(peers, peer_handler(sender.clone()))?;
         let (attempts, mut threads) = start_attempt_threads(&config, &sender, &stop)?;
         let (control, control_threads) = start_control_threads(&sender, &stop)?;
         threads.extend(control_threads);
-        let duty = CoreDuty {
+        let core_thread = CoreThread {
             receiver,
-            callers: callers.clone(),
+            caller_channels: caller_channels.clone(),
             view: view.clone(),
             stores: open_store_links(&config.stores, &sender)?,
             peers: BTreeMap::new(),
             attempts,
             control,
             core: sender.clone(),
-            own: config.core.node.node.clone(),
+            own_node: config.core.node.node.clone(),
             stop: stop.clone(),
             stopping: stopping.clone(),
             stopped: stopped_sender,
         };
         let settings = config.core.clone();
-        threads.push(spawn("core", move || duty.run(settings))?);
+        threads.push(spawn("core", move || core_thread.run(settings))?);
         if let Some(address) = config.platform {
             let (sender, stop) = (sender.clone(), stop.clone());
-            threads.push(spawn("platform", move || watch_platform(address, &sender, &stop))?);
+            threads.push(spawn("platform", move || poll_platform(address, &sender, &stop))?);
         }
-        let front = Front {
+        let handler = ApiHandler {
             core: sender.clone(),
-            callers,
+            caller_channels,
             view,
             groups: GroupMap::new(config.core.program_groups),
             stopping,
         };
-        let http = HttpServer::start_on(http, config.http, Arc::new(front))?;
+        let http = HttpServer::start_on(http, config.http, Arc::new(handler))?;
         Ok(Self { http, peer_address, core: sender, stop, stopped, threads, _peers: peer_server })
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Waits for the graceful stop to complete; returns `false` after the timeout.
-    pub fn wait_stopped(&self, patience: Duration) -> bool {
-        self.stopped.recv_timeout(patience).is_ok()
+    pub fn wait_stopped(&self, timeout: Duration) -> bool {
+        self.stopped.recv_timeout(timeout).is_ok()
     }
 
     /// Stops the gateway; returns `true` when all active calls finished before the timeout.
-    pub fn stop_gracefully(mut self, patience: Duration) -> bool {
+    pub fn stop_gracefully(mut self, timeout: Duration) -> bool {
         self.begin_stop();
-        let complete = self.wait_stopped(patience);
+        let complete = self.wait_stopped(timeout);
         let event = if complete { Event::StopFinished } else { Event::StopForced };
         emit!(event, "gateway");
         // Workers may still be writing the end of complete answers.
@@ -206,7 +206,7 @@
     Ok(links)
 }
 
-fn watch_platform(address: SocketAddr, core: &Sender<CoreInput>, stop: &AtomicBool) {
+fn poll_platform(address: SocketAddr, core: &Sender<CoreInput>, stop: &AtomicBool) {
     let mut next = Instant::now();
     while !stop.load(Ordering::SeqCst) {
         if Instant::now() >= next {
@@ -221,31 +221,31 @@
 /// A job for an attempt or control thread.
 type Job = Box<dyn FnOnce(&Sender<CoreInput>) + Send>;
 /// The job channel of a thread pool, and its threads.
-type Crew = (Sender<Job>, Vec<JoinHandle<()>>);
+type WorkerPool = (Sender<Job>, Vec<JoinHandle<()>>);
 
 fn start_attempt_threads(
     config: &ServerConfig,
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    start_crew("attempt", config.attempt_threads, config.attempt_threads, core, stop)
+) -> std::io::Result<WorkerPool> {
+    start_workers("attempt", config.attempt_threads, config.attempt_threads, core, stop)
 }
 
 fn start_control_threads(
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    start_crew("control", CONTROL_THREADS, CONTROL_RING, core, stop)
+) -> std::io::Result<WorkerPool> {
+    start_workers("control", CONTROL_THREADS, CONTROL_CAPACITY, core, stop)
 }
 
-fn start_crew(
+fn start_workers(
     name: &str,
     threads: usize,
-    ring: usize,
+    capacity: usize,
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    let (sender, receiver) = bounded::<Job>(ring);
+) -> std::io::Result<WorkerPool> {
+    let (sender, receiver) = bounded::<Job>(capacity);
     let mut handles = Vec::new();
     for index in 0..threads {
         let (receiver, core, stop) = (receiver.clone(), core.clone(), stop.clone());
@@ -263,22 +263,22 @@
 }
 
 /// State of the thread that owns the core.
-struct CoreDuty {
+struct CoreThread {
     receiver: Receiver<CoreInput>,
-    callers: Arc<Callers>,
+    caller_channels: Arc<CallerChannels>,
     view: Arc<SharedView>,
     stores: BTreeMap<u32, Link<StoreFrame>>,
     peers: BTreeMap<NodeId, (SocketAddr, Link<PeerFrame>)>,
     attempts: Sender<Job>,
     control: Sender<Job>,
     core: Sender<CoreInput>,
-    own: NodeId,
+    own_node: NodeId,
     stop: Arc<AtomicBool>,
     stopping: Arc<AtomicBool>,
     stopped: Sender<()>,
 }
 
-impl CoreDuty {
+impl CoreThread {
     fn run(mut self, settings: GatewaySettings) {
         let origin = Instant::now();
         // Start at one second, so that short durations can be subtracted from now.
@@ -289,12 +289,12 @@
         while !self.stop.load(Ordering::SeqCst) {
             for input in self.take_batch() {
                 let actions = gateway.step(now(), input);
-                self.perform_all(actions, stall_timeout);
+                self.perform_actions(actions, stall_timeout);
             }
             if now() >= next_tick {
-                next_tick = now() + TICK;
+                next_tick = now() + TICK_INTERVAL;
                 let actions = gateway.tick(now());
-                self.perform_all(actions, stall_timeout);
+                self.perform_actions(actions, stall_timeout);
                 self.view.update(gateway.view(), gateway.is_ready(now()));
                 self.stopping.store(gateway.is_stopping(), Ordering::SeqCst);
             }
@@ -303,7 +303,7 @@
 
     fn take_batch(&self) -> Vec<Input> {
         let mut batch = Vec::new();
-        match self.receiver.recv_timeout(TICK) {
+        match self.receiver.recv_timeout(TICK_INTERVAL) {
             Ok(CoreInput::Input(input)) => batch.push(input),
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return batch,
         }
@@ -316,13 +316,13 @@
         batch
     }
 
-    fn perform_all(&mut self, actions: Vec<Action>, stall_timeout: Duration) {
+    fn perform_actions(&mut self, actions: Vec<Action>, stall_timeout: Duration) {
         for action in actions {
-            self.perform(action, stall_timeout);
+            self.perform_action(action, stall_timeout);
         }
     }
 
-    fn perform(&mut self, action: Action, stall_timeout: Duration) {
+    fn perform_action(&mut self, action: Action, stall_timeout: Duration) {
         match action {
             Action::ToStore { machine, id, request } => {
                 if let Some(link) = self.stores.get(&machine) {
@@ -332,7 +332,7 @@
             }
             Action::ToPeer { to, address, message } => self.send_to_peer(to, address, message),
             Action::ToCaller(ticket, event) => {
-                self.callers.deliver(ticket, event);
+                self.caller_channels.deliver(ticket, event);
             }
             Action::RunOnEngine(order) => {
                 let attempt = order.attempt.clone();
@@ -406,7 +406,7 @@
             }
         }
         if let Some((_, link)) = self.peers.get(&to) {
-            link.send(PeerFrame { from: self.own.clone(), message });
+            link.send(PeerFrame { from: self.own_node.clone(), message });
         }
     }
 }
--- a/crates/gateway/src/front/callers.rs
+++ b/crates/gateway/src/front/callers.rs
@@ -12,39 +12,39 @@
 
 /// Maximum number of queued events per worker. Further events are dropped; the
 /// caller can fetch the stored answer.
-const RING: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 
 /// The channels of all workers that wait for events.
 #[derive(Default)]
-pub struct Callers {
+pub struct CallerChannels {
     next: AtomicU64,
-    rings: Mutex<HashMap<Ticket, Sender<CallerEvent>>>,
+    senders: Mutex<HashMap<Ticket, Sender<CallerEvent>>>,
 }
 
-impl Callers {
+impl CallerChannels {
     /// Opens a channel for one request.
-    pub fn open(self: &Arc<Self>) -> CallerRing {
+    pub fn open(self: &Arc<Self>) -> CallerChannel {
         let ticket = self.next.fetch_add(1, Ordering::Relaxed) + 1;
-        let (sender, receiver) = bounded(RING);
-        self.rings.lock().insert(ticket, sender);
-        CallerRing { ticket, receiver, callers: self.clone() }
+        let (sender, receiver) = bounded(CHANNEL_CAPACITY);
+        self.senders.lock().insert(ticket, sender);
+        CallerChannel { ticket, receiver, channels: self.clone() }
     }
 
     /// Sends an event to a worker; returns `false` if the worker is gone or its channel is full.
     pub fn deliver(&self, ticket: Ticket, event: CallerEvent) -> bool {
-        let rings = self.rings.lock();
-        rings.get(&ticket).is_some_and(|ring| ring.try_send(event).is_ok())
+        let senders = self.senders.lock();
+        senders.get(&ticket).is_some_and(|sender| sender.try_send(event).is_ok())
     }
 }
 
 /// The worker's end of a channel, which is closed on drop.
-pub struct CallerRing {
+pub struct CallerChannel {
     ticket: Ticket,
     receiver: Receiver<CallerEvent>,
-    callers: Arc<Callers>,
+    channels: Arc<CallerChannels>,
 }
 
-impl CallerRing {
+impl CallerChannel {
     /// Returns the ticket that identifies the request in the core.
     pub fn ticket(&self) -> Ticket {
         self.ticket
@@ -56,8 +56,8 @@
     }
 }
 
-impl Drop for CallerRing {
+impl Drop for CallerChannel {
     fn drop(&mut self) {
-        self.callers.rings.lock().remove(&self.ticket);
+        self.channels.senders.lock().remove(&self.ticket);
     }
 }
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -9,27 +9,27 @@
 };
 use calicohoist_types::{AttemptId, CallId, ChatMessage, ModelId, Outcome, ProgramId, Role};
 
-use super::callers::CallerRing;
+use super::callers::CallerChannel;
 use super::errors::ApiError;
-use super::headers::{CallHeaders, tenant};
-use super::{Front, Reply};
+use super::headers::{CallHeaders, parse_tenant};
+use super::{ApiHandler, Reply};
 use crate::core::message::{CallRequest, CallerEvent, Finish, Input, Work};
 
 /// Format of the response to a call.
-struct Style {
+struct ResponseFormat {
     model: String,
     streamed: bool,
     with_usage: bool,
 }
 
-impl Front {
+impl ApiHandler {
     pub(super) fn chat(&self, mut exchange: Exchange) {
         match read_chat(&mut exchange) {
-            Ok((request, style)) => {
-                let ring = self.open();
-                let input = Input::Call(ring.ticket(), Box::new(request));
+            Ok((request, format)) => {
+                let channel = self.open_channel();
+                let input = Input::Call(channel.ticket(), Box::new(request));
                 match self.send(input) {
-                    Ok(()) => self.answer(exchange, &ring, &style),
+                    Ok(()) => self.write_response(exchange, &channel, &format),
                     Err(error) => error.reply(exchange),
                 }
             }
@@ -38,8 +38,8 @@
     }
 
     pub(super) fn stored_answer(&self, exchange: Exchange, program: &str, sequence: &str) {
-        let mut found = Vec::new();
-        let tenant = tenant(&exchange, &mut found);
+        let mut findings = Vec::new();
+        let tenant = parse_tenant(&exchange, &mut findings);
         let offset = exchange.query("offset").map_or(Some(0), |text| text.parse().ok());
         let (Some(program), Ok(sequence), Some(offset)) =
             (ProgramId::parse(program), sequence.parse(), offset)
@@ -51,29 +51,29 @@
             );
             return error.reply(exchange);
         };
-        let style = Style {
+        let format = ResponseFormat {
             model: String::new(),
             streamed: exchange.query("stream") == Some("true"),
             with_usage: true,
         };
-        let ring = self.open();
+        let channel = self.open_channel();
         let input = Input::Attach {
-            ticket: ring.ticket(),
+            ticket: channel.ticket(),
             tenant,
             call: CallId { program, sequence },
             offset,
         };
         match self.send(input) {
-            Ok(()) => self.answer(exchange, &ring, &style),
+            Ok(()) => self.write_response(exchange, &channel, &format),
             Err(error) => error.reply(exchange),
         }
     }
 
     /// Writes the response of a call.
-    fn answer(&self, exchange: Exchange, ring: &CallerRing, style: &Style) {
+    fn write_response(&self, exchange: Exchange, channel: &CallerChannel, format: &ResponseFormat) {
         // Write nothing before admission, so that a failure can set the HTTP status.
         let attempt = loop {
-            match self.next_event(ring) {
+            match self.next_event(channel) {
                 Some(CallerEvent::Admitted(attempt)) => break attempt,
                 Some(CallerEvent::Failed(failure)) => {
                     return ApiError::of_failure(&failure).reply(exchange);
@@ -82,26 +82,32 @@
                 None => return ApiError::store_unavailable().reply(exchange),
             }
         };
-        if style.streamed {
-            self.stream(exchange, ring, style, &attempt);
+        if format.streamed {
+            self.respond_streamed(exchange, channel, format, &attempt);
         } else {
-            self.gather(exchange, ring, style);
+            self.respond_buffered(exchange, channel, format);
         }
     }
 
-    fn stream(&self, exchange: Exchange, ring: &CallerRing, style: &Style, attempt: &AttemptId) {
+    fn respond_streamed(
+        &self,
+        exchange: Exchange,
+        channel: &CallerChannel,
+        format: &ResponseFormat,
+        attempt: &AttemptId,
+    ) {
         let headers = call_headers(attempt);
         let Ok(mut events) = exchange.start_events(&headers) else {
-            return self.caller_gone(ring.ticket());
+            return self.report_disconnect(channel.ticket());
         };
         let id = answer_id(attempt);
         loop {
-            let sent = match self.next_event(ring) {
+            let sent = match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => {
-                    events.send(&ChatChunk::new(&id, created(), &style.model, Some(text), None))
+                    events.send(&ChatChunk::new(&id, created(), &format.model, Some(text), None))
                 }
                 Some(CallerEvent::Finished(finish)) => {
-                    let _ = send_end(&mut events, &id, style, &finish);
+                    let _ = send_end(&mut events, &id, format, &finish);
                     return;
                 }
                 Some(CallerEvent::Failed(failure)) => {
@@ -115,20 +121,25 @@
                 }
             };
             if sent.is_err() {
-                return self.caller_gone(ring.ticket());
+                return self.report_disconnect(channel.ticket());
             }
         }
     }
 
-    fn gather(&self, exchange: Exchange, ring: &CallerRing, style: &Style) {
+    fn respond_buffered(
+        &self,
+        exchange: Exchange,
+        channel: &CallerChannel,
+        format: &ResponseFormat,
+    ) {
         let mut content = String::new();
         loop {
-            match self.next_event(ring) {
+            match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => content.push_str(&text),
                 Some(CallerEvent::Finished(finish)) => {
                     let mut headers = call_headers(&finish.attempt);
                     headers.push((HEADER_OUTCOME, Outcome::Completed.as_str().to_owned()));
-                    let body = completion(style, &finish, content);
+                    let body = completion(format, &finish, content);
                     return exchange.reply_json(200, &headers, &body);
                 }
                 Some(CallerEvent::Failed(failure)) => {
@@ -155,27 +166,31 @@
     }
 }
 
-fn read_chat(exchange: &mut Exchange) -> Result<(CallRequest, Style), ApiError> {
-    let mut found = Vec::new();
-    let headers = CallHeaders::read(exchange, &mut found);
+fn read_chat(exchange: &mut Exchange) -> Result<(CallRequest, ResponseFormat), ApiError> {
+    let mut findings = Vec::new();
+    let headers = CallHeaders::read(exchange, &mut findings);
     let body: ChatRequest = exchange.read_json()?;
     let messages = body.plain_messages().unwrap_or_else(|mut more| {
-        found.append(&mut more);
+        findings.append(&mut more);
         Vec::new()
     });
     let model = ModelId::parse(&body.model);
     if model.is_none() {
         let problem = format!("{:?} is not a name", body.model);
-        found.push(calicohoist_types::Finding::of_field("model", problem, "a model of /v1/models"));
+        findings.push(calicohoist_types::Finding::of_field(
+            "model",
+            problem,
+            "a model of /v1/models",
+        ));
     }
     if body.token_limit() == Some(0) {
         let field = "max_completion_tokens";
-        found.push(calicohoist_types::Finding::of_field(field, "is 0", "1 or more"));
+        findings.push(calicohoist_types::Finding::of_field(field, "is 0", "1 or more"));
     }
-    let Some(model) = model.filter(|_| found.is_empty()) else {
-        return Err(ApiError::invalid(found));
+    let Some(model) = model.filter(|_| findings.is_empty()) else {
+        return Err(ApiError::invalid(findings));
     };
-    let style = Style {
+    let format = ResponseFormat {
         model: body.model.clone(),
         streamed: body.stream,
         with_usage: body.stream_options.is_some_and(|options| options.include_usage),
@@ -188,7 +203,7 @@
         repeatable: headers.repeatable.unwrap_or(true),
         work: Work::Model { model, messages, max_tokens: body.token_limit() },
     };
-    Ok((request, style))
+    Ok((request, format))
 }
 
 /// Returns the headers that identify a call and its attempt.
@@ -211,13 +226,13 @@
 fn send_end(
     events: &mut EventWriter,
     id: &str,
-    style: &Style,
+    format: &ResponseFormat,
     finish: &Finish,
 ) -> std::io::Result<()> {
     let reason = Some(finish.finish_reason.clone());
-    events.send(&ChatChunk::new(id, created(), &style.model, None, reason))?;
-    if style.with_usage {
-        let mut chunk = ChatChunk::new(id, created(), &style.model, None, None);
+    events.send(&ChatChunk::new(id, created(), &format.model, None, reason))?;
+    if format.with_usage {
+        let mut chunk = ChatChunk::new(id, created(), &format.model, None, None);
         chunk.choices.clear();
         chunk.usage = Some(finish.usage.into());
         events.send(&chunk)?;
@@ -225,12 +240,12 @@
     events.send_text(STREAM_DONE)
 }
 
-fn completion(style: &Style, finish: &Finish, content: String) -> ChatCompletion {
+fn completion(format: &ResponseFormat, finish: &Finish, content: String) -> ChatCompletion {
     ChatCompletion {
         id: answer_id(&finish.attempt),
         object: "chat.completion".to_owned(),
         created: created(),
-        model: style.model.clone(),
+        model: format.model.clone(),
         choices: vec![Choice {
             index: 0,
             message: ChatMessage::new(Role::Assistant, content),
--- a/crates/gateway/src/front/errors.rs
+++ b/crates/gateway/src/front/errors.rs
@@ -65,9 +65,9 @@
     }
 
     /// Creates an error for a named object that does not exist.
-    pub fn missing(what: &str, name: &str) -> Self {
-        let code = format!("unknown_{what}");
-        Self::new(404, INVALID_REQUEST, &code, format!("there is no {what} {name:?}"))
+    pub fn not_found(kind: &str, name: &str) -> Self {
+        let code = format!("unknown_{kind}");
+        Self::new(404, INVALID_REQUEST, &code, format!("there is no {kind} {name:?}"))
     }
 
     /// Creates an error for a request that found no free worker.
@@ -107,11 +107,11 @@
     }
 
     /// Converts a program error of the store.
-    pub fn of_program(error: &ProgramError, program: &str) -> Self {
+    pub fn from_program_error(error: &ProgramError, program: &str) -> Self {
         match error {
-            ProgramError::Missing => Self::missing("program", program),
+            ProgramError::Missing => Self::not_found("program", program),
             ProgramError::Exists => Self::new(409, CONFLICT, "program_exists", "the name is taken"),
-            ProgramError::NotActive(_) => program_over(),
+            ProgramError::NotActive(_) => program_ended(),
             ProgramError::Busy(sequence) => {
                 let message = format!("call {sequence} is under way");
                 Self::new(409, CONFLICT, "call_under_way", message)
@@ -135,13 +135,13 @@
     pub fn of_failure(failure: &Failure) -> Self {
         let mut error = match &failure.cause {
             FailureCause::NotRun(reason) => not_run(*reason),
-            FailureCause::UnknownModel(model) => Self::missing("model", model.as_str()),
-            FailureCause::UnknownService(service) => Self::missing("service", service.as_str()),
+            FailureCause::UnknownModel(model) => Self::not_found("model", model.as_str()),
+            FailureCause::UnknownService(service) => Self::not_found("service", service.as_str()),
             FailureCause::UnknownProgram => {
                 Self::new(404, INVALID_REQUEST, "unknown_program", "there is no such program")
             }
             FailureCause::KeyMismatch => key_mismatch(),
-            FailureCause::ProgramOver => program_over(),
+            FailureCause::ProgramOver => program_ended(),
             FailureCause::PromptTooLong => prompt_too_long(),
             FailureCause::StoreUnavailable => Self::store_unavailable(),
             FailureCause::BackendLost => Self::new(
@@ -214,7 +214,7 @@
     ApiError::new(409, CONFLICT, "key_mismatch", message)
 }
 
-fn program_over() -> ApiError {
+fn program_ended() -> ApiError {
     ApiError::new(409, CONFLICT, "program_over", "the program has ended or was cancelled")
 }
 
--- a/crates/gateway/src/front/headers.rs
+++ b/crates/gateway/src/front/headers.rs
@@ -29,19 +29,23 @@
 
 impl CallHeaders {
     /// Parses all headers; adds a finding for each invalid one.
-    pub fn read(exchange: &Exchange, found: &mut Vec<Finding>) -> Self {
-        let sequence = parse(exchange, HEADER_SEQUENCE, found, "1 to 1000000", parse_sequence);
-        let program = parse(exchange, HEADER_PROGRAM, found, ACCEPTED_NAME, ProgramId::parse);
+    pub fn read(exchange: &Exchange, findings: &mut Vec<Finding>) -> Self {
+        let sequence = parse(exchange, HEADER_SEQUENCE, findings, "1 to 1000000", parse_sequence);
+        let program = parse(exchange, HEADER_PROGRAM, findings, ACCEPTED_NAME, ProgramId::parse);
         if sequence.is_some() && program.is_none() && exchange.header(HEADER_PROGRAM).is_none() {
             let problem = "is given without a program";
-            found.push(Finding::of_field(HEADER_SEQUENCE, problem, "a calicohoist-program, too"));
+            findings.push(Finding::of_field(
+                HEADER_SEQUENCE,
+                problem,
+                "a calicohoist-program, too",
+            ));
         }
         Self {
-            tenant: tenant(exchange, found),
+            tenant: parse_tenant(exchange, findings),
             program,
             sequence,
-            key: parse(exchange, HEADER_KEY, found, ACCEPTED_NAME, IdempotencyKey::parse),
-            repeatable: parse(exchange, HEADER_REPEATABLE, found, "true or false", |text| {
+            key: parse(exchange, HEADER_KEY, findings, ACCEPTED_NAME, IdempotencyKey::parse),
+            repeatable: parse(exchange, HEADER_REPEATABLE, findings, "true or false", |text| {
                 text.parse().ok()
             }),
         }
@@ -49,8 +53,8 @@
 }
 
 /// Parses the tenant header; returns the default tenant if it is absent or invalid.
-pub fn tenant(exchange: &Exchange, found: &mut Vec<Finding>) -> TenantId {
-    let given = parse(exchange, HEADER_TENANT, found, ACCEPTED_NAME, TenantId::parse);
+pub fn parse_tenant(exchange: &Exchange, findings: &mut Vec<Finding>) -> TenantId {
+    let given = parse(exchange, HEADER_TENANT, findings, ACCEPTED_NAME, TenantId::parse);
     given.unwrap_or_else(|| TenantId::new(DEFAULT_TENANT_NAME))
 }
 
@@ -61,7 +65,7 @@
 fn parse<T>(
     exchange: &Exchange,
     name: &str,
-    found: &mut Vec<Finding>,
+    findings: &mut Vec<Finding>,
     accepted: &str,
     parse: impl Fn(&str) -> Option<T>,
 ) -> Option<T> {
@@ -69,7 +73,7 @@
     let parsed = parse(text);
     if parsed.is_none() {
         let shown: String = text.chars().take(40).collect();
-        found.push(Finding::of_field(name, format!("{shown:?} is not accepted"), accepted));
+        findings.push(Finding::of_field(name, format!("{shown:?} is not accepted"), accepted));
     }
     parsed
 }
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -28,25 +28,25 @@
 use crate::core::message::{CallerEvent, Input, Ticket};
 use crate::driver::CoreInput;
 use crate::view::SharedView;
-use callers::{CallerRing, Callers};
+use callers::{CallerChannel, CallerChannels};
 use errors::ApiError;
 
 /// Maximum wait for an event of the core. The core's own timeouts are shorter.
 const CORE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Handler of all endpoints.
-pub struct Front {
+pub struct ApiHandler {
     pub(crate) core: Sender<CoreInput>,
-    pub(crate) callers: Arc<Callers>,
+    pub(crate) caller_channels: Arc<CallerChannels>,
     pub(crate) view: Arc<SharedView>,
     pub(crate) groups: GroupMap,
     pub(crate) stopping: Arc<AtomicBool>,
 }
 
-impl Front {
-    /// Opens a channel for events of the core.
-    pub(crate) fn open(&self) -> CallerRing {
-        self.callers.open()
+impl ApiHandler {
+    /// Opens a channel for events from the core.
+    pub(crate) fn open_channel(&self) -> CallerChannel {
+        self.caller_channels.open()
     }
 
     pub(crate) fn send(&self, input: Input) -> Result<(), ApiError> {
@@ -55,24 +55,24 @@
     }
 
     /// Sends a request to the store and waits for the reply.
-    pub(crate) fn ask(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
-        let ring = self.open();
-        self.send(Input::Ask(ring.ticket(), Box::new(request)))?;
-        match ring.next(CORE_TIMEOUT) {
+    pub(crate) fn store_request(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
+        let channel = self.open_channel();
+        self.send(Input::Ask(channel.ticket(), Box::new(request)))?;
+        match channel.next(CORE_TIMEOUT) {
             Some(CallerEvent::Store(Some(reply))) => Ok(*reply),
             _ => Err(ApiError::store_unavailable()),
         }
     }
 
-    pub(crate) fn next_event(&self, ring: &CallerRing) -> Option<CallerEvent> {
-        ring.next(CORE_TIMEOUT)
+    pub(crate) fn next_event(&self, channel: &CallerChannel) -> Option<CallerEvent> {
+        channel.next(CORE_TIMEOUT)
     }
 
-    pub(crate) fn caller_gone(&self, ticket: Ticket) {
+    pub(crate) fn report_disconnect(&self, ticket: Ticket) {
         let _ = self.core.send(CoreInput::Input(Input::CallerGone(ticket)));
     }
 
-    fn respond(&self, mut exchange: Exchange) {
+    fn route(&self, mut exchange: Exchange) {
         let method = exchange.method().to_owned();
         let segments = exchange.segments();
         let parts: Vec<&str> = segments.iter().map(String::as_str).collect();
@@ -141,9 +141,9 @@
     }
 }
 
-impl Handler for Front {
+impl Handler for ApiHandler {
     fn handle(&self, exchange: Exchange) {
-        self.respond(exchange);
+        self.route(exchange);
     }
 
     fn refuse_busy(&self, exchange: Exchange) {
--- a/crates/gateway/src/front/programs.rs
+++ b/crates/gateway/src/front/programs.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 
 use super::errors::ApiError;
-use super::headers::tenant;
-use super::{Front, Reply};
+use super::headers::parse_tenant;
+use super::{ApiHandler, Reply};
 
 /// Maximum lifetime of a program: seven days.
 const MAX_LIFETIME_MILLIS: u64 = 7 * 24 * 3_600 * 1_000;
@@ -36,19 +36,19 @@
     pub lifetime_millis: Option<u64>,
 }
 
-impl Front {
+impl ApiHandler {
     pub(super) fn create_program(
         &self,
         exchange: &mut Exchange,
         parent: Option<&str>,
     ) -> Result<Reply, ApiError> {
-        let mut found = Vec::new();
-        let tenant = tenant(exchange, &mut found);
+        let mut findings = Vec::new();
+        let tenant = parse_tenant(exchange, &mut findings);
         let request_id = exchange.header(HEADER_KEY).map(str::to_owned);
         let body: ProgramRequest = exchange.read_json()?;
-        let new = self.new_program(tenant, parent, request_id, &body, &mut found);
-        if !found.is_empty() {
-            return Err(ApiError::invalid(found));
+        let new = self.new_program(tenant, parent, request_id, &body, &mut findings);
+        if !findings.is_empty() {
+            return Err(ApiError::invalid(findings));
         }
         let name = new.id.to_string();
         let program = new.parent.clone().unwrap_or_else(|| new.id.clone());
@@ -56,7 +56,7 @@
             ProgramOutput::Created(id) => {
                 Ok(Reply { status: 201, headers: Vec::new(), body: json!({ "id": id }) })
             }
-            ProgramOutput::Refused(error) => Err(ApiError::of_program(&error, &name)),
+            ProgramOutput::Refused(error) => Err(ApiError::from_program_error(&error, &name)),
             _ => Err(ApiError::store_unavailable()),
         }
     }
@@ -67,20 +67,20 @@
         parent: Option<&str>,
         request_id: Option<String>,
         body: &ProgramRequest,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) -> NewProgram {
         let limits = self.view.tenant(&tenant);
         let budget = body.budget_tokens.unwrap_or(limits.default_program_tokens);
         let calls = body.max_calls.unwrap_or(limits.max_calls);
-        check(found, "budget_tokens", budget, limits.max_program_tokens);
-        check(found, "max_calls", calls, limits.max_calls);
+        check_range(findings, "budget_tokens", budget, limits.max_program_tokens);
+        check_range(findings, "max_calls", calls, limits.max_calls);
         let lifetime = body.lifetime_millis.unwrap_or(MAX_LIFETIME_MILLIS);
-        check(found, "lifetime_millis", lifetime, MAX_LIFETIME_MILLIS);
+        check_range(findings, "lifetime_millis", lifetime, MAX_LIFETIME_MILLIS);
         let random = format!("{:016x}", rand::rng().random::<u64>());
         let id = body.id.clone().unwrap_or_else(|| format!("p-{random}"));
-        if !is_root_name(&id) {
+        if !is_root_program_name(&id) {
             let accepted = "1 to 128 letters, digits, '-', '_' or ':'";
-            found.push(Finding::of_field("id", format!("{id:?} is not a name"), accepted));
+            findings.push(Finding::of_field("id", format!("{id:?} is not a name"), accepted));
         }
         NewProgram {
             id: ProgramId::new(id),
@@ -100,7 +100,7 @@
             ProgramAnswer::Program(view) => {
                 Ok(Reply::ok(serde_json::to_value(view).unwrap_or_default()))
             }
-            _ => Err(ApiError::missing("program", id)),
+            _ => Err(ApiError::not_found("program", id)),
         }
     }
 
@@ -109,7 +109,7 @@
         let query = ProgramQuery::History { program: program.clone(), tenant };
         match self.program_query(&program, query)? {
             ProgramAnswer::History(messages) => Ok(Reply::ok(json!({ "messages": messages }))),
-            _ => Err(ApiError::missing("program", id)),
+            _ => Err(ApiError::not_found("program", id)),
         }
     }
 
@@ -118,7 +118,7 @@
         let command = ProgramCommand::End { program: program.clone(), tenant };
         match self.program_command(&program, command)? {
             ProgramOutput::Done => Ok(Reply::ok(json!({ "id": id, "state": "ended" }))),
-            ProgramOutput::Refused(error) => Err(ApiError::of_program(&error, id)),
+            ProgramOutput::Refused(error) => Err(ApiError::from_program_error(&error, id)),
             _ => Err(ApiError::store_unavailable()),
         }
     }
@@ -131,7 +131,7 @@
                 let body = json!({ "id": id, "state": "cancelled", "calls_cut": running.len() });
                 Ok(Reply::ok(body))
             }
-            ProgramOutput::Refused(error) => Err(ApiError::of_program(&error, id)),
+            ProgramOutput::Refused(error) => Err(ApiError::from_program_error(&error, id)),
             _ => Err(ApiError::store_unavailable()),
         }
     }
@@ -143,7 +143,7 @@
     ) -> Result<ProgramOutput, ApiError> {
         let group = self.groups.group_of(program);
         let request = StoreRequest::Command(group, Command::Program(command));
-        match self.ask(request)? {
+        match self.store_request(request)? {
             StoreReply::Output(Output::Program(output)) => Ok(output),
             _ => Err(ApiError::store_unavailable()),
         }
@@ -156,7 +156,7 @@
     ) -> Result<ProgramAnswer, ApiError> {
         let group = self.groups.group_of(program);
         let request = StoreRequest::Query(group, Query::Program(query));
-        match self.ask(request)? {
+        match self.store_request(request)? {
             StoreReply::Answer(Answer::Program(answer)) => Ok(answer),
             _ => Err(ApiError::store_unavailable()),
         }
@@ -164,22 +164,22 @@
 }
 
 fn read_path(exchange: &Exchange, id: &str) -> Result<(ProgramId, TenantId), ApiError> {
-    let mut found = Vec::new();
-    let tenant = tenant(exchange, &mut found);
-    match ProgramId::parse(id).filter(|_| found.is_empty()) {
+    let mut findings = Vec::new();
+    let tenant = parse_tenant(exchange, &mut findings);
+    match ProgramId::parse(id).filter(|_| findings.is_empty()) {
         Some(program) => Ok((program, tenant)),
-        None if found.is_empty() => Err(ApiError::missing("program", id)),
-        None => Err(ApiError::invalid(found)),
+        None if findings.is_empty() => Err(ApiError::not_found("program", id)),
+        None => Err(ApiError::invalid(findings)),
     }
 }
 
-fn is_root_name(id: &str) -> bool {
+fn is_root_program_name(id: &str) -> bool {
     ProgramId::parse(id).is_some() && !id.contains(CHILD_SEPARATOR)
 }
 
-fn check(found: &mut Vec<Finding>, field: &str, value: u64, largest: u64) {
+fn check_range(findings: &mut Vec<Finding>, field: &str, value: u64, largest: u64) {
     if value == 0 || value > largest {
         let problem = format!("{value} is out of range");
-        found.push(Finding::of_field(field, problem, format!("1 to {largest}")));
+        findings.push(Finding::of_field(field, problem, format!("1 to {largest}")));
     }
 }
--- a/crates/gateway/src/front/resources.rs
+++ b/crates/gateway/src/front/resources.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 
 use super::errors::ApiError;
-use super::{Front, Reply};
+use super::{ApiHandler, Reply};
 
 /// Header that identifies a change across resends.
 pub const HEADER_REQUEST: &str = "calicohoist-request";
@@ -22,12 +22,12 @@
 pub const HEADER_ACTOR: &str = "calicohoist-actor";
 const DEFAULT_PAGE: usize = 100;
 
-impl Front {
+impl ApiHandler {
     pub(super) fn get_resource(&self, kind: &str, name: &str) -> Result<Reply, ApiError> {
         let key = read_key(kind, name)?;
         match self.resource_query(ResourceQuery::Get(key))? {
             ResourceAnswer::Resource(Some(resource)) => Ok(Reply::ok(resource_json(&resource))),
-            _ => Err(ApiError::missing(kind, name)),
+            _ => Err(ApiError::not_found(kind, name)),
         }
     }
 
@@ -40,7 +40,7 @@
         let query = ResourceQuery::List {
             kind,
             after: exchange.query("after").map(str::to_owned),
-            limit: number(exchange, "limit")?.unwrap_or(DEFAULT_PAGE),
+            limit: parse_number(exchange, "limit")?.unwrap_or(DEFAULT_PAGE),
         };
         match self.resource_query(query)? {
             ResourceAnswer::Page { resources, has_more, revision } => {
@@ -56,10 +56,10 @@
     /// Lists the changes after a revision. If they are no longer kept, returns the full
     /// state with `whole` set instead.
     pub(super) fn list_changes(&self, exchange: &Exchange) -> Result<Reply, ApiError> {
-        let after = number(exchange, "after")?.unwrap_or(0) as u64;
+        let after = parse_number(exchange, "after")?.unwrap_or(0) as u64;
         let query = ResourceQuery::Changes {
             after: Revision(after),
-            limit: number(exchange, "limit")?.unwrap_or(DEFAULT_PAGE),
+            limit: parse_number(exchange, "limit")?.unwrap_or(DEFAULT_PAGE),
         };
         let ResourceAnswer::Changes(update) = self.resource_query(query)? else {
             return Err(ApiError::store_unavailable());
@@ -100,10 +100,10 @@
         let mut command = read_command(exchange, key)?;
         let body: Value = exchange.read_json()?;
         let spec = read_spec(command.key.kind, body)?;
-        let found = spec.validate();
-        if !found.is_empty() {
-            emit!(Event::ChangeRefused, "{}: {} findings", command.key, found.len());
-            return Err(ApiError::invalid(found));
+        let findings = spec.validate();
+        if !findings.is_empty() {
+            emit!(Event::ChangeRefused, "{}: {} findings", command.key, findings.len());
+            return Err(ApiError::invalid(findings));
         }
         if exchange.query("dry_run") == Some("true") {
             return Ok(Reply::ok(json!({ "kind": kind, "name": name, "dry_run": true })));
@@ -126,7 +126,7 @@
     fn change(&self, command: ResourceCommand) -> Result<Reply, ApiError> {
         let key = command.key.clone();
         let request = StoreRequest::Command(RESOURCE_GROUP, Command::Resource(command));
-        let StoreReply::Output(Output::Resource(output)) = self.ask(request)? else {
+        let StoreReply::Output(Output::Resource(output)) = self.store_request(request)? else {
             return Err(ApiError::store_unavailable());
         };
         match output {
@@ -143,12 +143,12 @@
                 let current = current.as_ref().map(resource_json);
                 Err(ApiError::version_conflict(current.unwrap_or(Value::Null)))
             }
-            ResourceOutput::Missing => Err(ApiError::missing(key.kind.as_str(), &key.name)),
+            ResourceOutput::Missing => Err(ApiError::not_found(key.kind.as_str(), &key.name)),
         }
     }
 
     pub(super) fn fleet_status(&self) -> Result<Reply, ApiError> {
-        let StoreReply::FleetStatus(status) = self.ask(StoreRequest::FleetStatus)? else {
+        let StoreReply::FleetStatus(status) = self.store_request(StoreRequest::FleetStatus)? else {
             return Err(ApiError::store_unavailable());
         };
         let nodes: Vec<Value> = status
@@ -165,7 +165,7 @@
     }
 
     pub(super) fn group_status(&self) -> Result<Reply, ApiError> {
-        let StoreReply::GroupStatus(groups) = self.ask(StoreRequest::GroupStatus)? else {
+        let StoreReply::GroupStatus(groups) = self.store_request(StoreRequest::GroupStatus)? else {
             return Err(ApiError::store_unavailable());
         };
         Ok(Reply::ok(json!({ "groups": groups })))
@@ -173,7 +173,7 @@
 
     fn resource_query(&self, query: ResourceQuery) -> Result<ResourceAnswer, ApiError> {
         let request = StoreRequest::Query(RESOURCE_GROUP, Query::Resource(query));
-        match self.ask(request)? {
+        match self.store_request(request)? {
             StoreReply::Answer(Answer::Resource(answer)) => Ok(answer),
             _ => Err(ApiError::store_unavailable()),
         }
@@ -201,21 +201,21 @@
 /// Returns a finding for a field that is missing, unknown or of the wrong type.
 pub fn read_spec(kind: ResourceKind, body: Value) -> Result<ResourceSpec, ApiError> {
     match kind {
-        ResourceKind::Model => typed(body).map(ResourceSpec::Model),
-        ResourceKind::Engine => typed(body).map(ResourceSpec::Engine),
-        ResourceKind::Service => typed(body).map(ResourceSpec::Service),
-        ResourceKind::Tenant => typed(body).map(ResourceSpec::Tenant),
+        ResourceKind::Model => parse_spec(body).map(ResourceSpec::Model),
+        ResourceKind::Engine => parse_spec(body).map(ResourceSpec::Engine),
+        ResourceKind::Service => parse_spec(body).map(ResourceSpec::Service),
+        ResourceKind::Tenant => parse_spec(body).map(ResourceSpec::Tenant),
     }
 }
 
-fn typed<T: DeserializeOwned>(body: Value) -> Result<T, ApiError> {
+fn parse_spec<T: DeserializeOwned>(body: Value) -> Result<T, ApiError> {
     serde_json::from_value(body).map_err(|error| {
         ApiError::invalid_field("spec", error.to_string(), "the fields in docs/API.md")
     })
 }
 
 fn read_kind(kind: &str) -> Result<ResourceKind, ApiError> {
-    ResourceKind::parse(kind).ok_or_else(|| ApiError::missing("kind", kind))
+    ResourceKind::parse(kind).ok_or_else(|| ApiError::not_found("kind", kind))
 }
 
 fn read_key(kind: &str, name: &str) -> Result<ResourceKey, ApiError> {
@@ -228,25 +228,25 @@
 }
 
 fn read_command(exchange: &Exchange, key: ResourceKey) -> Result<ResourceCommand, ApiError> {
-    let mut found = Vec::new();
-    let expected = number(exchange, "version")?.map(|version| Revision(version as u64));
+    let mut findings = Vec::new();
+    let expected = parse_number(exchange, "version")?.map(|version| Revision(version as u64));
     let random = || format!("auto-{:016x}", rand::rng().random::<u64>());
     let request = exchange.header(HEADER_REQUEST).map_or_else(random, str::to_owned);
     if !is_valid_name(&request) {
-        found.push(Finding::of_field(
+        findings.push(Finding::of_field(
             HEADER_REQUEST,
             "is not a name",
             "1 to 128 letters or digits",
         ));
     }
     let actor = exchange.header(HEADER_ACTOR).unwrap_or("operator").to_owned();
-    if !found.is_empty() {
-        return Err(ApiError::invalid(found));
+    if !findings.is_empty() {
+        return Err(ApiError::invalid(findings));
     }
     Ok(ResourceCommand { key, spec: None, expected, request: RequestId::new(request), actor })
 }
 
-fn number(exchange: &Exchange, name: &str) -> Result<Option<usize>, ApiError> {
+fn parse_number(exchange: &Exchange, name: &str) -> Result<Option<usize>, ApiError> {
     let Some(text) = exchange.query(name) else {
         return Ok(None);
     };
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -5,7 +5,7 @@
 use calicohoist_types::{Finding, Outcome, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use super::Front;
+use super::ApiHandler;
 use super::chat::call_headers;
 use super::errors::ApiError;
 use super::headers::CallHeaders;
@@ -28,19 +28,19 @@
     pub replica: String,
 }
 
-impl Front {
+impl ApiHandler {
     pub(super) fn call_service(&self, mut exchange: Exchange, service: &str) {
         let request = match read_request(&mut exchange, service) {
             Ok(request) => request,
             Err(error) => return error.reply(exchange),
         };
-        let ring = self.open();
-        if let Err(error) = self.send(Input::Call(ring.ticket(), Box::new(request))) {
+        let channel = self.open_channel();
+        if let Err(error) = self.send(Input::Call(channel.ticket(), Box::new(request))) {
             return error.reply(exchange);
         }
         let mut output = String::new();
         loop {
-            match self.next_event(&ring) {
+            match self.next_event(&channel) {
                 Some(CallerEvent::Text(text)) => output.push_str(&text),
                 Some(CallerEvent::Finished(finish)) => {
                     let mut headers = call_headers(&finish.attempt);
@@ -59,15 +59,15 @@
 }
 
 fn read_request(exchange: &mut Exchange, service: &str) -> Result<CallRequest, ApiError> {
-    let mut found = Vec::new();
-    let headers = CallHeaders::read(exchange, &mut found);
+    let mut findings = Vec::new();
+    let headers = CallHeaders::read(exchange, &mut findings);
     let body: ServiceRequest = exchange.read_json()?;
     let parsed = ServiceId::parse(service);
     if parsed.is_none() {
-        found.push(Finding::of_field("service", "is not a name", "a declared service"));
+        findings.push(Finding::of_field("service", "is not a name", "a declared service"));
     }
-    let Some(service) = parsed.filter(|_| found.is_empty()) else {
-        return Err(ApiError::invalid(found));
+    let Some(service) = parsed.filter(|_| findings.is_empty()) else {
+        return Err(ApiError::invalid(findings));
     };
     Ok(CallRequest {
         tenant: headers.tenant,
