--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -4,13 +4,13 @@
 //!
 //! - [`view`]: the gateway's copy of the fleet state, and its lease;
 //! - [`owner`]: the queues of the engines that the gateway owns;
-//! - [`memory`]: release of the cache memory of ended programs;
+//! - [`cache_release`]: release of the cache memory of ended programs;
 //! - [`call`]: the state of one active call;
 //! - `flow`: the steps of a call, from admission to the response.
 
+pub mod cache_release;
 pub mod call;
 mod flow;
-pub mod memory;
 pub mod message;
 mod metrics;
 pub mod owner;
@@ -34,8 +34,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use cache_release::CacheReleaseState;
 use call::Call;
-use memory::CacheReleaseState;
 pub use message::{Action, CallerEvent, Input, PeerMessage, Ticket};
 use owner::EngineOwner;
 use view::FleetView;
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -25,7 +25,7 @@
 use crate::core::message::{Action, BackendEvent, BackendFailure, Input, PeerMessage};
 use crate::core::{Gateway, GatewaySettings};
 use crate::front::ApiHandler;
-use crate::front::callers::CallerChannels;
+use crate::front::caller_channels::CallerChannels;
 use crate::view::SharedView;
 
 /// Capacity of the core's input channel.
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -9,7 +9,7 @@
 };
 use calicohoist_types::{AttemptId, CallId, ChatMessage, ModelId, Outcome, ProgramId, Role};
 
-use super::callers::CallerChannel;
+use super::caller_channels::CallerChannel;
 use super::errors::ApiError;
 use super::headers::{CallHeaders, parse_tenant};
 use super::{ApiHandler, Reply};
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -6,9 +6,9 @@
 //! - [`resources`]: the resource API for operators;
 //! - [`headers`]: request headers that extend the OpenAI API;
 //! - [`errors`]: error responses;
-//! - [`callers`]: channels from the core to the HTTP workers.
+//! - [`caller_channels`]: channels from the core to the HTTP workers.
 
-pub mod callers;
+pub mod caller_channels;
 pub mod chat;
 pub mod errors;
 pub mod headers;
@@ -28,7 +28,7 @@
 use crate::core::message::{CallerEvent, Input, Ticket};
 use crate::driver::CoreInput;
 use crate::view::SharedView;
-use callers::{CallerChannel, CallerChannels};
+use caller_channels::{CallerChannel, CallerChannels};
 use errors::ApiError;
 
 /// Maximum wait for an event of the core. The core's own timeouts are shorter.
