--- a/crates/gateway/src/backend/engine.rs
+++ b/crates/gateway/src/backend/engine.rs
@@ -12,17 +12,17 @@
 use calicohoist_types::{AttemptId, ProgramId};
 
 use super::{CONNECT_TIMEOUT, CONTROL_TIMEOUT};
-use crate::core::message::{BackendEvent, BackendFailure, EngineOrder, EngineReport};
+use crate::core::message::{BackendEvent, BackendFailure, EngineReport, EngineTask};
 
 /// Runs a task on an engine; the last event passed to `report` ends the attempt.
-pub fn run(order: &EngineOrder, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
-    let opened = match &order.resume {
-        Some(earlier) => resume(order, earlier, read_timeout),
-        None => start(order, read_timeout),
+pub fn run(task: &EngineTask, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
+    let opened = match &task.resume {
+        Some(earlier) => resume(task, earlier, read_timeout),
+        None => start(task, read_timeout),
     };
-    let expected = order.resume.as_ref().unwrap_or(&order.attempt).to_string();
+    let expected = task.resume.as_ref().unwrap_or(&task.attempt).to_string();
     match opened {
-        Ok(events) => relay_events(order, &expected, events, &mut report),
+        Ok(events) => relay_events(task, &expected, events, &mut report),
         Err(failure) => report(BackendEvent::Failed(failure)),
     }
 }
@@ -33,23 +33,23 @@
     HttpClient::new(address, CONNECT_TIMEOUT, read_timeout)
 }
 
-fn start(order: &EngineOrder, read_timeout: Duration) -> Result<Events, BackendFailure> {
-    let mut request = ChatRequest::streamed(order.model.as_str(), &order.prompt);
-    request.max_tokens = Some(order.max_tokens);
-    request.continuation = order.continuation.clone();
-    let client = client(order.address, read_timeout)
-        .with_header(HEADER_ENGINE_ATTEMPT, order.attempt.to_string())
-        .with_header(HEADER_ENGINE_PROGRAM, order.attempt.call.program.as_str())
-        .with_header(HEADER_ENGINE_PRIORITY, order.priority.to_string());
+fn start(task: &EngineTask, read_timeout: Duration) -> Result<Events, BackendFailure> {
+    let mut request = ChatRequest::streamed(task.model.as_str(), &task.prompt);
+    request.max_tokens = Some(task.max_tokens);
+    request.continuation = task.continuation.clone();
+    let client = client(task.address, read_timeout)
+        .with_header(HEADER_ENGINE_ATTEMPT, task.attempt.to_string())
+        .with_header(HEADER_ENGINE_PROGRAM, task.attempt.call.program.as_str())
+        .with_header(HEADER_ENGINE_PRIORITY, task.priority.to_string());
     client.post_events("/v1/chat/completions", &request).map_err(|error| classify_error(&error))
 }
 
 fn resume(
-    order: &EngineOrder,
+    task: &EngineTask,
     earlier: &AttemptId,
     read_timeout: Duration,
 ) -> Result<Events, BackendFailure> {
-    let opened = client(order.address, read_timeout).get_events(&format!("/v1/attempts/{earlier}"));
+    let opened = client(task.address, read_timeout).get_events(&format!("/v1/attempts/{earlier}"));
     opened.map_err(|_| BackendFailure::NothingToResume)
 }
 
@@ -62,12 +62,12 @@
 }
 
 fn relay_events(
-    order: &EngineOrder,
+    task: &EngineTask,
     expected: &str,
     mut events: Events,
     report: &mut impl FnMut(BackendEvent),
 ) {
-    let mut offset = if order.resume.is_some() { 0 } else { order.continuation.len() };
+    let mut offset = if task.resume.is_some() { 0 } else { task.continuation.len() };
     loop {
         let chunk = match next_chunk(&mut events) {
             Some(chunk) => chunk,
--- a/crates/gateway/src/backend/service.rs
+++ b/crates/gateway/src/backend/service.rs
@@ -7,16 +7,16 @@
 use calicohoist_types::{Usage, openai};
 
 use super::CONNECT_TIMEOUT;
-use crate::core::message::{BackendEvent, BackendFailure, ServiceOrder};
+use crate::core::message::{BackendEvent, BackendFailure, ServiceTask};
 
 /// Finish reason of service answers.
 const FINISH_REASON: &str = "stop";
 
 /// Runs a task on a replica and reports its answer or failure.
-pub fn run(order: &ServiceOrder, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
-    let client = HttpClient::new(order.address, CONNECT_TIMEOUT, read_timeout)
-        .with_header(openai::HEADER_KEY, order.key.as_str());
-    let result = if order.only_look_up { look_up(&client, order) } else { execute(&client, order) };
+pub fn run(task: &ServiceTask, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
+    let client = HttpClient::new(task.address, CONNECT_TIMEOUT, read_timeout)
+        .with_header(openai::HEADER_KEY, task.key.as_str());
+    let result = if task.lookup_only { look_up(&client, task) } else { execute(&client, task) };
     match result {
         Ok(result) => {
             report(BackendEvent::Text { offset: 0, text: result.output });
@@ -29,11 +29,11 @@
     }
 }
 
-fn execute(client: &HttpClient, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
+fn execute(client: &HttpClient, task: &ServiceTask) -> Result<JobResult, BackendFailure> {
     let job = JobRequest {
-        key: order.key.as_str().to_owned(),
-        service: order.service.as_str().to_owned(),
-        input: order.input.clone(),
+        key: task.key.as_str().to_owned(),
+        service: task.service.as_str().to_owned(),
+        input: task.input.clone(),
     };
     let result = client.post::<_, JobResult>("/v1/jobs", &job).map_err(|error| match error {
         ClientError::NotConnected(_) => BackendFailure::NotStarted,
@@ -41,17 +41,17 @@
         ClientError::Status { status: 503, .. } => BackendFailure::NotStarted,
         _ => BackendFailure::Broken,
     })?;
-    verify_key(result, order)
+    verify_key(result, task)
 }
 
-fn look_up(client: &HttpClient, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
-    let key = order.key.as_str().replace('/', ":");
+fn look_up(client: &HttpClient, task: &ServiceTask) -> Result<JobResult, BackendFailure> {
+    let key = task.key.as_str().replace('/', ":");
     let result = client.get::<JobResult>(&format!("/v1/jobs/{key}"));
     let result = result.map_err(|_| BackendFailure::NotSeen)?;
-    verify_key(result, order)
+    verify_key(result, task)
 }
 
 /// Rejects a result with another key, which belongs to another request.
-fn verify_key(result: JobResult, order: &ServiceOrder) -> Result<JobResult, BackendFailure> {
-    if result.key == order.key.as_str() { Ok(result) } else { Err(BackendFailure::Broken) }
+fn verify_key(result: JobResult, task: &ServiceTask) -> Result<JobResult, BackendFailure> {
+    if result.key == task.key.as_str() { Ok(result) } else { Err(BackendFailure::Broken) }
 }
--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::core::call::{Call, Phase, Target};
-use crate::core::message::{Action, EngineOrder, PeerMessage, ServiceOrder};
+use crate::core::message::{Action, EngineTask, PeerMessage, ServiceTask};
 use crate::core::metrics::ATTEMPTS_SENT;
 use crate::core::{Gateway, PendingRequest};
 
@@ -275,10 +275,10 @@
         ATTEMPTS_SENT.count(kind);
         call.phase = Phase::Running { last_progress: now };
         call.continuation_len = call.text.len();
-        if let Some(order) = engine_order(call) {
-            self.actions.push(Action::RunOnEngine(Box::new(order)));
-        } else if let Some(order) = service_order(call, false) {
-            self.actions.push(Action::RunOnService(Box::new(order)));
+        if let Some(task) = engine_task(call) {
+            self.actions.push(Action::RunOnEngine(Box::new(task)));
+        } else if let Some(task) = service_task(call, false) {
+            self.actions.push(Action::RunOnService(Box::new(task)));
         }
     }
 }
@@ -308,13 +308,13 @@
 }
 
 /// Builds the task for the engine to which the call is dispatched.
-pub(super) fn engine_order(call: &Call) -> Option<EngineOrder> {
+pub(super) fn engine_task(call: &Call) -> Option<EngineTask> {
     let (target, admission) = (call.target.as_ref()?, call.admission.as_ref()?);
     let (Backend::Engine(engine), CallTarget::Model(model)) = (&target.backend, &admission.target)
     else {
         return None;
     };
-    Some(EngineOrder {
+    Some(EngineTask {
         attempt: call.attempt.clone()?,
         engine: engine.clone(),
         address: target.address,
@@ -328,18 +328,18 @@
 }
 
 /// Builds the task for the replica to which the call is dispatched.
-pub(super) fn service_order(call: &Call, only_look_up: bool) -> Option<ServiceOrder> {
+pub(super) fn service_task(call: &Call, lookup_only: bool) -> Option<ServiceTask> {
     let (target, admission) = (call.target.as_ref()?, call.admission.as_ref()?);
     let CallTarget::Service(service) = &admission.target else {
         return None;
     };
     let attempt = call.attempt.clone()?;
-    Some(ServiceOrder {
+    Some(ServiceTask {
         address: target.address,
         service: service.clone(),
         key: service_key(call, &attempt),
         input: admission.prompt.last().map(|message| message.content.clone())?,
-        only_look_up,
+        lookup_only,
         attempt,
     })
 }
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -8,7 +8,7 @@
 use calicohoist_types::{AttemptId, Moment};
 use rand::RngExt;
 
-use super::route::{engine_order, service_order};
+use super::route::{engine_task, service_task};
 use crate::core::call::{Phase, Target};
 use crate::core::message::{Action, BackendEvent, BackendFailure, FailureCause};
 use crate::core::metrics::ATTEMPTS_FAILED;
@@ -168,15 +168,15 @@
             (false, true) => {
                 call.target = Some(target);
                 call.phase = Phase::Running { last_progress: now };
-                if let Some(order) = engine_order(call) {
-                    self.actions.push(Action::RunOnEngine(Box::new(order)));
+                if let Some(task) = engine_task(call) {
+                    self.actions.push(Action::RunOnEngine(Box::new(task)));
                 }
             }
             (false, false) => {
                 call.target = Some(target);
                 call.phase = Phase::LookingUp { sent_at: now };
-                if let Some(order) = service_order(call, true) {
-                    self.actions.push(Action::RunOnService(Box::new(order)));
+                if let Some(task) = service_task(call, true) {
+                    self.actions.push(Action::RunOnService(Box::new(task)));
                 }
             }
         }
--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -215,7 +215,7 @@
 
 /// An attempt to run on an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineOrder {
+pub struct EngineTask {
     /// The attempt.
     pub attempt: AttemptId,
     /// The engine.
@@ -238,7 +238,7 @@
 
 /// An attempt to run on, or look up at, a replica of a service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServiceOrder {
+pub struct ServiceTask {
     /// The attempt.
     pub attempt: AttemptId,
     /// The replica's address.
@@ -250,7 +250,7 @@
     /// Input of the service.
     pub input: String,
     /// Looks up the result of an earlier request without executing anything.
-    pub only_look_up: bool,
+    pub lookup_only: bool,
 }
 
 /// Status that an engine reports.
@@ -349,7 +349,7 @@
     /// Send an event to a caller.
     ToCaller(Ticket, CallerEvent),
     /// Run an attempt on an engine.
-    RunOnEngine(Box<EngineOrder>),
+    RunOnEngine(Box<EngineTask>),
     /// Cancel an attempt on an engine.
     CancelOnEngine {
         /// The attempt.
@@ -358,7 +358,7 @@
         address: SocketAddr,
     },
     /// Run an attempt on a replica, or look one up.
-    RunOnService(Box<ServiceOrder>),
+    RunOnService(Box<ServiceTask>),
     /// Release a program's cache memory on an engine.
     ReleaseCache {
         /// The engine.
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -334,16 +334,16 @@
             Action::ToCaller(ticket, event) => {
                 self.caller_channels.deliver(ticket, event);
             }
-            Action::RunOnEngine(order) => {
-                let attempt = order.attempt.clone();
+            Action::RunOnEngine(task) => {
+                let attempt = task.attempt.clone();
                 self.run_attempt(attempt, move |report| {
-                    engine::run(&order, stall_timeout, report);
+                    engine::run(&task, stall_timeout, report);
                 });
             }
-            Action::RunOnService(order) => {
-                let attempt = order.attempt.clone();
+            Action::RunOnService(task) => {
+                let attempt = task.attempt.clone();
                 self.run_attempt(attempt, move |report| {
-                    service::run(&order, stall_timeout, report);
+                    service::run(&task, stall_timeout, report);
                 });
             }
             Action::CancelOnEngine { attempt, address } => {
--- a/crates/lab/src/sim/backends.rs
+++ b/crates/lab/src/sim/backends.rs
@@ -9,7 +9,7 @@
     EngineModel, EngineOutput, EngineRecord, ServiceModel, ServiceRecord, Submission,
 };
 use calicohoist_gateway::core::message::{
-    BackendEvent, BackendFailure, EngineOrder, EngineReport, ServiceOrder,
+    BackendEvent, BackendFailure, EngineReport, EngineTask, ServiceTask,
 };
 use calicohoist_types::backend_api::JobRequest;
 use calicohoist_types::{AttemptId, EngineId, ModelId, ProgramId, Usage};
@@ -197,7 +197,7 @@
         }
     }
 
-    fn run_on_engine(&mut self, index: usize, gateway: usize, start: Start, order: &EngineOrder) {
+    fn run_on_engine(&mut self, index: usize, gateway: usize, start: Start, order: &EngineTask) {
         let now = self.now;
         let part = &mut self.engines[index];
         let subscriber =
@@ -386,7 +386,7 @@
             let failure = BackendEvent::Failed(BackendFailure::NotStarted);
             return self.tell_from_replica(index, gateway, start, &order, vec![failure]);
         }
-        if order.only_look_up {
+        if order.lookup_only {
             let found = part.model.look_up(order.key.as_str());
             let events = match found {
                 Some(result) => answered(result.output),
@@ -426,7 +426,7 @@
         index: usize,
         gateway: usize,
         start: Start,
-        order: &ServiceOrder,
+        order: &ServiceTask,
         events: Vec<BackendEvent>,
     ) {
         for event in events {
--- a/crates/lab/src/sim/frame.rs
+++ b/crates/lab/src/sim/frame.rs
@@ -1,7 +1,7 @@
 //! Everything that travels in the simulation, and who can send it.
 
 use calicohoist_gateway::core::message::{
-    BackendEvent, CallRequest, CallerEvent, EngineOrder, EngineReport, PeerMessage, ServiceOrder,
+    BackendEvent, CallRequest, CallerEvent, EngineReport, EngineTask, PeerMessage, ServiceTask,
     Ticket,
 };
 use calicohoist_replication::{GroupMessage, ReplicaId};
@@ -106,7 +106,7 @@
         /// Its start.
         start: Start,
         /// The order.
-        order: Box<EngineOrder>,
+        order: Box<EngineTask>,
     },
     /// From a gateway to an engine.
     EngineCancel(AttemptId),
@@ -140,7 +140,7 @@
         /// Its start.
         start: Start,
         /// The order.
-        order: Box<ServiceOrder>,
+        order: Box<ServiceTask>,
     },
     /// From a back end to a gateway.
     Backend {
