--- a/crates/gateway/src/core/cache_release.rs
+++ b/crates/gateway/src/core/cache_release.rs
@@ -1,7 +1,7 @@
 //! Release of the cache memory that ended programs hold on engines.
 //!
 //! The record of a program lists every engine that may cache its history. When
-//! the program ends, the store creates release orders, which the owner of each
+//! the program ends, the store creates release requests, which the owner of each
 //! engine executes and confirms. A periodic sweep compares the engine's cache
 //! listing with the records to find cached programs that have no record.
 
@@ -18,22 +18,22 @@
 use super::message::Action;
 use super::{Gateway, PendingRequest, program_answer};
 
-/// Time between queries for new release orders.
+/// Time between queries for new release requests.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
-/// Delay before a release order is sent again.
+/// Delay before a release request is sent again.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Maximum number of release orders per engine and query.
+/// Maximum number of release requests per engine and query.
 const FETCH_LIMIT: usize = 64;
 
-/// State of polling, sweeps and pending release orders.
+/// State of polling, sweeps and pending release requests.
 #[derive(Debug, Default)]
 pub(crate) struct CacheReleaseState {
     next_poll: Moment,
     next_sweep: Moment,
-    /// Orders that were sent, with the earliest time to send them again.
-    sent_orders: BTreeMap<(EngineId, ProgramId), Moment>,
+    /// Releases that were sent, with the earliest time to send them again.
+    sent_releases: BTreeMap<(EngineId, ProgramId), Moment>,
 }
 
 impl Gateway {
@@ -44,7 +44,7 @@
         }
         if now >= self.cache_release.next_poll {
             self.cache_release.next_poll = now + POLL_INTERVAL;
-            self.cache_release.sent_orders.retain(|_, retry_at| *retry_at > now);
+            self.cache_release.sent_releases.retain(|_, retry_at| *retry_at > now);
             self.query_releases(now, &engines);
         }
         if now >= self.cache_release.next_sweep {
@@ -66,8 +66,8 @@
     }
 
     pub(super) fn on_releases(&mut self, now: Moment, reply: Option<StoreReply>) {
-        if let Some(ProgramAnswer::Releases(orders)) = program_answer(reply) {
-            for (engine, program) in orders {
+        if let Some(ProgramAnswer::Releases(releases)) = program_answer(reply) {
+            for (engine, program) in releases {
                 self.release(now, engine, program);
             }
         }
@@ -77,11 +77,11 @@
         let Some(address) = self.view.engine(&engine).map(|spec| spec.address) else {
             return;
         };
-        let order = (engine.clone(), program.clone());
-        if self.cache_release.sent_orders.contains_key(&order) {
+        let release = (engine.clone(), program.clone());
+        if self.cache_release.sent_releases.contains_key(&release) {
             return;
         }
-        self.cache_release.sent_orders.insert(order, now + RETRY_DELAY);
+        self.cache_release.sent_releases.insert(release, now + RETRY_DELAY);
         self.actions.push(Action::ReleaseCache { engine, address, program });
     }
 
