--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -15,7 +15,9 @@
 use rand::RngExt;
 
 use crate::core::call::{Call, Listener, Phase, WaitReason};
-use crate::core::message::{Action, CallRequest, CallerEvent, Failure, FailureCause, Ticket, Work};
+use crate::core::message::{
+    Action, CallPayload, CallRequest, CallerEvent, Failure, FailureCause, Ticket,
+};
 use crate::core::{Gateway, PendingRequest, program_answer};
 
 /// Time between admission requests while a call waits.
@@ -51,11 +53,11 @@
         } else if self.view.applied().0 == 0 && !self.view.has_lease(now) {
             FailureCause::NotRun(NotRunReason::NoBackend)
         } else {
-            match &request.work {
-                Work::Model { model, .. } if self.view.model(model).is_none() => {
+            match &request.payload {
+                CallPayload::Model { model, .. } if self.view.model(model).is_none() => {
                     FailureCause::UnknownModel(model.clone())
                 }
-                Work::Service { service, .. } if !self.view.has_service(service) => {
+                CallPayload::Service { service, .. } if !self.view.has_service(service) => {
                     FailureCause::UnknownService(service.clone())
                 }
                 _ => return None,
@@ -105,11 +107,11 @@
             tenant: request.tenant.clone(),
             sequence: request.sequence,
             key: self.calls[&id].key.clone(),
-            target: target_of(&request.work),
+            target: target_of(&request.payload),
             repeatable: request.repeatable,
-            messages: messages_of(&request.work),
-            max_tokens: self.max_tokens(&request.work),
-            max_prompt_tokens: self.max_prompt_tokens(&request.work),
+            messages: messages_of(&request.payload),
+            max_tokens: self.max_tokens(&request.payload),
+            max_prompt_tokens: self.max_prompt_tokens(&request.payload),
             by: self.settings.node.clone(),
         };
         let command = ProgramCommand::Begin(Box::new(begin));
@@ -130,22 +132,22 @@
         })
     }
 
-    fn max_tokens(&self, work: &Work) -> u64 {
-        match work {
-            Work::Model { model, max_tokens, .. } => {
+    fn max_tokens(&self, payload: &CallPayload) -> u64 {
+        match payload {
+            CallPayload::Model { model, max_tokens, .. } => {
                 let limit = self.view.model(model).map_or(0, |spec| spec.max_output_tokens);
                 max_tokens.unwrap_or(limit).min(limit)
             }
-            Work::Service { .. } => SERVICE_MAX_TOKENS,
+            CallPayload::Service { .. } => SERVICE_MAX_TOKENS,
         }
     }
 
-    fn max_prompt_tokens(&self, work: &Work) -> u64 {
-        match work {
-            Work::Model { model, .. } => {
+    fn max_prompt_tokens(&self, payload: &CallPayload) -> u64 {
+        match payload {
+            CallPayload::Model { model, .. } => {
                 self.view.model(model).map_or(0, |spec| spec.max_prompt_tokens)
             }
-            Work::Service { .. } => u64::MAX,
+            CallPayload::Service { .. } => u64::MAX,
         }
     }
 
@@ -334,16 +336,16 @@
     ProgramId::new(format!("call-{:016x}", digest.prefix()))
 }
 
-fn target_of(work: &Work) -> CallTarget {
-    match work {
-        Work::Model { model, .. } => CallTarget::Model(model.clone()),
-        Work::Service { service, .. } => CallTarget::Service(service.clone()),
+fn target_of(payload: &CallPayload) -> CallTarget {
+    match payload {
+        CallPayload::Model { model, .. } => CallTarget::Model(model.clone()),
+        CallPayload::Service { service, .. } => CallTarget::Service(service.clone()),
     }
 }
 
-fn messages_of(work: &Work) -> Vec<ChatMessage> {
-    match work {
-        Work::Model { messages, .. } => messages.clone(),
-        Work::Service { input, .. } => vec![ChatMessage::new(Role::User, input)],
+fn messages_of(payload: &CallPayload) -> Vec<ChatMessage> {
+    match payload {
+        CallPayload::Model { messages, .. } => messages.clone(),
+        CallPayload::Service { input, .. } => vec![ChatMessage::new(Role::User, input)],
     }
 }
--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -14,7 +14,7 @@
 
 /// Payload of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Work {
+pub enum CallPayload {
     /// A chat completion by a model.
     Model {
         /// The model.
@@ -47,7 +47,7 @@
     /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Payload of the call.
-    pub work: Work,
+    pub payload: CallPayload,
 }
 
 /// Progress of a call, as sent to its caller.
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -13,7 +13,7 @@
 use super::errors::ApiError;
 use super::headers::{CallHeaders, parse_tenant};
 use super::{ApiHandler, Reply};
-use crate::core::message::{CallRequest, CallerEvent, Finish, Input, Work};
+use crate::core::message::{CallPayload, CallRequest, CallerEvent, Finish, Input};
 
 /// Format of the response to a call.
 struct ResponseFormat {
@@ -201,7 +201,7 @@
         sequence: headers.sequence,
         key: headers.key,
         repeatable: headers.repeatable.unwrap_or(true),
-        work: Work::Model { model, messages, max_tokens: body.token_limit() },
+        payload: CallPayload::Model { model, messages, max_tokens: body.token_limit() },
     };
     Ok((request, format))
 }
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -9,7 +9,7 @@
 use super::chat::call_headers;
 use super::errors::ApiError;
 use super::headers::CallHeaders;
-use crate::core::message::{CallRequest, CallerEvent, Input, Work};
+use crate::core::message::{CallPayload, CallRequest, CallerEvent, Input};
 
 /// Body of a service call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,6 +76,6 @@
         key: headers.key,
         // Service calls may have side effects, so they are not repeated by default.
         repeatable: headers.repeatable.unwrap_or(false),
-        work: Work::Service { service, input: body.input },
+        payload: CallPayload::Service { service, input: body.input },
     })
 }
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use calicohoist_gateway::core::message::{CallRequest, CallerEvent, Finish, Ticket, Work};
+use calicohoist_gateway::core::message::{CallPayload, CallRequest, CallerEvent, Finish, Ticket};
 use calicohoist_gateway::front::errors::ApiError;
 use calicohoist_store::commands::program::{
     NewProgram, ProgramCommand, ProgramError, ProgramOutput,
@@ -537,14 +537,14 @@
         let gateway = open.gateway % self.gateways.len();
         open.gateway = gateway;
         let program = &self.clients.programs[open.program];
-        let work = match &open.asked {
-            Asked::Model { model, messages } => Work::Model {
+        let payload = match &open.asked {
+            Asked::Model { model, messages } => CallPayload::Model {
                 model: ModelId::new(model),
                 messages: messages.clone(),
                 max_tokens: None,
             },
             Asked::Service { service, input } => {
-                Work::Service { service: ServiceId::new(service), input: input.clone() }
+                CallPayload::Service { service: ServiceId::new(service), input: input.clone() }
             }
         };
         let request = CallRequest {
@@ -553,7 +553,7 @@
             sequence: Some(open.sequence),
             key: Some(IdempotencyKey::new(&open.key)),
             repeatable: open.repeatable,
-            work,
+            payload,
         };
         let ticket = self.clients.ticket(gateway, Open::Try(Box::new(open)));
         self.send_client(gateway, ticket, ClientRequest::Call(Box::new(request)));
--- a/crates/lab/src/sim/operator.rs
+++ b/crates/lab/src/sim/operator.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use calicohoist_gateway::core::message::{CallRequest, CallerEvent, Work};
+use calicohoist_gateway::core::message::{CallPayload, CallRequest, CallerEvent};
 use calicohoist_store::commands::resource::{ResourceCommand, ResourceOutput};
 use calicohoist_store::state::RESOURCE_GROUP;
 use calicohoist_store::{Command, Output, StoreReply, StoreRequest};
@@ -305,7 +305,7 @@
             sequence: None,
             key: None,
             repeatable: true,
-            work: Work::Model {
+            payload: CallPayload::Model {
                 model: ModelId::new(PROBE_MODEL),
                 messages: vec![message],
                 max_tokens: None,
