--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -61,8 +61,8 @@
     Finished(Finish),
     /// The call failed.
     Failed(Failure),
-    /// The store's reply to [`Input::Ask`]; `None` after a timeout.
-    Store(Option<Box<StoreReply>>),
+    /// The store's reply to [`Input::StoreRequest`]; `None` after a timeout.
+    StoreReply(Option<Box<StoreReply>>),
 }
 
 /// Final data of a complete answer.
@@ -277,9 +277,9 @@
         offset: usize,
     },
     /// A caller's request to the store.
-    Ask(Ticket, Box<StoreRequest>),
+    StoreRequest(Ticket, Box<StoreRequest>),
     /// The caller disconnected.
-    CallerGone(Ticket),
+    CallerDisconnected(Ticket),
     /// A reply of a store machine.
     StoreReply {
         /// ID of the request.
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -186,10 +186,10 @@
             Input::Attach { ticket, tenant, call, offset } => {
                 self.on_attach(now, ticket, tenant, call, offset)
             }
-            Input::Ask(ticket, request) => {
+            Input::StoreRequest(ticket, request) => {
                 self.send_store_request(now, PendingRequest::Caller(ticket), *request);
             }
-            Input::CallerGone(ticket) => self.on_caller_disconnected(ticket),
+            Input::CallerDisconnected(ticket) => self.on_caller_disconnected(ticket),
             Input::StoreReply { id, reply } => self.router.on_reply(now, id, reply),
             Input::Peer { from, message } => self.on_peer_message(now, from, message),
             Input::Backend(attempt, event) => self.on_backend_event(now, attempt, event),
@@ -304,7 +304,7 @@
                 self.send_peer_message(now, by.node, PeerMessage::Cancel { attempt });
             }
         }
-        let event = CallerEvent::Store(reply.map(Box::new));
+        let event = CallerEvent::StoreReply(reply.map(Box::new));
         self.actions.push(Action::ToCaller(ticket, event));
     }
 
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/front/mod.rs
@@ -57,9 +57,9 @@
     /// Sends a request to the store and waits for the reply.
     pub(crate) fn store_request(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
         let channel = self.open_channel();
-        self.send(Input::Ask(channel.ticket(), Box::new(request)))?;
+        self.send(Input::StoreRequest(channel.ticket(), Box::new(request)))?;
         match channel.next(CORE_TIMEOUT) {
-            Some(CallerEvent::Store(Some(reply))) => Ok(*reply),
+            Some(CallerEvent::StoreReply(Some(reply))) => Ok(*reply),
             _ => Err(ApiError::store_unavailable()),
         }
     }
@@ -69,7 +69,7 @@
     }
 
     pub(crate) fn report_disconnect(&self, ticket: Ticket) {
-        let _ = self.core.send(CoreInput::Input(Input::CallerGone(ticket)));
+        let _ = self.core.send(CoreInput::Input(Input::CallerDisconnected(ticket)));
     }
 
     fn route(&self, mut exchange: Exchange) {
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -310,7 +310,7 @@
     }
 
     fn ask_news(&mut self, id: u64, news: ClientNews) {
-        if let ClientNews::Event(CallerEvent::Store(Some(reply))) = news {
+        if let ClientNews::Event(CallerEvent::StoreReply(Some(reply))) = news {
             if let Some(ask) = self.clients.asks.remove(&id) {
                 self.ask_answered(ask, *reply);
             }
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -659,8 +659,8 @@
                 ClientRequest::Attach { tenant, call, offset } => {
                     Input::Attach { ticket, tenant, call, offset }
                 }
-                ClientRequest::Ask(request) => Input::Ask(ticket, request),
-                ClientRequest::Gone => Input::CallerGone(ticket),
+                ClientRequest::Ask(request) => Input::StoreRequest(ticket, request),
+                ClientRequest::Gone => Input::CallerDisconnected(ticket),
             }),
             _ => None,
         }
