--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -8,7 +8,7 @@
 use super::run::backend_name;
 use crate::core::call::{Call, Phase};
 use crate::core::message::{
-    Action, CallerEvent, Failure, FailureCause, Finish, PeerMessage, Ticket,
+    Action, CallerEvent, Completion, Failure, FailureCause, PeerMessage, Ticket,
 };
 use crate::core::metrics::CALLS_ENDED;
 use crate::core::{Gateway, PendingRequest};
@@ -56,13 +56,13 @@
         }
         self.forward_text(now, id);
         self.notify_admitted(id);
-        let finish = Finish {
+        let completion = Completion {
             attempt,
             finish_reason: answer.finish_reason,
             usage: answer.usage,
             backend: backend_name(&answer.backend),
         };
-        self.end_call(now, id, &CallerEvent::Finished(finish));
+        self.end_call(now, id, &CallerEvent::Finished(completion));
     }
 
     /// Sends each listener the text that it has not received.
--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -58,7 +58,7 @@
     /// The next part of the answer.
     Text(String),
     /// The answer is complete and durable.
-    Finished(Finish),
+    Finished(Completion),
     /// The call failed.
     Failed(Failure),
     /// The store's reply to [`Input::StoreRequest`]; `None` after a timeout.
@@ -67,7 +67,7 @@
 
 /// Final data of a complete answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finish {
+pub struct Completion {
     /// The attempt that produced the answer.
     pub attempt: AttemptId,
     /// Why generation ended.
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -13,7 +13,7 @@
 use super::errors::ApiError;
 use super::headers::{CallHeaders, parse_tenant};
 use super::{ApiHandler, Reply};
-use crate::core::message::{CallPayload, CallRequest, CallerEvent, Finish, Input};
+use crate::core::message::{CallPayload, CallRequest, CallerEvent, Completion, Input};
 
 /// Format of the response to a call.
 struct ResponseFormat {
@@ -106,8 +106,8 @@
                 Some(CallerEvent::Text(text)) => {
                     events.send(&ChatChunk::new(&id, created(), &format.model, Some(text), None))
                 }
-                Some(CallerEvent::Finished(finish)) => {
-                    let _ = send_end(&mut events, &id, format, &finish);
+                Some(CallerEvent::Finished(completion)) => {
+                    let _ = send_end(&mut events, &id, format, &completion);
                     return;
                 }
                 Some(CallerEvent::Failed(failure)) => {
@@ -136,10 +136,10 @@
         loop {
             match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => content.push_str(&text),
-                Some(CallerEvent::Finished(finish)) => {
-                    let mut headers = call_headers(&finish.attempt);
+                Some(CallerEvent::Finished(completion)) => {
+                    let mut headers = call_headers(&completion.attempt);
                     headers.push((HEADER_OUTCOME, Outcome::Completed.as_str().to_owned()));
-                    let body = completion(format, &finish, content);
+                    let body = chat_completion(format, &completion, content);
                     return exchange.reply_json(200, &headers, &body);
                 }
                 Some(CallerEvent::Failed(failure)) => {
@@ -227,30 +227,34 @@
     events: &mut EventWriter,
     id: &str,
     format: &ResponseFormat,
-    finish: &Finish,
+    completion: &Completion,
 ) -> std::io::Result<()> {
-    let reason = Some(finish.finish_reason.clone());
+    let reason = Some(completion.finish_reason.clone());
     events.send(&ChatChunk::new(id, created(), &format.model, None, reason))?;
     if format.with_usage {
         let mut chunk = ChatChunk::new(id, created(), &format.model, None, None);
         chunk.choices.clear();
-        chunk.usage = Some(finish.usage.into());
+        chunk.usage = Some(completion.usage.into());
         events.send(&chunk)?;
     }
     events.send_text(STREAM_DONE)
 }
 
-fn completion(format: &ResponseFormat, finish: &Finish, content: String) -> ChatCompletion {
+fn chat_completion(
+    format: &ResponseFormat,
+    completion: &Completion,
+    content: String,
+) -> ChatCompletion {
     ChatCompletion {
-        id: answer_id(&finish.attempt),
+        id: answer_id(&completion.attempt),
         object: "chat.completion".to_owned(),
         created: created(),
         model: format.model.clone(),
         choices: vec![Choice {
             index: 0,
             message: ChatMessage::new(Role::Assistant, content),
-            finish_reason: finish.finish_reason.clone(),
+            finish_reason: completion.finish_reason.clone(),
         }],
-        usage: finish.usage.into(),
+        usage: completion.usage.into(),
     }
 }
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -42,10 +42,10 @@
         loop {
             match self.next_event(&channel) {
                 Some(CallerEvent::Text(text)) => output.push_str(&text),
-                Some(CallerEvent::Finished(finish)) => {
-                    let mut headers = call_headers(&finish.attempt);
+                Some(CallerEvent::Finished(completion)) => {
+                    let mut headers = call_headers(&completion.attempt);
                     headers.push((HEADER_OUTCOME, Outcome::Completed.as_str().to_owned()));
-                    let reply = ServiceReply { output, replica: finish.backend };
+                    let reply = ServiceReply { output, replica: completion.backend };
                     return exchange.reply_json(200, &headers, &reply);
                 }
                 Some(CallerEvent::Failed(failure)) => {
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use calicohoist_gateway::core::message::{CallPayload, CallRequest, CallerEvent, Finish, Ticket};
+use calicohoist_gateway::core::message::{
+    CallPayload, CallRequest, CallerEvent, Completion, Ticket,
+};
 use calicohoist_gateway::front::errors::ApiError;
 use calicohoist_store::commands::program::{
     NewProgram, ProgramCommand, ProgramError, ProgramOutput,
@@ -576,7 +578,7 @@
                 self.clients.open.insert(ticket, (gateway, Open::Try(open)));
             }
             ClientNews::Event(CallerEvent::Finished(finish)) => {
-                let Finish { finish_reason, usage, .. } = finish;
+                let Completion { finish_reason, usage, .. } = finish;
                 let text = std::mem::take(&mut open.text);
                 self.try_ended(*open, TryEnd::Answered { text, finish_reason, usage });
             }
