--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -165,7 +165,7 @@
     }
 
     /// Returns the number of active calls.
-    pub fn calls_under_way(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         self.calls.len()
     }
 
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -76,7 +76,7 @@
             match self.next_event(channel) {
                 Some(CallerEvent::Admitted(attempt)) => break attempt,
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
@@ -111,7 +111,7 @@
                     return;
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    let _ = events.send(&ApiError::of_failure(&failure).body());
+                    let _ = events.send(&ApiError::from_failure(&failure).body());
                     return;
                 }
                 Some(_) => Ok(()),
@@ -143,7 +143,7 @@
                     return exchange.reply_json(200, &headers, &body);
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
--- a/crates/gateway/src/front/errors.rs
+++ b/crates/gateway/src/front/errors.rs
@@ -132,7 +132,7 @@
     }
 
     /// Converts the failure of a call.
-    pub fn of_failure(failure: &Failure) -> Self {
+    pub fn from_failure(failure: &Failure) -> Self {
         let mut error = match &failure.cause {
             FailureCause::NotRun(reason) => not_run(*reason),
             FailureCause::UnknownModel(model) => Self::not_found("model", model.as_str()),
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -49,7 +49,7 @@
                     return exchange.reply_json(200, &headers, &reply);
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -583,7 +583,7 @@
                 self.try_ended(*open, TryEnd::Answered { text, finish_reason, usage });
             }
             ClientNews::Event(CallerEvent::Failed(failure)) => {
-                let error = ApiError::of_failure(&failure).body().error;
+                let error = ApiError::from_failure(&failure).body().error;
                 let code = error.code.unwrap_or_default();
                 self.try_ended(*open, TryEnd::Refused { outcome: failure.outcome, code });
             }
--- a/crates/lab/src/sim/disturb.rs
+++ b/crates/lab/src/sim/disturb.rs
@@ -279,7 +279,7 @@
     /// A planned stop is over: the process ends, and comes back later.
     pub(super) fn gateway_stopped(&mut self, index: usize) {
         let part = &self.gateways[index];
-        let left = part.core.as_ref().map_or(0, |core| core.calls_under_way());
+        let left = part.core.as_ref().map_or(0, |core| core.active_calls());
         let began = part.stopping_since.unwrap_or(Moment::ZERO);
         let away = part.away;
         self.history.stops.push(StopEvent {
