--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -41,7 +41,7 @@
         call.is_single_call = is_single_call;
         call.request = Some(request);
         let id = self.insert_call(call, ticket);
-        self.begin(now, id);
+        self.request_admission(now, id);
     }
 
     /// Checks whether to refuse a request without contacting the store.
@@ -82,7 +82,7 @@
     }
 
     /// Sends the admission request, or the status query of an attached call.
-    pub(super) fn begin(&mut self, now: Moment, id: u64) {
+    pub(super) fn request_admission(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -219,7 +219,7 @@
         self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    pub(super) fn start_admitted(&mut self, now: Moment, id: u64, admission: Box<Admission>) {
+    pub(super) fn on_admitted(&mut self, now: Moment, id: u64, admission: Box<Admission>) {
         let attempt = admission.attempt.clone();
         let previous = admission.previous.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -266,7 +266,7 @@
         call.attached_to = Some(call_id);
         call.listeners[0].sent_bytes = offset;
         let id = self.insert_call(call, ticket);
-        self.begin(now, id);
+        self.request_admission(now, id);
     }
 
     /// Queries and reports the recorded outcome after the record changed elsewhere.
--- a/crates/gateway/src/core/flow/mod.rs
+++ b/crates/gateway/src/core/flow/mod.rs
@@ -54,7 +54,7 @@
 
     fn on_begin(&mut self, now: Moment, id: u64, outcome: BeginOutcome) {
         match outcome {
-            BeginOutcome::Admitted(admission) => self.start_admitted(now, id, admission),
+            BeginOutcome::Admitted(admission) => self.on_admitted(now, id, admission),
             BeginOutcome::Answered(attempt, answer) => {
                 self.finish_stored(now, id, attempt, answer);
             }
--- a/crates/gateway/src/core/flow/timers.rs
+++ b/crates/gateway/src/core/flow/timers.rs
@@ -13,7 +13,7 @@
 
 /// An action that is due for a call.
 enum DueAction {
-    Begin,
+    RequestAdmission,
     WaitExpired(WaitReason),
     Route,
     Enqueue,
@@ -39,7 +39,9 @@
             Phase::WaitingForTurn { deadline, reason, .. } if now >= *deadline => {
                 Some(DueAction::WaitExpired(*reason))
             }
-            Phase::WaitingForTurn { retry_at, .. } if now >= *retry_at => Some(DueAction::Begin),
+            Phase::WaitingForTurn { retry_at, .. } if now >= *retry_at => {
+                Some(DueAction::RequestAdmission)
+            }
             Phase::Routing { .. } if queue_timed_out => {
                 Some(DueAction::QueueTimedOut(NotRunReason::NoBackend))
             }
@@ -65,7 +67,7 @@
 
     fn run_due_action(&mut self, now: Moment, id: u64, due: DueAction) {
         match due {
-            DueAction::Begin => self.begin(now, id),
+            DueAction::RequestAdmission => self.request_admission(now, id),
             DueAction::WaitExpired(WaitReason::SameCall) => {
                 self.fail_unknown(now, id, FailureCause::StillRunning);
             }
--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -98,8 +98,8 @@
         self.nodes_version = reply.nodes_version;
         let nodes_changed = reply.nodes.is_some();
         if let Some(nodes) = reply.nodes {
-            let by_name = nodes.into_iter().map(|info| (info.node.node.clone(), info));
-            self.nodes = by_name.collect();
+            let by_id = nodes.into_iter().map(|info| (info.node.node.clone(), info));
+            self.nodes = by_id.collect();
         }
         self.apply_loads(reply.loads);
         self.in_force = self.in_force.max(reply.in_force);
@@ -130,11 +130,12 @@
 
     /// Computes the owners of new engines, or of all engines when the gateways changed.
     fn update_owners(&mut self, nodes_changed: bool) {
-        let known = |engine: &EngineId| self.owners.get(engine).filter(|_| !nodes_changed).cloned();
+        let current_owner =
+            |engine: &EngineId| self.owners.get(engine).filter(|_| !nodes_changed).cloned();
         let owners: BTreeMap<EngineId, NodeId> = self
             .engines()
             .filter_map(|(engine, _)| {
-                let owner = known(&engine).or_else(|| self.compute_owner(&engine))?;
+                let owner = current_owner(&engine).or_else(|| self.compute_owner(&engine))?;
                 Some((engine, owner))
             })
             .collect();
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -347,9 +347,9 @@
                 });
             }
             Action::CancelOnEngine { attempt, address } => {
-                self.control(move |_| engine::cancel(address, &attempt));
+                self.run_control(move |_| engine::cancel(address, &attempt));
             }
-            Action::ReleaseCache { engine, address, program } => self.control(move |core| {
+            Action::ReleaseCache { engine, address, program } => self.run_control(move |core| {
                 let confirmed = engine::release(address, &program);
                 let _ = core.send(CoreInput::Input(Input::CacheReleased {
                     engine,
@@ -357,12 +357,12 @@
                     confirmed,
                 }));
             }),
-            Action::ListCache { engine, address } => self.control(move |core| {
+            Action::ListCache { engine, address } => self.run_control(move |core| {
                 if let Some(programs) = engine::list(address) {
                     let _ = core.send(CoreInput::Input(Input::CacheListing { engine, programs }));
                 }
             }),
-            Action::ProbeEngine { engine, address } => self.control(move |core| {
+            Action::ProbeEngine { engine, address } => self.run_control(move |core| {
                 let report = engine::probe(address);
                 let _ = core.send(CoreInput::Input(Input::EngineProbe { engine, report }));
             }),
@@ -378,7 +378,7 @@
         attempt: calicohoist_types::AttemptId,
         run: impl FnOnce(&mut dyn FnMut(BackendEvent)) + Send + 'static,
     ) {
-        let name = attempt.clone();
+        let failed_attempt = attempt.clone();
         let job: Job = Box::new(move |core| {
             run(&mut |event| {
                 let _ = core.send(CoreInput::Input(Input::Backend(attempt.clone(), event)));
@@ -386,11 +386,11 @@
         });
         if self.attempts.try_send(job).is_err() {
             let event = BackendEvent::Failed(BackendFailure::NotStarted);
-            let _ = self.core.try_send(CoreInput::Input(Input::Backend(name, event)));
+            let _ = self.core.try_send(CoreInput::Input(Input::Backend(failed_attempt, event)));
         }
     }
 
-    fn control(&self, job: impl FnOnce(&Sender<CoreInput>) + Send + 'static) {
+    fn run_control(&self, job: impl FnOnce(&Sender<CoreInput>) + Send + 'static) {
         // Dropped when the channel is full; periodic requests are sent again.
         let _ = self.control.try_send(Box::new(job));
     }
--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/front/chat.rs
@@ -24,7 +24,7 @@
 
 impl ApiHandler {
     pub(super) fn chat(&self, mut exchange: Exchange) {
-        match read_chat(&mut exchange) {
+        match parse_chat_request(&mut exchange) {
             Ok((request, format)) => {
                 let channel = self.open_channel();
                 let input = Input::Call(channel.ticket(), Box::new(request));
@@ -100,14 +100,14 @@
         let Ok(mut events) = exchange.start_events(&headers) else {
             return self.report_disconnect(channel.ticket());
         };
-        let id = answer_id(attempt);
+        let id = completion_id(attempt);
         loop {
             let sent = match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => {
-                    events.send(&ChatChunk::new(&id, created(), &format.model, Some(text), None))
+                    events.send(&ChatChunk::new(&id, unix_time(), &format.model, Some(text), None))
                 }
                 Some(CallerEvent::Finished(completion)) => {
-                    let _ = send_end(&mut events, &id, format, &completion);
+                    let _ = send_final_chunks(&mut events, &id, format, &completion);
                     return;
                 }
                 Some(CallerEvent::Failed(failure)) => {
@@ -166,7 +166,7 @@
     }
 }
 
-fn read_chat(exchange: &mut Exchange) -> Result<(CallRequest, ResponseFormat), ApiError> {
+fn parse_chat_request(exchange: &mut Exchange) -> Result<(CallRequest, ResponseFormat), ApiError> {
     let mut findings = Vec::new();
     let headers = CallHeaders::read(exchange, &mut findings);
     let body: ChatRequest = exchange.read_json()?;
@@ -215,24 +215,24 @@
     ]
 }
 
-fn answer_id(attempt: &AttemptId) -> String {
+fn completion_id(attempt: &AttemptId) -> String {
     format!("chatcmpl-{}", attempt.call.to_string().replace('/', "-"))
 }
 
-fn created() -> u64 {
+fn unix_time() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-fn send_end(
+fn send_final_chunks(
     events: &mut EventWriter,
     id: &str,
     format: &ResponseFormat,
     completion: &Completion,
 ) -> std::io::Result<()> {
     let reason = Some(completion.finish_reason.clone());
-    events.send(&ChatChunk::new(id, created(), &format.model, None, reason))?;
+    events.send(&ChatChunk::new(id, unix_time(), &format.model, None, reason))?;
     if format.with_usage {
-        let mut chunk = ChatChunk::new(id, created(), &format.model, None, None);
+        let mut chunk = ChatChunk::new(id, unix_time(), &format.model, None, None);
         chunk.choices.clear();
         chunk.usage = Some(completion.usage.into());
         events.send(&chunk)?;
@@ -246,9 +246,9 @@
     content: String,
 ) -> ChatCompletion {
     ChatCompletion {
-        id: answer_id(&completion.attempt),
+        id: completion_id(&completion.attempt),
         object: "chat.completion".to_owned(),
-        created: created(),
+        created: unix_time(),
         model: format.model.clone(),
         choices: vec![Choice {
             index: 0,
--- a/crates/gateway/src/front/errors.rs
+++ b/crates/gateway/src/front/errors.rs
@@ -25,7 +25,7 @@
     outcome: Option<Outcome>,
     findings: Vec<Finding>,
     retry_after: Option<u32>,
-    extra: Option<Box<serde_json::Value>>,
+    current_resource: Option<Box<serde_json::Value>>,
 }
 
 impl ApiError {
@@ -38,7 +38,7 @@
             outcome: Some(Outcome::NotRun),
             findings: Vec::new(),
             retry_after: None,
-            extra: None,
+            current_resource: None,
         }
     }
 
@@ -101,7 +101,7 @@
     /// Creates an error for a resource whose version differs from the expected one.
     pub fn version_conflict(current: serde_json::Value) -> Self {
         Self {
-            extra: Some(Box::new(current)),
+            current_resource: Some(Box::new(current)),
             ..Self::new(409, CONFLICT, "version_conflict", "the resource has another version")
         }
     }
@@ -191,8 +191,8 @@
             headers.push(("retry-after", seconds.to_string()));
         }
         let mut body = serde_json::to_value(self.body()).unwrap_or_default();
-        if let Some(extra) = self.extra {
-            body["current"] = *extra;
+        if let Some(current_resource) = self.current_resource {
+            body["current"] = *current_resource;
         }
         exchange.reply_json(self.status, &headers, &body);
     }
--- a/crates/gateway/src/front/programs.rs
+++ b/crates/gateway/src/front/programs.rs
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn get_program(&self, exchange: &Exchange, id: &str) -> Result<Reply, ApiError> {
-        let (program, tenant) = read_path(exchange, id)?;
+        let (program, tenant) = parse_path(exchange, id)?;
         let query = ProgramQuery::Get { program: program.clone(), tenant };
         match self.program_query(&program, query)? {
             ProgramAnswer::Program(view) => {
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn get_history(&self, exchange: &Exchange, id: &str) -> Result<Reply, ApiError> {
-        let (program, tenant) = read_path(exchange, id)?;
+        let (program, tenant) = parse_path(exchange, id)?;
         let query = ProgramQuery::History { program: program.clone(), tenant };
         match self.program_query(&program, query)? {
             ProgramAnswer::History(messages) => Ok(Reply::ok(json!({ "messages": messages }))),
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn end_program(&self, exchange: &Exchange, id: &str) -> Result<Reply, ApiError> {
-        let (program, tenant) = read_path(exchange, id)?;
+        let (program, tenant) = parse_path(exchange, id)?;
         let command = ProgramCommand::End { program: program.clone(), tenant };
         match self.program_command(&program, command)? {
             ProgramOutput::Done => Ok(Reply::ok(json!({ "id": id, "state": "ended" }))),
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn cancel_program(&self, exchange: &Exchange, id: &str) -> Result<Reply, ApiError> {
-        let (program, tenant) = read_path(exchange, id)?;
+        let (program, tenant) = parse_path(exchange, id)?;
         let command = ProgramCommand::Cancel { program: program.clone(), tenant };
         match self.program_command(&program, command)? {
             ProgramOutput::Cancelled(running) => {
@@ -163,7 +163,7 @@
     }
 }
 
-fn read_path(exchange: &Exchange, id: &str) -> Result<(ProgramId, TenantId), ApiError> {
+fn parse_path(exchange: &Exchange, id: &str) -> Result<(ProgramId, TenantId), ApiError> {
     let mut findings = Vec::new();
     let tenant = parse_tenant(exchange, &mut findings);
     match ProgramId::parse(id).filter(|_| findings.is_empty()) {
--- a/crates/gateway/src/front/resources.rs
+++ b/crates/gateway/src/front/resources.rs
@@ -24,7 +24,7 @@
 
 impl ApiHandler {
     pub(super) fn get_resource(&self, kind: &str, name: &str) -> Result<Reply, ApiError> {
-        let key = read_key(kind, name)?;
+        let key = parse_key(kind, name)?;
         match self.resource_query(ResourceQuery::Get(key))? {
             ResourceAnswer::Resource(Some(resource)) => Ok(Reply::ok(resource_json(&resource))),
             _ => Err(ApiError::not_found(kind, name)),
@@ -36,7 +36,7 @@
         exchange: &Exchange,
         kind: &str,
     ) -> Result<Reply, ApiError> {
-        let kind = read_kind(kind)?;
+        let kind = parse_kind(kind)?;
         let query = ResourceQuery::List {
             kind,
             after: exchange.query("after").map(str::to_owned),
@@ -96,10 +96,10 @@
         kind: &str,
         name: &str,
     ) -> Result<Reply, ApiError> {
-        let key = read_key(kind, name)?;
-        let mut command = read_command(exchange, key)?;
+        let key = parse_key(kind, name)?;
+        let mut command = parse_command(exchange, key)?;
         let body: Value = exchange.read_json()?;
-        let spec = read_spec(command.key.kind, body)?;
+        let spec = parse_spec(command.key.kind, body)?;
         let findings = spec.validate();
         if !findings.is_empty() {
             emit!(Event::ChangeRefused, "{}: {} findings", command.key, findings.len());
@@ -109,7 +109,7 @@
             return Ok(Reply::ok(json!({ "kind": kind, "name": name, "dry_run": true })));
         }
         command.spec = Some(spec);
-        self.change(command)
+        self.apply_change(command)
     }
 
     pub(super) fn delete_resource(
@@ -118,12 +118,12 @@
         kind: &str,
         name: &str,
     ) -> Result<Reply, ApiError> {
-        let key = read_key(kind, name)?;
-        let command = read_command(exchange, key)?;
-        self.change(command)
+        let key = parse_key(kind, name)?;
+        let command = parse_command(exchange, key)?;
+        self.apply_change(command)
     }
 
-    fn change(&self, command: ResourceCommand) -> Result<Reply, ApiError> {
+    fn apply_change(&self, command: ResourceCommand) -> Result<Reply, ApiError> {
         let key = command.key.clone();
         let request = StoreRequest::Command(RESOURCE_GROUP, Command::Resource(command));
         let StoreReply::Output(Output::Resource(output)) = self.store_request(request)? else {
@@ -199,27 +199,27 @@
 ///
 /// # Errors
 /// Returns a finding for a field that is missing, unknown or of the wrong type.
-pub fn read_spec(kind: ResourceKind, body: Value) -> Result<ResourceSpec, ApiError> {
+pub fn parse_spec(kind: ResourceKind, body: Value) -> Result<ResourceSpec, ApiError> {
     match kind {
-        ResourceKind::Model => parse_spec(body).map(ResourceSpec::Model),
-        ResourceKind::Engine => parse_spec(body).map(ResourceSpec::Engine),
-        ResourceKind::Service => parse_spec(body).map(ResourceSpec::Service),
-        ResourceKind::Tenant => parse_spec(body).map(ResourceSpec::Tenant),
+        ResourceKind::Model => deserialize_spec(body).map(ResourceSpec::Model),
+        ResourceKind::Engine => deserialize_spec(body).map(ResourceSpec::Engine),
+        ResourceKind::Service => deserialize_spec(body).map(ResourceSpec::Service),
+        ResourceKind::Tenant => deserialize_spec(body).map(ResourceSpec::Tenant),
     }
 }
 
-fn parse_spec<T: DeserializeOwned>(body: Value) -> Result<T, ApiError> {
+fn deserialize_spec<T: DeserializeOwned>(body: Value) -> Result<T, ApiError> {
     serde_json::from_value(body).map_err(|error| {
         ApiError::invalid_field("spec", error.to_string(), "the fields in docs/API.md")
     })
 }
 
-fn read_kind(kind: &str) -> Result<ResourceKind, ApiError> {
+fn parse_kind(kind: &str) -> Result<ResourceKind, ApiError> {
     ResourceKind::parse(kind).ok_or_else(|| ApiError::not_found("kind", kind))
 }
 
-fn read_key(kind: &str, name: &str) -> Result<ResourceKey, ApiError> {
-    let kind = read_kind(kind)?;
+fn parse_key(kind: &str, name: &str) -> Result<ResourceKey, ApiError> {
+    let kind = parse_kind(kind)?;
     if !is_valid_name(name) {
         let accepted = "1 to 128 letters, digits, '-', '_', '.' or ':'";
         return Err(ApiError::invalid_field("name", format!("{name:?} is not a name"), accepted));
@@ -227,7 +227,7 @@
     Ok(ResourceKey { kind, name: name.to_owned() })
 }
 
-fn read_command(exchange: &Exchange, key: ResourceKey) -> Result<ResourceCommand, ApiError> {
+fn parse_command(exchange: &Exchange, key: ResourceKey) -> Result<ResourceCommand, ApiError> {
     let mut findings = Vec::new();
     let expected = parse_number(exchange, "version")?.map(|version| Revision(version as u64));
     let random = || format!("auto-{:016x}", rand::rng().random::<u64>());
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/front/services.rs
@@ -30,7 +30,7 @@
 
 impl ApiHandler {
     pub(super) fn call_service(&self, mut exchange: Exchange, service: &str) {
-        let request = match read_request(&mut exchange, service) {
+        let request = match parse_service_request(&mut exchange, service) {
             Ok(request) => request,
             Err(error) => return error.reply(exchange),
         };
@@ -58,7 +58,7 @@
     }
 }
 
-fn read_request(exchange: &mut Exchange, service: &str) -> Result<CallRequest, ApiError> {
+fn parse_service_request(exchange: &mut Exchange, service: &str) -> Result<CallRequest, ApiError> {
     let mut findings = Vec::new();
     let headers = CallHeaders::read(exchange, &mut findings);
     let body: ServiceRequest = exchange.read_json()?;
