--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -21,11 +21,11 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
 
+use crate::api::ApiHandler;
+use crate::api::caller_channels::CallerChannels;
 use crate::backend::{engine, platform, service};
 use crate::core::message::{Action, BackendEvent, BackendFailure, Input, PeerMessage};
 use crate::core::{Gateway, GatewaySettings};
-use crate::front::ApiHandler;
-use crate::front::caller_channels::CallerChannels;
 use crate::view::SharedView;
 
 /// Capacity of the core's input channel.
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -9,7 +9,7 @@
 
 use attohttpc::{Method, Response};
 use calicohoist_emulator::RealClock;
-use calicohoist_gateway::front::services::{ServiceReply, ServiceRequest};
+use calicohoist_gateway::api::services::{ServiceReply, ServiceRequest};
 use calicohoist_http::{ClientError, EventReader, HttpClient, STREAM_DONE};
 use calicohoist_types::openai::{
     ChatChunk, ChatRequest, ErrorBody, HEADER_KEY, HEADER_PROGRAM, HEADER_REPEATABLE,
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use calicohoist_gateway::api::errors::ApiError;
 use calicohoist_gateway::core::message::{
     CallPayload, CallRequest, CallerEvent, Completion, Ticket,
 };
-use calicohoist_gateway::front::errors::ApiError;
 use calicohoist_store::commands::program::{
     NewProgram, ProgramCommand, ProgramError, ProgramOutput,
 };
