--- a/crates/gateway/src/api/mod.rs
+++ b/crates/gateway/src/api/mod.rs
@@ -31,7 +31,7 @@
 use caller_channels::{CallerChannel, CallerChannels};
 use errors::ApiError;
 
-/// Maximum wait for an event of the core. The core's own timeouts are shorter.
+/// Maximum wait for an event of the core; a safeguard, as the core has its own timeouts.
 const CORE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Handler of all endpoints.
--- a/crates/gateway/src/api/programs.rs
+++ b/crates/gateway/src/api/programs.rs
@@ -31,7 +31,7 @@
     /// Maximum number of calls.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_calls: Option<u64>,
-    /// Time from creation to cancellation, in milliseconds.
+    /// Lifetime in milliseconds, after which the program is cancelled.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lifetime_millis: Option<u64>,
 }
--- a/crates/gateway/src/api/services.rs
+++ b/crates/gateway/src/api/services.rs
@@ -11,7 +11,7 @@
 use super::headers::CallHeaders;
 use crate::core::message::{CallPayload, CallRequest, CallerEvent, Input};
 
-/// Body of a service call.
+/// Request body of a service call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRequest {
--- a/crates/gateway/src/core/cache_release.rs
+++ b/crates/gateway/src/core/cache_release.rs
@@ -3,7 +3,7 @@
 //! The record of a program lists every engine that may cache its history. When
 //! the program ends, the store creates release requests, which the owner of each
 //! engine executes and confirms. A periodic sweep compares the engine's cache
-//! listing with the records to find cached programs that have no record.
+//! listing with the records to find cached programs that are no longer active.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -44,7 +44,7 @@
         self.request_admission(now, id);
     }
 
-    /// Checks whether to refuse a request without contacting the store.
+    /// Returns a failure if the request can be refused without contacting the store.
     fn early_refusal(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
         let cause = if self.stopping {
             FailureCause::NotRun(NotRunReason::ShuttingDown)
--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -67,8 +67,8 @@
 
     /// Sends each listener the text that it has not received.
     ///
-    /// Sends nothing before there is text, because a failure until then can still
-    /// set the HTTP status.
+    /// Sends nothing before there is text, because until then a failure can
+    /// still set the HTTP status.
     pub(super) fn forward_text(&mut self, _now: Moment, id: u64) {
         let has_text = self.calls.get(&id).is_some_and(|call| !call.text.is_empty());
         if !has_text {
--- a/crates/gateway/src/core/message.rs
+++ b/crates/gateway/src/core/message.rs
@@ -263,7 +263,7 @@
 /// An input of the core.
 #[derive(Debug)]
 pub enum Input {
-    /// A new call of a caller.
+    /// A new call from a caller.
     Call(Ticket, Box<CallRequest>),
     /// A caller's request for the answer of an existing call.
     Attach {
@@ -280,14 +280,14 @@
     StoreRequest(Ticket, Box<StoreRequest>),
     /// The caller disconnected.
     CallerDisconnected(Ticket),
-    /// A reply of a store machine.
+    /// A reply from a store machine.
     StoreReply {
         /// ID of the request.
         id: u64,
         /// The reply.
         reply: StoreReply,
     },
-    /// A message of another gateway.
+    /// A message from another gateway.
     Peer {
         /// The sender.
         from: NodeId,
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -91,7 +91,7 @@
     Call(u64),
     /// A store request on behalf of a caller.
     Caller(Ticket),
-    /// A query for the stored answer of the call with this ID.
+    /// A query for the recorded state of the call with this ID.
     Attach(u64),
     /// A heartbeat sent at this time.
     Heartbeat(Moment),
