--- a/crates/gateway/src/front/chat.rs
+++ b/crates/gateway/src/api/chat.rs
@@ -9,27 +9,27 @@
 };
 use calicohoist_types::{AttemptId, CallId, ChatMessage, ModelId, Outcome, ProgramId, Role};
 
-use super::callers::CallerRing;
+use super::caller_channels::CallerChannel;
 use super::errors::ApiError;
-use super::headers::{CallHeaders, tenant};
-use super::{Front, Reply};
-use crate::core::message::{CallRequest, CallerEvent, Finish, Input, Work};
+use super::headers::{CallHeaders, parse_tenant};
+use super::{ApiHandler, Reply};
+use crate::core::message::{CallPayload, CallRequest, CallerEvent, Completion, Input};
 
-/// How an answer is to be written.
-struct Style {
+/// Format of the response to a call.
+struct ResponseFormat {
     model: String,
     streamed: bool,
     with_usage: bool,
 }
 
-impl Front {
+impl ApiHandler {
     pub(super) fn chat(&self, mut exchange: Exchange) {
-        match read_chat(&mut exchange) {
-            Ok((request, style)) => {
-                let ring = self.open();
-                let input = Input::Call(ring.ticket(), Box::new(request));
+        match parse_chat_request(&mut exchange) {
+            Ok((request, format)) => {
+                let channel = self.open_channel();
+                let input = Input::Call(channel.ticket(), Box::new(request));
                 match self.send(input) {
-                    Ok(()) => self.answer(exchange, &ring, &style),
+                    Ok(()) => self.write_response(exchange, &channel, &format),
                     Err(error) => error.reply(exchange),
                 }
             }
@@ -38,8 +38,8 @@
     }
 
     pub(super) fn stored_answer(&self, exchange: Exchange, program: &str, sequence: &str) {
-        let mut found = Vec::new();
-        let tenant = tenant(&exchange, &mut found);
+        let mut findings = Vec::new();
+        let tenant = parse_tenant(&exchange, &mut findings);
         let offset = exchange.query("offset").map_or(Some(0), |text| text.parse().ok());
         let (Some(program), Ok(sequence), Some(offset)) =
             (ProgramId::parse(program), sequence.parse(), offset)
@@ -51,62 +51,67 @@
             );
             return error.reply(exchange);
         };
-        let style = Style {
+        let format = ResponseFormat {
             model: String::new(),
             streamed: exchange.query("stream") == Some("true"),
             with_usage: true,
         };
-        let ring = self.open();
+        let channel = self.open_channel();
         let input = Input::Attach {
-            ticket: ring.ticket(),
+            ticket: channel.ticket(),
             tenant,
             call: CallId { program, sequence },
             offset,
         };
         match self.send(input) {
-            Ok(()) => self.answer(exchange, &ring, &style),
+            Ok(()) => self.write_response(exchange, &channel, &format),
             Err(error) => error.reply(exchange),
         }
     }
 
-    /// Writes the answer of a call as it comes.
-    fn answer(&self, exchange: Exchange, ring: &CallerRing, style: &Style) {
-        // Until the call is admitted nothing is written, so that a refusal can
-        // still have its own status.
+    /// Writes the response of a call.
+    fn write_response(&self, exchange: Exchange, channel: &CallerChannel, format: &ResponseFormat) {
+        // Write nothing before admission, so that a failure can set the HTTP status.
         let attempt = loop {
-            match self.next_event(ring) {
+            match self.next_event(channel) {
                 Some(CallerEvent::Admitted(attempt)) => break attempt,
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
             }
         };
-        if style.streamed {
-            self.stream(exchange, ring, style, &attempt);
+        if format.streamed {
+            self.respond_streamed(exchange, channel, format, &attempt);
         } else {
-            self.gather(exchange, ring, style);
+            self.respond_buffered(exchange, channel, format);
         }
     }
 
-    fn stream(&self, exchange: Exchange, ring: &CallerRing, style: &Style, attempt: &AttemptId) {
+    fn respond_streamed(
+        &self,
+        exchange: Exchange,
+        channel: &CallerChannel,
+        format: &ResponseFormat,
+        attempt: &AttemptId,
+    ) {
         let headers = call_headers(attempt);
         let Ok(mut events) = exchange.start_event_stream(&headers) else {
-            return self.caller_gone(ring.ticket());
+            return self.report_disconnect(channel.ticket());
         };
-        let id = answer_id(attempt);
+        let id = completion_id(attempt);
         loop {
-            let sent = match self.next_event(ring) {
+            let sent = match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => {
-                    events.send(&ChatChunk::new(&id, created(), &style.model, Some(text), None))
+                    events.send(&ChatChunk::new(&id, unix_time(), &format.model, Some(text), None))
                 }
-                Some(CallerEvent::Finished(finish)) => {
-                    let _ = send_end(&mut events, &id, style, &finish);
+                Some(CallerEvent::Finished(completion)) => {
+                    let _ = send_final_chunks(&mut events, &id, format, &completion);
                     return;
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    let _ = events.send(&ApiError::of_failure(&failure).body());
+                    let _ = events.send(&ApiError::from_failure(&failure).body());
                     return;
                 }
                 Some(_) => Ok(()),
@@ -116,24 +121,29 @@
                 }
             };
             if sent.is_err() {
-                return self.caller_gone(ring.ticket());
+                return self.report_disconnect(channel.ticket());
             }
         }
     }
 
-    fn gather(&self, exchange: Exchange, ring: &CallerRing, style: &Style) {
+    fn respond_buffered(
+        &self,
+        exchange: Exchange,
+        channel: &CallerChannel,
+        format: &ResponseFormat,
+    ) {
         let mut content = String::new();
         loop {
-            match self.next_event(ring) {
+            match self.next_event(channel) {
                 Some(CallerEvent::Text(text)) => content.push_str(&text),
-                Some(CallerEvent::Finished(finish)) => {
-                    let mut headers = call_headers(&finish.attempt);
+                Some(CallerEvent::Finished(completion)) => {
+                    let mut headers = call_headers(&completion.attempt);
                     headers.push((HEADER_OUTCOME, Outcome::Completed.as_str().to_owned()));
-                    let body = completion(style, &finish, content);
+                    let body = chat_completion(format, &completion, content);
                     return exchange.reply_json(200, &headers, &body);
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
@@ -156,27 +166,31 @@
     }
 }
 
-fn read_chat(exchange: &mut Exchange) -> Result<(CallRequest, Style), ApiError> {
-    let mut found = Vec::new();
-    let headers = CallHeaders::read(exchange, &mut found);
+fn parse_chat_request(exchange: &mut Exchange) -> Result<(CallRequest, ResponseFormat), ApiError> {
+    let mut findings = Vec::new();
+    let headers = CallHeaders::read(exchange, &mut findings);
     let body: ChatRequest = exchange.read_json()?;
     let messages = body.plain_messages().unwrap_or_else(|mut more| {
-        found.append(&mut more);
+        findings.append(&mut more);
         Vec::new()
     });
     let model = ModelId::parse(&body.model);
     if model.is_none() {
         let problem = format!("{:?} is not a name", body.model);
-        found.push(calicohoist_types::Finding::of_field("model", problem, "a model of /v1/models"));
+        findings.push(calicohoist_types::Finding::of_field(
+            "model",
+            problem,
+            "a model of /v1/models",
+        ));
     }
     if body.token_limit() == Some(0) {
         let field = "max_completion_tokens";
-        found.push(calicohoist_types::Finding::of_field(field, "is 0", "1 or more"));
+        findings.push(calicohoist_types::Finding::of_field(field, "is 0", "1 or more"));
     }
-    let Some(model) = model.filter(|_| found.is_empty()) else {
-        return Err(ApiError::invalid(found));
+    let Some(model) = model.filter(|_| findings.is_empty()) else {
+        return Err(ApiError::invalid(findings));
     };
-    let style = Style {
+    let format = ResponseFormat {
         model: body.model.clone(),
         streamed: body.stream,
         with_usage: body.stream_options.is_some_and(|options| options.include_usage),
@@ -187,12 +201,12 @@
         sequence: headers.sequence,
         key: headers.key,
         repeatable: headers.repeatable.unwrap_or(true),
-        work: Work::Model { model, messages, max_tokens: body.token_limit() },
+        payload: CallPayload::Model { model, messages, max_tokens: body.token_limit() },
     };
-    Ok((request, style))
+    Ok((request, format))
 }
 
-/// Headers that tell a caller where to ask again.
+/// Returns the headers that identify a call and its attempt.
 pub(super) fn call_headers(attempt: &AttemptId) -> Vec<(&'static str, String)> {
     vec![
         (HEADER_PROGRAM, attempt.call.program.to_string()),
@@ -201,42 +215,46 @@
     ]
 }
 
-fn answer_id(attempt: &AttemptId) -> String {
+fn completion_id(attempt: &AttemptId) -> String {
     format!("chatcmpl-{}", attempt.call.to_string().replace('/', "-"))
 }
 
-fn created() -> u64 {
+fn unix_time() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-fn send_end(
+fn send_final_chunks(
     events: &mut EventWriter,
     id: &str,
-    style: &Style,
-    finish: &Finish,
+    format: &ResponseFormat,
+    completion: &Completion,
 ) -> std::io::Result<()> {
-    let reason = Some(finish.finish_reason.clone());
-    events.send(&ChatChunk::new(id, created(), &style.model, None, reason))?;
-    if style.with_usage {
-        let mut chunk = ChatChunk::new(id, created(), &style.model, None, None);
+    let reason = Some(completion.finish_reason.clone());
+    events.send(&ChatChunk::new(id, unix_time(), &format.model, None, reason))?;
+    if format.with_usage {
+        let mut chunk = ChatChunk::new(id, unix_time(), &format.model, None, None);
         chunk.choices.clear();
-        chunk.usage = Some(finish.usage.into());
+        chunk.usage = Some(completion.usage.into());
         events.send(&chunk)?;
     }
     events.send_text(STREAM_DONE)
 }
 
-fn completion(style: &Style, finish: &Finish, content: String) -> ChatCompletion {
+fn chat_completion(
+    format: &ResponseFormat,
+    completion: &Completion,
+    content: String,
+) -> ChatCompletion {
     ChatCompletion {
-        id: answer_id(&finish.attempt),
+        id: completion_id(&completion.attempt),
         object: "chat.completion".to_owned(),
-        created: created(),
-        model: style.model.clone(),
+        created: unix_time(),
+        model: format.model.clone(),
         choices: vec![Choice {
             index: 0,
             message: ChatMessage::new(Role::Assistant, content),
-            finish_reason: finish.finish_reason.clone(),
+            finish_reason: completion.finish_reason.clone(),
         }],
-        usage: finish.usage.into(),
+        usage: completion.usage.into(),
     }
 }
--- a/crates/gateway/src/front/errors.rs
+++ b/crates/gateway/src/api/errors.rs
@@ -1,4 +1,4 @@
-//! Every refusal, with its status and whether the request ran.
+//! Error responses: HTTP status, code, and whether the request ran.
 
 use calicohoist_http::{BodyError, Exchange};
 use calicohoist_store::commands::program::ProgramError;
@@ -12,10 +12,10 @@
 const CONFLICT: &str = "conflict_error";
 const LIMIT: &str = "limit_error";
 
-/// Seconds after which a refused caller should come back.
+/// Value of the `retry-after` header.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiError {
     status: u16,
@@ -25,7 +25,7 @@
     outcome: Option<Outcome>,
     findings: Vec<Finding>,
     retry_after: Option<u32>,
-    extra: Option<Box<serde_json::Value>>,
+    current_resource: Option<Box<serde_json::Value>>,
 }
 
 impl ApiError {
@@ -38,42 +38,41 @@
             outcome: Some(Outcome::NotRun),
             findings: Vec::new(),
             retry_after: None,
-            extra: None,
+            current_resource: None,
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// Requests with everything that is wrong with them.
+    /// Creates an error for an invalid request.
     pub fn invalid(findings: Vec<Finding>) -> Self {
         let lines: Vec<String> = findings.iter().map(Finding::to_string).collect();
         Self { findings, ..Self::new(400, INVALID_REQUEST, "invalid_request", lines.join("; ")) }
     }
 
-    /// One field that is wrong.
+    /// Creates an error for a single invalid field.
     pub fn invalid_field(field: &str, problem: impl Into<String>, accepted: &str) -> Self {
         Self::invalid(vec![Finding::of_field(field, problem, accepted)])
     }
 
-    /// A path or method that does not exist.
+    /// Creates an error for an unknown path or method.
     pub fn no_such_endpoint(method: &str, path: &str) -> Self {
         let message = format!("there is no endpoint {method} {path}");
         Self::new(404, INVALID_REQUEST, "no_such_endpoint", message)
     }
 
-    /// Something that was asked for by name does not exist.
-    pub fn missing(what: &str, name: &str) -> Self {
-        let code = format!("unknown_{what}");
-        Self::new(404, INVALID_REQUEST, &code, format!("there is no {what} {name:?}"))
+    /// Creates an error for a named object that does not exist.
+    pub fn not_found(kind: &str, name: &str) -> Self {
+        let code = format!("unknown_{kind}");
+        Self::new(404, INVALID_REQUEST, &code, format!("there is no {kind} {name:?}"))
     }
 
-    /// No worker is free.
+    /// Creates an error for a request that found no free worker.
     pub fn busy(has_key: bool) -> Self {
-        // Nothing durable says that a request with the caller's own key did not
-        // run before this one.
+        // A request with an idempotency key may be a resend of one that ran.
         let outcome = if has_key { Outcome::Unknown } else { Outcome::NotRun };
         Self {
             outcome: Some(outcome),
@@ -82,7 +81,7 @@
         }
     }
 
-    /// The gateway is stopping.
+    /// Creates an error for a request to a stopping gateway.
     pub fn shutting_down() -> Self {
         Self {
             retry_after: Some(RETRY_AFTER_SECONDS),
@@ -90,7 +89,7 @@
         }
     }
 
-    /// The store did not answer in time, so a change may have taken effect.
+    /// Creates an error for a store timeout, after which a change may have taken effect.
     pub fn store_unavailable() -> Self {
         Self {
             outcome: Some(Outcome::Unknown),
@@ -99,20 +98,20 @@
         }
     }
 
-    /// The resource has another version than expected.
+    /// Creates an error for a resource whose version differs from the expected one.
     pub fn version_conflict(current: serde_json::Value) -> Self {
         Self {
-            extra: Some(Box::new(current)),
+            current_resource: Some(Box::new(current)),
             ..Self::new(409, CONFLICT, "version_conflict", "the resource has another version")
         }
     }
 
-    /// A refusal of the program's record.
-    pub fn of_program(error: &ProgramError, program: &str) -> Self {
+    /// Converts a program error of the store.
+    pub fn from_program_error(error: &ProgramError, program: &str) -> Self {
         match error {
-            ProgramError::Missing => Self::missing("program", program),
+            ProgramError::Missing => Self::not_found("program", program),
             ProgramError::Exists => Self::new(409, CONFLICT, "program_exists", "the name is taken"),
-            ProgramError::NotActive(_) => program_over(),
+            ProgramError::NotActive(_) => program_ended(),
             ProgramError::Busy(sequence) => {
                 let message = format!("call {sequence} is under way");
                 Self::new(409, CONFLICT, "call_under_way", message)
@@ -132,17 +131,17 @@
         }
     }
 
-    /// A call that has no answer.
-    pub fn of_failure(failure: &Failure) -> Self {
+    /// Converts the failure of a call.
+    pub fn from_failure(failure: &Failure) -> Self {
         let mut error = match &failure.cause {
             FailureCause::NotRun(reason) => not_run(*reason),
-            FailureCause::UnknownModel(model) => Self::missing("model", model.as_str()),
-            FailureCause::UnknownService(service) => Self::missing("service", service.as_str()),
+            FailureCause::UnknownModel(model) => Self::not_found("model", model.as_str()),
+            FailureCause::UnknownService(service) => Self::not_found("service", service.as_str()),
             FailureCause::UnknownProgram => {
                 Self::new(404, INVALID_REQUEST, "unknown_program", "there is no such program")
             }
             FailureCause::KeyMismatch => key_mismatch(),
-            FailureCause::ProgramOver => program_over(),
+            FailureCause::ProgramOver => program_ended(),
             FailureCause::PromptTooLong => prompt_too_long(),
             FailureCause::StoreUnavailable => Self::store_unavailable(),
             FailureCause::BackendLost => Self::new(
@@ -167,7 +166,7 @@
         error
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self) -> ErrorBody {
         let param = self.findings.first().map(|finding| finding.place.field.clone());
         ErrorBody {
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Sends it.
+    /// Sends the response.
     pub fn reply(self, exchange: Exchange) {
         let mut headers = Vec::new();
         if let Some(outcome) = self.outcome {
@@ -192,8 +191,8 @@
             headers.push(("retry-after", seconds.to_string()));
         }
         let mut body = serde_json::to_value(self.body()).unwrap_or_default();
-        if let Some(extra) = self.extra {
-            body["current"] = *extra;
+        if let Some(current_resource) = self.current_resource {
+            body["current"] = *current_resource;
         }
         exchange.reply_json(self.status, &headers, &body);
     }
@@ -215,7 +214,7 @@
     ApiError::new(409, CONFLICT, "key_mismatch", message)
 }
 
-fn program_over() -> ApiError {
+fn program_ended() -> ApiError {
     ApiError::new(409, CONFLICT, "program_over", "the program has ended or was cancelled")
 }
 
--- a/crates/gateway/src/front/mod.rs
+++ b/crates/gateway/src/api/mod.rs
@@ -1,14 +1,14 @@
-//! Callers and operators over HTTP.
+//! The HTTP API for callers and operators.
 //!
-//! - [`chat`]: the OpenAI chat endpoint and the stored answers;
-//! - [`programs`]: creating, looking at, ending and cancelling programs;
+//! - [`chat`]: the OpenAI chat endpoint and stored answers;
+//! - [`programs`]: creation, inspection, end and cancellation of programs;
 //! - [`services`]: calls to tool services;
-//! - [`resources`]: the operators' resource API;
-//! - [`headers`]: the fields this project adds to requests;
-//! - [`errors`]: every refusal, with its status and whether the request ran;
-//! - [`callers`]: the way from the core back to a waiting worker.
+//! - [`resources`]: the resource API for operators;
+//! - [`headers`]: request headers that extend the OpenAI API;
+//! - [`errors`]: error responses;
+//! - [`caller_channels`]: channels from the core to the HTTP workers.
 
-pub mod callers;
+pub mod caller_channels;
 pub mod chat;
 pub mod errors;
 pub mod headers;
@@ -28,26 +28,25 @@
 use crate::core::message::{CallerEvent, Input, Ticket};
 use crate::driver::CoreInput;
 use crate::view::SharedView;
-use callers::{CallerRing, Callers};
+use caller_channels::{CallerChannel, CallerChannels};
 use errors::ApiError;
 
-/// Longest silence of the core towards one worker; the core has timeouts of its own
-/// for everything, so this only ends what would otherwise be a fault.
+/// Maximum wait for an event of the core; a safeguard, as the core has its own timeouts.
 const CORE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What the endpoints share.
-pub struct Front {
+/// Handler of all endpoints.
+pub struct ApiHandler {
     pub(crate) core: Sender<CoreInput>,
-    pub(crate) callers: Arc<Callers>,
+    pub(crate) caller_channels: Arc<CallerChannels>,
     pub(crate) view: Arc<SharedView>,
     pub(crate) groups: GroupMap,
     pub(crate) stopping: Arc<AtomicBool>,
 }
 
-impl Front {
-    /// Registers a caller with the core's way back.
-    pub(crate) fn open(&self) -> CallerRing {
-        self.callers.open()
+impl ApiHandler {
+    /// Opens a channel for events from the core.
+    pub(crate) fn open_channel(&self) -> CallerChannel {
+        self.caller_channels.open()
     }
 
     pub(crate) fn send(&self, input: Input) -> Result<(), ApiError> {
@@ -55,25 +54,25 @@
         sent.map_err(|_| ApiError::shutting_down())
     }
 
-    /// Asks the store and waits for its answer.
-    pub(crate) fn ask(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
-        let ring = self.open();
-        self.send(Input::Ask(ring.ticket(), Box::new(request)))?;
-        match ring.next(CORE_TIMEOUT) {
-            Some(CallerEvent::Store(Some(reply))) => Ok(*reply),
+    /// Sends a request to the store and waits for the reply.
+    pub(crate) fn store_request(&self, request: StoreRequest) -> Result<StoreReply, ApiError> {
+        let channel = self.open_channel();
+        self.send(Input::StoreRequest(channel.ticket(), Box::new(request)))?;
+        match channel.next(CORE_TIMEOUT) {
+            Some(CallerEvent::StoreReply(Some(reply))) => Ok(*reply),
             _ => Err(ApiError::store_unavailable()),
         }
     }
 
-    pub(crate) fn next_event(&self, ring: &CallerRing) -> Option<CallerEvent> {
-        ring.next(CORE_TIMEOUT)
+    pub(crate) fn next_event(&self, channel: &CallerChannel) -> Option<CallerEvent> {
+        channel.next(CORE_TIMEOUT)
     }
 
-    pub(crate) fn caller_gone(&self, ticket: Ticket) {
-        let _ = self.core.send(CoreInput::Input(Input::CallerGone(ticket)));
+    pub(crate) fn report_disconnect(&self, ticket: Ticket) {
+        let _ = self.core.send(CoreInput::Input(Input::CallerDisconnected(ticket)));
     }
 
-    fn respond(&self, mut exchange: Exchange) {
+    fn route(&self, mut exchange: Exchange) {
         let method = exchange.method().to_owned();
         let segments = exchange.segments();
         let parts: Vec<&str> = segments.iter().map(String::as_str).collect();
@@ -125,30 +124,30 @@
     }
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Extra headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// JSON body.
     pub body: serde_json::Value,
 }
 
 impl Reply {
-    /// Status 200 with `body`.
+    /// Creates a response with status 200.
     pub fn ok(body: serde_json::Value) -> Self {
         Self { status: 200, headers: Vec::new(), body }
     }
 }
 
-impl Handler for Front {
+impl Handler for ApiHandler {
     fn handle(&self, exchange: Exchange) {
-        self.respond(exchange);
+        self.route(exchange);
     }
 
     fn handle_overload(&self, exchange: Exchange) {
-        emit!(Event::RequestRefused, "busy: {}", exchange.path());
+        emit!(Event::RequestRefused, "all workers are busy: {}", exchange.path());
         let has_key = exchange.header(calicohoist_types::openai::HEADER_KEY).is_some();
         ApiError::busy(has_key).reply(exchange);
     }
--- a/crates/gateway/src/front/services.rs
+++ b/crates/gateway/src/api/services.rs
@@ -5,13 +5,13 @@
 use calicohoist_types::{Finding, Outcome, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use super::Front;
+use super::ApiHandler;
 use super::chat::call_headers;
 use super::errors::ApiError;
 use super::headers::CallHeaders;
-use crate::core::message::{CallRequest, CallerEvent, Input, Work};
+use crate::core::message::{CallPayload, CallRequest, CallerEvent, Input};
 
-/// Body of a service call.
+/// Request body of a service call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRequest {
@@ -19,37 +19,37 @@
     pub input: String,
 }
 
-/// Answer to a service call.
+/// Response body of a service call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceReply {
-    /// What the service says.
+    /// Output of the service.
     pub output: String,
-    /// The replica that executed it.
+    /// Name of the replica that executed the call.
     pub replica: String,
 }
 
-impl Front {
+impl ApiHandler {
     pub(super) fn call_service(&self, mut exchange: Exchange, service: &str) {
-        let request = match read_request(&mut exchange, service) {
+        let request = match parse_service_request(&mut exchange, service) {
             Ok(request) => request,
             Err(error) => return error.reply(exchange),
         };
-        let ring = self.open();
-        if let Err(error) = self.send(Input::Call(ring.ticket(), Box::new(request))) {
+        let channel = self.open_channel();
+        if let Err(error) = self.send(Input::Call(channel.ticket(), Box::new(request))) {
             return error.reply(exchange);
         }
         let mut output = String::new();
         loop {
-            match self.next_event(&ring) {
+            match self.next_event(&channel) {
                 Some(CallerEvent::Text(text)) => output.push_str(&text),
-                Some(CallerEvent::Finished(finish)) => {
-                    let mut headers = call_headers(&finish.attempt);
+                Some(CallerEvent::Finished(completion)) => {
+                    let mut headers = call_headers(&completion.attempt);
                     headers.push((HEADER_OUTCOME, Outcome::Completed.as_str().to_owned()));
-                    let reply = ServiceReply { output, replica: finish.backend };
+                    let reply = ServiceReply { output, replica: completion.backend };
                     return exchange.reply_json(200, &headers, &reply);
                 }
                 Some(CallerEvent::Failed(failure)) => {
-                    return ApiError::of_failure(&failure).reply(exchange);
+                    return ApiError::from_failure(&failure).reply(exchange);
                 }
                 Some(_) => {}
                 None => return ApiError::store_unavailable().reply(exchange),
@@ -58,24 +58,24 @@
     }
 }
 
-fn read_request(exchange: &mut Exchange, service: &str) -> Result<CallRequest, ApiError> {
-    let mut found = Vec::new();
-    let headers = CallHeaders::read(exchange, &mut found);
+fn parse_service_request(exchange: &mut Exchange, service: &str) -> Result<CallRequest, ApiError> {
+    let mut findings = Vec::new();
+    let headers = CallHeaders::read(exchange, &mut findings);
     let body: ServiceRequest = exchange.read_json()?;
     let parsed = ServiceId::parse(service);
     if parsed.is_none() {
-        found.push(Finding::of_field("service", "is not a name", "a declared service"));
+        findings.push(Finding::of_field("service", "is not a name", "a declared service"));
     }
-    let Some(service) = parsed.filter(|_| found.is_empty()) else {
-        return Err(ApiError::invalid(found));
+    let Some(service) = parsed.filter(|_| findings.is_empty()) else {
+        return Err(ApiError::invalid(findings));
     };
     Ok(CallRequest {
         tenant: headers.tenant,
         program: headers.program,
         sequence: headers.sequence,
         key: headers.key,
-        // Whoever says nothing gets the careful treatment.
+        // Service calls may have side effects, so they are not repeated by default.
         repeatable: headers.repeatable.unwrap_or(false),
-        work: Work::Service { service, input: body.input },
+        payload: CallPayload::Service { service, input: body.input },
     })
 }
--- a/crates/gateway/src/backend/engine.rs
+++ b/crates/gateway/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Model calls and cache control on an engine.
+//! Client of engines: chat completions, cache control and probes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use calicohoist_types::{AttemptId, ProgramId};
 
 use super::{CONNECT_TIMEOUT, CONTROL_TIMEOUT};
-use crate::core::message::{BackendEvent, BackendFailure, EngineOrder, EngineReport};
+use crate::core::message::{BackendEvent, BackendFailure, EngineReport, EngineTask};
 
-/// Carries an order out; `report` gets every event, the last one final.
-pub fn run(order: &EngineOrder, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
-    let opened = match &order.resume {
-        Some(earlier) => resume(order, earlier, read_timeout),
-        None => start(order, read_timeout),
+/// Runs a task on an engine; the last event passed to `report` ends the attempt.
+pub fn run(task: &EngineTask, read_timeout: Duration, mut report: impl FnMut(BackendEvent)) {
+    let opened = match &task.resume {
+        Some(earlier) => resume(task, earlier, read_timeout),
+        None => start(task, read_timeout),
     };
-    let expected = order.resume.as_ref().unwrap_or(&order.attempt).to_string();
+    let expected = task.resume.as_ref().unwrap_or(&task.attempt).to_string();
     match opened {
-        Ok(events) => follow(order, &expected, events, &mut report),
+        Ok(events) => relay_events(task, &expected, events, &mut report),
         Err(failure) => report(BackendEvent::Failed(failure)),
     }
 }
@@ -33,49 +33,51 @@
     HttpClient::new(address, CONNECT_TIMEOUT, read_timeout)
 }
 
-fn start(order: &EngineOrder, read_timeout: Duration) -> Result<Events, BackendFailure> {
-    let mut request = ChatRequest::streamed(order.model.as_str(), &order.prompt);
-    request.max_tokens = Some(order.max_tokens);
-    request.continuation = order.continuation.clone();
-    let client = client(order.address, read_timeout)
-        .with_header(HEADER_ENGINE_ATTEMPT, order.attempt.to_string())
-        .with_header(HEADER_ENGINE_PROGRAM, order.attempt.call.program.as_str())
-        .with_header(HEADER_ENGINE_PRIORITY, order.priority.to_string());
-    client.post_event_stream("/v1/chat/completions", &request).map_err(|error| failure_of(&error))
+fn start(task: &EngineTask, read_timeout: Duration) -> Result<Events, BackendFailure> {
+    let mut request = ChatRequest::streamed(task.model.as_str(), &task.prompt);
+    request.max_tokens = Some(task.max_tokens);
+    request.continuation = task.continuation.clone();
+    let client = client(task.address, read_timeout)
+        .with_header(HEADER_ENGINE_ATTEMPT, task.attempt.to_string())
+        .with_header(HEADER_ENGINE_PROGRAM, task.attempt.call.program.as_str())
+        .with_header(HEADER_ENGINE_PRIORITY, task.priority.to_string());
+    client
+        .post_event_stream("/v1/chat/completions", &request)
+        .map_err(|error| classify_error(&error))
 }
 
 fn resume(
-    order: &EngineOrder,
+    task: &EngineTask,
     earlier: &AttemptId,
     read_timeout: Duration,
 ) -> Result<Events, BackendFailure> {
     let opened =
-        client(order.address, read_timeout).get_event_stream(&format!("/v1/attempts/{earlier}"));
+        client(task.address, read_timeout).get_event_stream(&format!("/v1/attempts/{earlier}"));
     opened.map_err(|_| BackendFailure::NothingToResume)
 }
 
-/// A status other than success is given before a request starts.
-fn failure_of(error: &ClientError) -> BackendFailure {
+/// Maps a client error: an engine sends an error status only before it starts a request.
+fn classify_error(error: &ClientError) -> BackendFailure {
     match error {
         ClientError::NotConnected(_) | ClientError::Status { .. } => BackendFailure::NotStarted,
         ClientError::Broken(_) | ClientError::Malformed(_) => BackendFailure::Broken,
     }
 }
 
-fn follow(
-    order: &EngineOrder,
+fn relay_events(
+    task: &EngineTask,
     expected: &str,
     mut events: Events,
     report: &mut impl FnMut(BackendEvent),
 ) {
-    let mut offset = if order.resume.is_some() { 0 } else { order.continuation.len() };
+    let mut offset = if task.resume.is_some() { 0 } else { task.continuation.len() };
     loop {
         let chunk = match next_chunk(&mut events) {
             Some(chunk) => chunk,
             None => return report(BackendEvent::Failed(BackendFailure::Broken)),
         };
         if chunk.id != expected {
-            emit!(Event::FrameMismatch, "got {} for {expected}", chunk.id);
+            emit!(Event::FrameMismatch, "received a chunk of {} instead of {expected}", chunk.id);
             return report(BackendEvent::Failed(BackendFailure::Broken));
         }
         let text = chunk.text().to_owned();
@@ -101,25 +103,25 @@
     serde_json::from_str(&data).ok()
 }
 
-/// Cancels an attempt. Whether that worked does not matter: nobody listens to it.
+/// Cancels an attempt; errors are ignored, as its result is no longer used.
 pub fn cancel(address: SocketAddr, attempt: &AttemptId) {
     let path = format!("/v1/attempts/{attempt}");
     let _ = client(address, CONTROL_TIMEOUT).delete::<serde_json::Value>(&path);
 }
 
-/// Releases a program's memory; `true` when the engine confirmed.
+/// Releases a program's cache memory; returns whether the engine confirmed it.
 pub fn release(address: SocketAddr, program: &ProgramId) -> bool {
     let path = format!("/v1/cache/{program}");
     client(address, CONTROL_TIMEOUT).delete::<CacheReleased>(&path).is_ok()
 }
 
-/// Programs the engine holds memory of; `None` when it does not answer.
+/// Lists the programs in the engine's cache; `None` when the engine does not answer.
 pub fn list(address: SocketAddr) -> Option<Vec<ProgramId>> {
     let listing = client(address, CONTROL_TIMEOUT).get::<CacheListing>("/v1/cache").ok()?;
     Some(listing.programs.into_iter().map(|held| held.program).collect())
 }
 
-/// What the engine says of itself; `None` when it does not answer.
+/// Queries the engine's status; `None` when the engine does not answer.
 pub fn probe(address: SocketAddr) -> Option<EngineReport> {
     let report = client(address, CONTROL_TIMEOUT).get::<LoadReport>("/v1/load").ok()?;
     Some(EngineReport { leaving: report.leaving })
--- a/crates/gateway/src/core/memory.rs
+++ b/crates/gateway/src/core/cache_release.rs
@@ -1,9 +1,9 @@
-//! Release of engine memory that ended programs hold.
+//! Release of the cache memory that ended programs hold on engines.
 //!
-//! The record of a program lists every engine that may hold its history; ending
-//! it makes release orders in the store. The owner of an engine carries them out
-//! and confirms each. A sweep compares the engine's own listing with the records,
-//! for memory that no record knows of.
+//! The record of a program lists every engine that may cache its history. When
+//! the program ends, the store creates release requests, which the owner of each
+//! engine executes and confirms. A periodic sweep compares the engine's cache
+//! listing with the records to find cached programs that are no longer active.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,39 +16,39 @@
 use calicohoist_types::{EngineId, Moment, ProgramId};
 
 use super::message::Action;
-use super::{Gateway, Purpose, program_answer};
+use super::{Gateway, PendingRequest, program_answer};
 
-/// Time between questions for new release orders.
-const ASK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between listings of one engine.
+/// Time between queries for new release requests.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
-/// Pause after a release that failed.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Release orders fetched at a time for one engine.
+/// Delay before a release request is sent again.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of release requests per engine and query.
 const FETCH_LIMIT: usize = 64;
 
-/// Release orders under way.
+/// State of polling, sweeps and pending release requests.
 #[derive(Debug, Default)]
-pub(crate) struct MemoryDuty {
-    next_ask: Moment,
+pub(crate) struct CacheReleaseState {
+    next_poll: Moment,
     next_sweep: Moment,
-    /// Orders that were sent, and not before when each may be sent again.
-    sent: BTreeMap<(EngineId, ProgramId), Moment>,
+    /// Releases that were sent, with the earliest time to send them again.
+    sent_releases: BTreeMap<(EngineId, ProgramId), Moment>,
 }
 
 impl Gateway {
-    pub(super) fn run_memory(&mut self, now: Moment) {
+    pub(super) fn run_cache_release(&mut self, now: Moment) {
         let engines: Vec<EngineId> = self.owner.engines().cloned().collect();
         if engines.is_empty() || !self.view.has_lease(now) {
             return;
         }
-        if now >= self.memory.next_ask {
-            self.memory.next_ask = now + ASK_INTERVAL;
-            self.memory.sent.retain(|_, again| *again > now);
-            self.ask_for_releases(now, &engines);
+        if now >= self.cache_release.next_poll {
+            self.cache_release.next_poll = now + POLL_INTERVAL;
+            self.cache_release.sent_releases.retain(|_, retry_at| *retry_at > now);
+            self.query_releases(now, &engines);
         }
-        if now >= self.memory.next_sweep {
-            self.memory.next_sweep = now + SWEEP_INTERVAL;
+        if now >= self.cache_release.next_sweep {
+            self.cache_release.next_sweep = now + SWEEP_INTERVAL;
             for engine in engines {
                 if let Some(spec) = self.view.engine(&engine) {
                     let address = spec.address;
@@ -58,16 +58,16 @@
         }
     }
 
-    fn ask_for_releases(&mut self, now: Moment, engines: &[EngineId]) {
+    fn query_releases(&mut self, now: Moment, engines: &[EngineId]) {
         for group in self.groups.program_groups() {
             let query = ProgramQuery::Releases { engines: engines.to_vec(), limit: FETCH_LIMIT };
-            self.query(now, Purpose::Releases, group, query);
+            self.send_query(now, PendingRequest::Releases, group, query);
         }
     }
 
     pub(super) fn on_releases(&mut self, now: Moment, reply: Option<StoreReply>) {
-        if let Some(ProgramAnswer::Releases(orders)) = program_answer(reply) {
-            for (engine, program) in orders {
+        if let Some(ProgramAnswer::Releases(releases)) = program_answer(reply) {
+            for (engine, program) in releases {
                 self.release(now, engine, program);
             }
         }
@@ -77,11 +77,11 @@
         let Some(address) = self.view.engine(&engine).map(|spec| spec.address) else {
             return;
         };
-        let order = (engine.clone(), program.clone());
-        if self.memory.sent.contains_key(&order) {
+        let release = (engine.clone(), program.clone());
+        if self.cache_release.sent_releases.contains_key(&release) {
             return;
         }
-        self.memory.sent.insert(order, now + RETRY_PAUSE);
+        self.cache_release.sent_releases.insert(release, now + RETRY_DELAY);
         self.actions.push(Action::ReleaseCache { engine, address, program });
     }
 
@@ -98,7 +98,7 @@
         }
         emit!(Event::CacheReleased, "{program} on {engine}");
         let command = ProgramCommand::Released { engine, program: program.clone() };
-        self.command(now, Purpose::Forget, &program, command);
+        self.send_command(now, PendingRequest::Ignore, &program, command);
     }
 
     pub(super) fn on_cache_listing(
@@ -113,8 +113,8 @@
             by_group.entry(group).or_default().push(program);
         }
         for (group, programs) in by_group {
-            let purpose = Purpose::NotActive(engine.clone());
-            self.query(now, purpose, group, ProgramQuery::NotActive(programs));
+            let pending = PendingRequest::NotActive(engine.clone());
+            self.send_query(now, pending, group, ProgramQuery::NotActive(programs));
         }
     }
 
--- a/crates/gateway/src/core/flow/admit.rs
+++ b/crates/gateway/src/core/flow/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: asking the store, waiting for a turn, taking calls over.
+//! Admission of calls, waiting for earlier calls, and takeover of calls.
 
 use std::time::Duration;
 
@@ -14,34 +14,38 @@
 };
 use rand::RngExt;
 
-use crate::core::call::{Call, Listener, Phase, Waiting};
-use crate::core::message::{Action, CallRequest, CallerEvent, Failure, FailureCause, Ticket, Work};
-use crate::core::{Gateway, Purpose, program_answer};
+use crate::core::call::{Call, Listener, Phase, WaitReason};
+use crate::core::message::{
+    Action, CallPayload, CallRequest, CallerEvent, Failure, FailureCause, Ticket,
+};
+use crate::core::{Gateway, PendingRequest, program_answer};
 
-/// Pause before the store is asked again about a turn.
-const TURN_POLL: Duration = Duration::from_millis(25);
-/// Tokens to generate when neither caller nor model sets a limit.
-const SERVICE_TOKENS: u64 = 0;
+/// Time between admission requests while a call waits.
+const TURN_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Token limit of service calls, which generate no tokens.
+const SERVICE_MAX_TOKENS: u64 = 0;
 
 impl Gateway {
     pub(in crate::core) fn on_call(&mut self, now: Moment, ticket: Ticket, request: CallRequest) {
-        if let Some(failure) = self.refuse_at_the_door(now, &request) {
+        if let Some(failure) = self.early_refusal(now, &request) {
             self.actions.push(Action::ToCaller(ticket, CallerEvent::Failed(failure)));
             return;
         }
-        let is_alone = request.program.is_none();
+        let is_single_call = request.program.is_none();
         let key = request.key.clone().unwrap_or_else(|| self.make_key());
-        let program =
-            request.program.clone().unwrap_or_else(|| program_of_one(&request.tenant, &key));
+        let program = request
+            .program
+            .clone()
+            .unwrap_or_else(|| single_call_program_id(&request.tenant, &key));
         let mut call = Call::new(request.tenant.clone(), program, key, ticket, now);
-        call.is_alone = is_alone;
+        call.is_single_call = is_single_call;
         call.request = Some(request);
         let id = self.insert_call(call, ticket);
-        self.begin(now, id);
+        self.request_admission(now, id);
     }
 
-    /// Refusals that need no word of the store.
-    fn refuse_at_the_door(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
+    /// Returns a failure if the request can be refused without contacting the store.
+    fn early_refusal(&self, now: Moment, request: &CallRequest) -> Option<Failure> {
         let cause = if self.stopping {
             FailureCause::NotRun(NotRunReason::ShuttingDown)
         } else if self.calls.len() >= self.settings.max_calls {
@@ -49,19 +53,18 @@
         } else if self.view.applied().0 == 0 && !self.view.has_lease(now) {
             FailureCause::NotRun(NotRunReason::NoBackend)
         } else {
-            match &request.work {
-                Work::Model { model, .. } if self.view.model(model).is_none() => {
+            match &request.payload {
+                CallPayload::Model { model, .. } if self.view.model(model).is_none() => {
                     FailureCause::UnknownModel(model.clone())
                 }
-                Work::Service { service, .. } if !self.view.knows_service(service) => {
+                CallPayload::Service { service, .. } if !self.view.has_service(service) => {
                     FailureCause::UnknownService(service.clone())
                 }
                 _ => return None,
             }
         };
-        // Nothing durable was written. A request with the caller's own key may
-        // have run before, or may yet run as a resend, so only a request without
-        // one can be told that it did not run.
+        // A request with the caller's idempotency key may be a resend of one that
+        // ran, so only a request without a key is certain not to have run.
         let outcome = if request.key.is_some() { Outcome::Unknown } else { Outcome::NotRun };
         Some(Failure { outcome, cause, call: None })
     }
@@ -78,41 +81,44 @@
         id
     }
 
-    /// Asks the store to admit the call, or asks again.
-    pub(super) fn begin(&mut self, now: Moment, id: u64) {
+    /// Sends the admission request, or the status query of an attached call.
+    pub(super) fn request_admission(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase = Phase::Beginning;
-        if call.attached.is_some() {
+        call.phase = Phase::Admitting;
+        if call.attached_to.is_some() {
             return self.ask_about_call(now, id);
         }
         let Some(request) = call.request.clone() else {
             return;
         };
         if !self.view.has_lease(now) && !is_broken(Rule::UseCurrentLimits) {
-            // Limits of an old configuration must not be used.
-            return self.wait(now, id, Waiting::Lease, self.settings.gap_timeout);
+            // Without a lease the limits may be outdated.
+            return self.wait(now, id, WaitReason::Lease, self.settings.gap_timeout);
         }
         let program = call.program.clone();
         let begin = BeginCall {
             program: program.clone(),
-            create: call.is_alone.then(|| self.program_for(id, &request)).flatten(),
+            create: call
+                .is_single_call
+                .then(|| self.new_single_call_program(id, &request))
+                .flatten(),
             tenant: request.tenant.clone(),
             sequence: request.sequence,
             key: self.calls[&id].key.clone(),
-            target: target_of(&request.work),
+            target: target_of(&request.payload),
             repeatable: request.repeatable,
-            messages: messages_of(&request.work),
-            max_tokens: self.max_tokens(&request.work),
-            max_prompt_tokens: self.max_prompt_tokens(&request.work),
+            messages: messages_of(&request.payload),
+            max_tokens: self.max_tokens(&request.payload),
+            max_prompt_tokens: self.max_prompt_tokens(&request.payload),
             by: self.settings.node.clone(),
         };
         let command = ProgramCommand::Begin(Box::new(begin));
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    fn program_for(&self, id: u64, request: &CallRequest) -> Option<NewProgram> {
+    fn new_single_call_program(&self, id: u64, request: &CallRequest) -> Option<NewProgram> {
         let call = self.calls.get(&id)?;
         let limits = self.view.tenant(&request.tenant);
         Some(NewProgram {
@@ -126,45 +132,47 @@
         })
     }
 
-    fn max_tokens(&self, work: &Work) -> u64 {
-        match work {
-            Work::Model { model, max_tokens, .. } => {
+    fn max_tokens(&self, payload: &CallPayload) -> u64 {
+        match payload {
+            CallPayload::Model { model, max_tokens, .. } => {
                 let limit = self.view.model(model).map_or(0, |spec| spec.max_output_tokens);
                 max_tokens.unwrap_or(limit).min(limit)
             }
-            Work::Service { .. } => SERVICE_TOKENS,
+            CallPayload::Service { .. } => SERVICE_MAX_TOKENS,
         }
     }
 
-    fn max_prompt_tokens(&self, work: &Work) -> u64 {
-        match work {
-            Work::Model { model, .. } => {
+    fn max_prompt_tokens(&self, payload: &CallPayload) -> u64 {
+        match payload {
+            CallPayload::Model { model, .. } => {
                 self.view.model(model).map_or(0, |spec| spec.max_prompt_tokens)
             }
-            Work::Service { .. } => u64::MAX,
+            CallPayload::Service { .. } => u64::MAX,
         }
     }
 
     pub(super) fn wait_for_turn(&mut self, now: Moment, id: u64, is_running: bool) {
-        let (what, patience) = if is_running {
-            (Waiting::RunningCall, self.settings.duplicate_timeout)
+        let (reason, timeout) = if is_running {
+            (WaitReason::RunningCall, self.settings.duplicate_timeout)
         } else {
-            (Waiting::EarlierCall, self.settings.gap_timeout)
+            (WaitReason::EarlierCall, self.settings.gap_timeout)
         };
-        self.wait(now, id, what, patience);
+        self.wait(now, id, reason, timeout);
     }
 
-    fn wait(&mut self, now: Moment, id: u64, what: Waiting, patience: Duration) {
+    fn wait(&mut self, now: Moment, id: u64, reason: WaitReason, timeout: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase =
-            Phase::WaitingTurn { again_at: now + TURN_POLL, until: call.since + patience, what };
+        call.phase = Phase::WaitingForTurn {
+            retry_at: now + TURN_POLL_INTERVAL,
+            deadline: call.arrived_at + timeout,
+            reason,
+        };
     }
 
-    /// The same request is under way: here, in a gateway that lives, or in one
-    /// that is gone.
-    pub(super) fn on_running_elsewhere(
+    /// Handles a request that is already running in this or another gateway.
+    pub(super) fn on_already_running(
         &mut self,
         now: Moment,
         id: u64,
@@ -173,21 +181,20 @@
     ) {
         if *by == self.settings.node {
             return match self.by_attempt.get(&attempt).copied() {
-                Some(other) if other != id => self.join(now, id, other),
-                // This gateway admitted it and forgot it, since the store's
-                // answer never came.
+                Some(other) if other != id => self.merge_into(now, id, other),
+                // The call was admitted for this gateway, but the store's reply was lost.
                 _ => self.claim(now, id, attempt),
             };
         }
-        if self.view.is_certainly_gone(now, by) {
+        if self.view.is_lease_expired(now, by) {
             emit!(Event::CallTakenOver, "{attempt} from {}", by.node);
             return self.claim(now, id, attempt);
         }
-        self.wait(now, id, Waiting::SameCall, self.settings.duplicate_timeout);
+        self.wait(now, id, WaitReason::SameCall, self.settings.duplicate_timeout);
     }
 
-    /// Moves the listeners of `id` to the call that runs already.
-    fn join(&mut self, now: Moment, id: u64, other: u64) {
+    /// Moves the listeners of `id` to the call that is already running.
+    fn merge_into(&mut self, now: Moment, id: u64, other: u64) {
         let Some(joining) = self.calls.remove(&id) else {
             return;
         };
@@ -197,7 +204,7 @@
         if let Some(call) = self.calls.get_mut(&other) {
             call.listeners.extend(joining.listeners);
         }
-        self.forward(now, other);
+        self.forward_text(now, other);
     }
 
     pub(super) fn claim(&mut self, now: Moment, id: u64, attempt: AttemptId) {
@@ -209,10 +216,10 @@
         call.resumes = Some(attempt.clone());
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Claim { attempt, by };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    pub(super) fn start_admitted(&mut self, now: Moment, id: u64, admission: Box<Admission>) {
+    pub(super) fn on_admitted(&mut self, now: Moment, id: u64, admission: Box<Admission>) {
         let attempt = admission.attempt.clone();
         let previous = admission.previous.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -222,13 +229,13 @@
         call.attempt = Some(attempt);
         call.admission = Some(admission);
         if previous.is_none() {
-            // Nothing was sent, so there is no stream to resume.
+            // No attempt was sent, so there is no stream to resume.
             call.resumes = None;
         }
         self.retries.deposit();
-        self.forward(now, id);
+        self.forward_text(now, id);
         match previous {
-            Some(backend) => self.recover(now, id, backend),
+            Some(backend) => self.recover_attempt(now, id, backend),
             None => self.route(now, id),
         }
     }
@@ -238,42 +245,42 @@
         now: Moment,
         ticket: Ticket,
         tenant: TenantId,
-        place: CallId,
+        call_id: CallId,
         offset: usize,
     ) {
         let offset = if is_broken(Rule::ResumeAtOffset) { 0 } else { offset };
         let is_same = |call: &Call| {
             let attempt = call.attempt.as_ref();
-            call.tenant == tenant && attempt.is_some_and(|attempt| attempt.call == place)
+            call.tenant == tenant && attempt.is_some_and(|attempt| attempt.call == call_id)
         };
         let running = self.calls.iter().find(|(_, call)| is_same(call)).map(|(id, _)| *id);
         if let Some(id) = running {
             self.by_ticket.insert(ticket, id);
             if let Some(call) = self.calls.get_mut(&id) {
-                call.listeners.push(Listener { ticket, sent: offset, told_admitted: false });
+                call.listeners.push(Listener { ticket, sent_bytes: offset, admitted_sent: false });
             }
-            return self.forward(now, id);
+            return self.forward_text(now, id);
         }
         let key = self.make_key();
-        let mut call = Call::new(tenant, place.program.clone(), key, ticket, now);
-        call.attached = Some(place);
-        call.listeners[0].sent = offset;
+        let mut call = Call::new(tenant, call_id.program.clone(), key, ticket, now);
+        call.attached_to = Some(call_id);
+        call.listeners[0].sent_bytes = offset;
         let id = self.insert_call(call, ticket);
-        self.begin(now, id);
+        self.request_admission(now, id);
     }
 
-    /// The record has moved on: asks it what became of the call, and reports that.
-    pub(super) fn resolve(&mut self, now: Moment, id: u64) {
+    /// Queries and reports the recorded outcome after the record changed elsewhere.
+    pub(super) fn report_recorded_outcome(&mut self, now: Moment, id: u64) {
         self.release_slot(now, id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.phase = Phase::Beginning;
+        call.phase = Phase::Admitting;
         if let Some(attempt) = call.attempt.take() {
             self.by_attempt.remove(&attempt);
-            call.attached = Some(attempt.call);
+            call.attached_to = Some(attempt.call);
         }
-        if call.attached.is_none() {
+        if call.attached_to.is_none() {
             return self.fail_unknown(now, id, FailureCause::TakenOver);
         }
         self.ask_about_call(now, id);
@@ -283,12 +290,12 @@
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let Some(place) = call.attached.clone() else {
+        let Some(call_id) = call.attached_to.clone() else {
             return;
         };
-        let group = self.groups.group_of(&place.program);
-        let query = ProgramQuery::Call { call: place, tenant: call.tenant.clone() };
-        self.query(now, Purpose::Attach(id), group, query);
+        let group = self.groups.group_of(&call_id.program);
+        let query = ProgramQuery::Call { call: call_id, tenant: call.tenant.clone() };
+        self.send_query(now, PendingRequest::Attach(id), group, query);
     }
 
     pub(in crate::core) fn on_attach_answer(
@@ -305,10 +312,10 @@
     }
 
     fn on_call_view(&mut self, now: Moment, id: u64, view: CallView) {
-        let Some(place) = self.calls.get(&id).and_then(|call| call.attached.clone()) else {
+        let Some(call_id) = self.calls.get(&id).and_then(|call| call.attached_to.clone()) else {
             return;
         };
-        let attempt = AttemptId { call: place, number: view.attempts };
+        let attempt = AttemptId { call: call_id, number: view.attempts };
         match (view.outcome, view.answer) {
             (Some(Outcome::Completed), Some(answer)) => {
                 self.finish_stored(now, id, attempt, answer);
@@ -318,27 +325,27 @@
                 self.fail_not_run(now, id, reason);
             }
             (Some(_), _) => self.fail_unknown(now, id, FailureCause::BackendLost),
-            (None, _) => self.on_running_elsewhere(now, id, attempt, &view.by),
+            (None, _) => self.on_already_running(now, id, attempt, &view.by),
         }
     }
 }
 
-/// The name of the program made for a single call: the same for each resend of it.
-fn program_of_one(tenant: &TenantId, key: &IdempotencyKey) -> ProgramId {
+/// Returns the ID of a single-call program; resends get the same ID.
+fn single_call_program_id(tenant: &TenantId, key: &IdempotencyKey) -> ProgramId {
     let digest = calicohoist_types::Digest::of(format!("{tenant}\n{key}").as_bytes());
     ProgramId::new(format!("call-{:016x}", digest.prefix()))
 }
 
-fn target_of(work: &Work) -> CallTarget {
-    match work {
-        Work::Model { model, .. } => CallTarget::Model(model.clone()),
-        Work::Service { service, .. } => CallTarget::Service(service.clone()),
+fn target_of(payload: &CallPayload) -> CallTarget {
+    match payload {
+        CallPayload::Model { model, .. } => CallTarget::Model(model.clone()),
+        CallPayload::Service { service, .. } => CallTarget::Service(service.clone()),
     }
 }
 
-fn messages_of(work: &Work) -> Vec<ChatMessage> {
-    match work {
-        Work::Model { messages, .. } => messages.clone(),
-        Work::Service { input, .. } => vec![ChatMessage::new(Role::User, input)],
+fn messages_of(payload: &CallPayload) -> Vec<ChatMessage> {
+    match payload {
+        CallPayload::Model { messages, .. } => messages.clone(),
+        CallPayload::Service { input, .. } => vec![ChatMessage::new(Role::User, input)],
     }
 }
--- a/crates/gateway/src/core/flow/finish.rs
+++ b/crates/gateway/src/core/flow/finish.rs
@@ -1,4 +1,4 @@
-//! Storing answers, closing calls, and telling callers.
+//! Storing answers, closing calls and sending results to callers.
 
 use calicohoist_store::commands::program::{ProgramCommand, ProgramError};
 use calicohoist_store::state::programs::StoredAnswer;
@@ -8,13 +8,13 @@
 use super::run::backend_name;
 use crate::core::call::{Call, Phase};
 use crate::core::message::{
-    Action, CallerEvent, Failure, FailureCause, Finish, PeerMessage, Ticket,
+    Action, CallerEvent, Completion, Failure, FailureCause, PeerMessage, Ticket,
 };
 use crate::core::metrics::CALLS_ENDED;
-use crate::core::{Gateway, Purpose};
+use crate::core::{Gateway, PendingRequest};
 
 impl Gateway {
-    /// Stores the whole answer; the caller gets its end once that is durable.
+    /// Stores the complete answer; the caller gets its end once it is durable.
     pub(super) fn complete(&mut self, now: Moment, id: u64, answer: StoredAnswer) {
         let by = self.settings.node.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -23,13 +23,14 @@
         let Some(attempt) = call.attempt.clone() else {
             return;
         };
-        let is_alone = call.is_alone;
+        let is_single_call = call.is_single_call;
         call.phase = Phase::Completing;
         call.answer = Some(answer.clone());
         self.release_slot(now, id);
         let program = attempt.call.program.clone();
-        let command = ProgramCommand::Complete { attempt, by, answer, ends_program: is_alone };
-        self.command(now, Purpose::Call(id), &program, command);
+        let command =
+            ProgramCommand::Complete { attempt, by, answer, ends_program: is_single_call };
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     pub(super) fn finish(&mut self, now: Moment, id: u64) {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Sends what is left of a stored answer, and its end.
+    /// Sends the rest of a stored answer and ends the call.
     pub(super) fn finish_stored(
         &mut self,
         now: Moment,
@@ -53,55 +54,55 @@
             call.attempt.get_or_insert_with(|| attempt.clone());
             call.text = answer.text.clone();
         }
-        self.forward(now, id);
-        self.tell_admitted(id);
-        let finish = Finish {
+        self.forward_text(now, id);
+        self.notify_admitted(id);
+        let completion = Completion {
             attempt,
             finish_reason: answer.finish_reason,
             usage: answer.usage,
             backend: backend_name(&answer.backend),
         };
-        self.end_call(now, id, &CallerEvent::Finished(finish));
+        self.end_call(now, id, &CallerEvent::Finished(completion));
     }
 
-    /// Sends listeners what they lack of the answer so far.
+    /// Sends each listener the text that it has not received.
     ///
-    /// Nothing is said before there is text: until then a refusal can still have
-    /// a status of its own.
-    pub(super) fn forward(&mut self, _now: Moment, id: u64) {
+    /// Sends nothing before there is text, because until then a failure can
+    /// still set the HTTP status.
+    pub(super) fn forward_text(&mut self, _now: Moment, id: u64) {
         let has_text = self.calls.get(&id).is_some_and(|call| !call.text.is_empty());
         if !has_text {
             return;
         }
-        self.tell_admitted(id);
+        self.notify_admitted(id);
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         for listener in &mut call.listeners {
-            let missing = call.text.get(listener.sent..).unwrap_or_default();
-            if !missing.is_empty() {
-                let event = CallerEvent::Text(missing.to_owned());
-                listener.sent = call.text.len();
+            let unsent = call.text.get(listener.sent_bytes..).unwrap_or_default();
+            if !unsent.is_empty() {
+                let event = CallerEvent::Text(unsent.to_owned());
+                listener.sent_bytes = call.text.len();
                 self.actions.push(Action::ToCaller(listener.ticket, event));
             }
         }
     }
 
-    fn tell_admitted(&mut self, id: u64) {
+    fn notify_admitted(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let Some(attempt) = &call.attempt else {
             return;
         };
-        for listener in call.listeners.iter_mut().filter(|listener| !listener.told_admitted) {
-            listener.told_admitted = true;
+        for listener in call.listeners.iter_mut().filter(|listener| !listener.admitted_sent) {
+            listener.admitted_sent = true;
             let event = CallerEvent::Admitted(attempt.clone());
             self.actions.push(Action::ToCaller(listener.ticket, event));
         }
     }
 
-    /// Closes a call that was not dispatched in its present attempt.
+    /// Closes a call whose current attempt was not dispatched.
     pub(super) fn close(&mut self, now: Moment, id: u64, reason: NotRunReason) {
         let by = self.settings.node.clone();
         let Some(call) = self.calls.get_mut(&id) else {
@@ -113,10 +114,10 @@
         call.phase = Phase::Closing(reason);
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Close { attempt, by, reason };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    /// Closes the place of a call that was never admitted.
+    /// Closes the sequence number of a call that was not admitted.
     pub(super) fn refuse(&mut self, now: Moment, id: u64, reason: NotRunReason) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -133,12 +134,12 @@
             key: call.key.clone(),
             reason,
         };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    pub(super) fn note_place(&mut self, id: u64, place: CallId) {
+    pub(super) fn record_call_id(&mut self, id: u64, call_id: CallId) {
         if let Some(call) = self.calls.get_mut(&id) {
-            call.attached.get_or_insert(place);
+            call.attached_to.get_or_insert(call_id);
         }
     }
 
@@ -153,11 +154,11 @@
     }
 
     pub(super) fn fail_given_up(&mut self, now: Moment, id: u64) {
-        let cause = self.calls.get_mut(&id).and_then(|call| call.cause.take());
+        let cause = self.calls.get_mut(&id).and_then(|call| call.failure_cause.take());
         self.fail_unknown(now, id, cause.unwrap_or(FailureCause::BackendLost));
     }
 
-    /// The store refused to admit the call: nothing was changed.
+    /// Fails a call that the store refused to admit.
     pub(super) fn fail_refused(&mut self, now: Moment, id: u64, error: &ProgramError) {
         let (outcome, cause) = match error {
             ProgramError::KeyMismatch => (Outcome::NotRun, FailureCause::KeyMismatch),
@@ -170,8 +171,8 @@
     }
 
     pub(super) fn fail(&mut self, now: Moment, id: u64, outcome: Outcome, cause: FailureCause) {
-        let place = self.calls.get(&id).and_then(Call::place);
-        let failure = Failure { outcome, cause, call: place };
+        let call_id = self.calls.get(&id).and_then(Call::call_id);
+        let failure = Failure { outcome, cause, call: call_id };
         self.end_call(now, id, &CallerEvent::Failed(failure));
     }
 
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Gives the slot back, or the place in the queue.
+    /// Releases the call's slot or its queue entry.
     pub(super) fn release_slot(&mut self, now: Moment, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -209,11 +210,11 @@
             return;
         };
         if let Some(owner) = self.view.owner_of(&engine) {
-            self.tell(now, owner, PeerMessage::Release { attempt, engine });
+            self.send_peer_message(now, owner, PeerMessage::Release { attempt, engine });
         }
     }
 
-    pub(in crate::core) fn on_caller_gone(&mut self, ticket: Ticket) {
+    pub(in crate::core) fn on_caller_disconnected(&mut self, ticket: Ticket) {
         let Some(id) = self.by_ticket.remove(&ticket) else {
             return;
         };
@@ -225,9 +226,9 @@
 }
 
 impl Call {
-    /// Its place in its program, as far as known.
-    fn place(&self) -> Option<CallId> {
+    /// Returns the ID of the call, if known.
+    fn call_id(&self) -> Option<CallId> {
         let attempted = self.attempt.as_ref().map(|attempt| attempt.call.clone());
-        attempted.or_else(|| self.attached.clone())
+        attempted.or_else(|| self.attached_to.clone())
     }
 }
--- a/crates/gateway/src/core/flow/mod.rs
+++ b/crates/gateway/src/core/flow/mod.rs
@@ -1,10 +1,10 @@
-//! What happens to calls, from admission to the final answer.
+//! Processing of calls, from admission to the final answer.
 //!
-//! - [`admit`]: asking the store, waiting for a turn, taking calls over;
-//! - [`route`]: choosing a back end and getting a slot;
-//! - [`run`]: what back ends report, retries, looking up lost requests;
-//! - [`finish`]: storing answers, refusals, telling callers;
-//! - [`timers`]: everything that happens because time passed.
+//! - [`admit`]: admission, waiting for earlier calls, takeover;
+//! - [`route`]: choice of a back end, slot requests and dispatch;
+//! - [`run`]: back-end events, retries and recovery of attempts;
+//! - [`finish`]: storing answers, closing calls and sending results;
+//! - [`timers`]: timeouts and periodic retries.
 
 mod admit;
 mod finish;
@@ -20,7 +20,7 @@
 use super::message::FailureCause;
 
 impl Gateway {
-    /// The store answered a step of a call.
+    /// Handles the store's reply to a step of a call.
     pub(super) fn on_call_answer(&mut self, now: Moment, id: u64, output: Option<ProgramOutput>) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -29,7 +29,7 @@
         match (phase, output) {
             (_, None) => self.fail_unknown(now, id, FailureCause::StoreUnavailable),
             (_, Some(ProgramOutput::Begin(outcome))) => self.on_begin(now, id, outcome),
-            (Phase::Dispatching, Some(ProgramOutput::Done)) => self.launch(now, id),
+            (Phase::Dispatching, Some(ProgramOutput::Done)) => self.send_attempt(now, id),
             (Phase::Completing, Some(ProgramOutput::Done)) => self.finish(now, id),
             (Phase::Closing(reason), Some(ProgramOutput::Done)) => {
                 self.fail_not_run(now, id, reason);
@@ -43,28 +43,28 @@
             | (Phase::Closing(_), Some(ProgramOutput::Refused(ProgramError::MayHaveRun))) => {
                 self.give_up(now, id, FailureCause::BackendLost);
             }
-            (Phase::Beginning, Some(ProgramOutput::Refused(error))) => {
+            (Phase::Admitting, Some(ProgramOutput::Refused(error))) => {
                 self.fail_refused(now, id, &error);
             }
-            // The record has moved on without this gateway: report what it says.
-            (_, Some(ProgramOutput::Refused(_))) => self.resolve(now, id),
+            // Another gateway or caller changed the record: report the recorded outcome.
+            (_, Some(ProgramOutput::Refused(_))) => self.report_recorded_outcome(now, id),
             (_, Some(_)) => {}
         }
     }
 
     fn on_begin(&mut self, now: Moment, id: u64, outcome: BeginOutcome) {
         match outcome {
-            BeginOutcome::Admitted(admission) => self.start_admitted(now, id, admission),
+            BeginOutcome::Admitted(admission) => self.on_admitted(now, id, admission),
             BeginOutcome::Answered(attempt, answer) => {
                 self.finish_stored(now, id, attempt, answer);
             }
             BeginOutcome::NotRun(call, reason) => {
-                self.note_place(id, call);
+                self.record_call_id(id, call);
                 self.fail_not_run(now, id, reason);
             }
             BeginOutcome::Unknown(attempt) => self.claim(now, id, attempt),
             BeginOutcome::Running { attempt, by } => {
-                self.on_running_elsewhere(now, id, attempt, &by);
+                self.on_already_running(now, id, attempt, &by);
             }
             BeginOutcome::NotYet { expected: _, is_running } => {
                 self.wait_for_turn(now, id, is_running)
--- a/crates/gateway/src/core/flow/run.rs
+++ b/crates/gateway/src/core/flow/run.rs
@@ -1,4 +1,4 @@
-//! What back ends report, retries, and looking up requests that got lost.
+//! Back-end events, retries, and recovery of attempts of other gateways.
 
 use calicohoist_scheduler::backoff;
 use calicohoist_store::broken_rules::{Rule, is_broken};
@@ -8,20 +8,20 @@
 use calicohoist_types::{AttemptId, Moment};
 use rand::RngExt;
 
-use super::route::{engine_order, service_order};
+use super::route::{engine_task, service_task};
 use crate::core::call::{Phase, Target};
 use crate::core::message::{Action, BackendEvent, BackendFailure, FailureCause};
 use crate::core::metrics::ATTEMPTS_FAILED;
-use crate::core::{Gateway, Purpose};
+use crate::core::{Gateway, PendingRequest};
 
 impl Gateway {
-    pub(in crate::core) fn on_backend(
+    pub(in crate::core) fn on_backend_event(
         &mut self,
         now: Moment,
         attempt: AttemptId,
         event: BackendEvent,
     ) {
-        // Events of attempts that were replaced are nobody's any more.
+        // Ignore events of attempts that were replaced.
         let Some(id) = self.by_attempt.get(&attempt).copied() else {
             return;
         };
@@ -53,15 +53,21 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let known = call.text.len();
-        if offset > known || call.text.get(offset..) != text.get(..known - offset.min(known)) {
-            // A hole, or other text than before: this is not the same answer.
-            emit!(Event::FrameMismatch, "{:?} at byte {offset}", call.attempt);
+        let known_len = call.text.len();
+        if offset > known_len
+            || call.text.get(offset..) != text.get(..known_len - offset.min(known_len))
+        {
+            // A gap, or text that differs from the text received before.
+            emit!(
+                Event::FrameMismatch,
+                "{:?}: text differs or has a gap at byte {offset}",
+                call.attempt
+            );
             return self.on_attempt_failed(now, id, BackendFailure::Broken);
         }
-        call.text.push_str(&text[known - offset..]);
-        call.phase = Phase::Running { progress: now };
-        self.forward(now, id);
+        call.text.push_str(&text[known_len - offset..]);
+        call.phase = Phase::Running { last_progress: now };
+        self.forward_text(now, id);
     }
 
     pub(super) fn on_attempt_failed(&mut self, now: Moment, id: u64, failure: BackendFailure) {
@@ -82,11 +88,11 @@
         }
         let repeatable = call.admission.as_ref().is_some_and(|admission| admission.repeatable)
             || is_broken(Rule::RepeatOnlyRepeatable);
-        // An attempt that only asked for the rest of an earlier one ran nothing
-        // itself, but the earlier one may have run.
-        let only_resumed = call.resumes.is_some();
+        // An attempt that resumes a stream runs nothing itself, but the earlier
+        // attempt may have run.
+        let is_resumption = call.resumes.is_some();
         let never_sent = match failure {
-            BackendFailure::NotStarted => !was_lookup && (repeatable || !only_resumed),
+            BackendFailure::NotStarted => !was_lookup && (repeatable || !is_resumption),
             BackendFailure::NothingToResume => repeatable,
             _ => false,
         };
@@ -99,7 +105,7 @@
         }
     }
 
-    /// Asks for another attempt.
+    /// Requests another attempt from the store.
     pub(super) fn retry(&mut self, now: Moment, id: u64, never_sent: bool) {
         self.release_slot(now, id);
         let by = self.settings.node.clone();
@@ -113,7 +119,7 @@
         call.resumes = None;
         let program = attempt.call.program.clone();
         let command = ProgramCommand::Retry { attempt, by, never_sent };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
     pub(super) fn start_retry(&mut self, now: Moment, id: u64, next: AttemptId) {
@@ -126,14 +132,14 @@
         }
         self.by_attempt.insert(next.clone(), id);
         call.target = None;
-        call.phase = Phase::Routing { again_at: now + backoff(next.number - 1, jitter) };
+        call.phase = Phase::Routing { retry_at: now + backoff(next.number - 1, jitter) };
         if let Some(admission) = &mut call.admission {
             admission.attempt = next;
         }
     }
 
-    /// Finds out what became of an attempt that another gateway had sent.
-    pub(super) fn recover(&mut self, now: Moment, id: u64, backend: Backend) {
+    /// Recovers an attempt that another gateway may have sent.
+    pub(super) fn recover_attempt(&mut self, now: Moment, id: u64, backend: Backend) {
         let address = match &backend {
             Backend::Engine(engine) => self.view.engine(engine).map(|spec| spec.address),
             Backend::Replica(name) => self.view.replica(name).map(|spec| spec.address),
@@ -153,7 +159,7 @@
         let is_engine = matches!(backend, Backend::Engine(_));
         let target = Target { backend, address };
         match (repeatable, is_engine) {
-            // The engine may still have the stream: resume it under a new mark.
+            // The engine may still have the stream: resume it with a new dispatch record.
             (true, true) => self.dispatch(now, id, target),
             (true, false) => {
                 call.resumes = None;
@@ -161,16 +167,16 @@
             }
             (false, true) => {
                 call.target = Some(target);
-                call.phase = Phase::Running { progress: now };
-                if let Some(order) = engine_order(call) {
-                    self.actions.push(Action::RunOnEngine(Box::new(order)));
+                call.phase = Phase::Running { last_progress: now };
+                if let Some(task) = engine_task(call) {
+                    self.actions.push(Action::RunOnEngine(Box::new(task)));
                 }
             }
             (false, false) => {
                 call.target = Some(target);
-                call.phase = Phase::LookingUp { since: now };
-                if let Some(order) = service_order(call, true) {
-                    self.actions.push(Action::RunOnService(Box::new(order)));
+                call.phase = Phase::LookingUp { sent_at: now };
+                if let Some(task) = service_task(call, true) {
+                    self.actions.push(Action::RunOnService(Box::new(task)));
                 }
             }
         }
@@ -186,13 +192,13 @@
             return;
         };
         call.phase = Phase::GivingUp;
-        call.cause = Some(cause);
+        call.failure_cause = Some(cause);
         let program = attempt.call.program.clone();
         let command = ProgramCommand::GiveUp { attempt, by };
-        self.command(now, Purpose::Call(id), &program, command);
+        self.send_command(now, PendingRequest::Call(id), &program, command);
     }
 
-    /// The program of the attempt was cancelled, here or through another gateway.
+    /// Handles the cancellation of the attempt's program.
     pub(in crate::core) fn on_cancel(&mut self, now: Moment, attempt: &AttemptId) {
         let Some(id) = self.by_attempt.get(attempt).copied() else {
             return;
@@ -201,10 +207,10 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.cancelled = true;
         }
-        self.resolve(now, id);
+        self.report_recorded_outcome(now, id);
     }
 
-    /// Tells the engine that nobody wants the attempt any more.
+    /// Cancels the running attempt on its engine.
     pub(super) fn cancel_on_engine(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -221,7 +227,7 @@
     }
 }
 
-/// A back end's name, for lists of back ends to avoid.
+/// Returns the name of a back end.
 pub(super) fn backend_name(backend: &Backend) -> String {
     match backend {
         Backend::Engine(engine) => engine.as_str().to_owned(),
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -1,13 +1,16 @@
-//! Everything a gateway decides, as a state machine without I/O.
+//! The decisions of a gateway, as a state machine without I/O.
 //!
-//! [`Gateway`] takes [`Input`]s and the passing of time, and returns [`Action`]s.
-//! Its parts: [`view`] is what it knows of the fleet and its lease, [`owner`]
-//! the queues of the engines it owns, [`memory`] the release of engine memory,
-//! [`call`] one call under way, and `flow` what happens to calls.
+//! [`Gateway`] takes [`Input`]s and clock ticks, and returns [`Action`]s.
+//!
+//! - [`view`]: the gateway's copy of the fleet state, and its lease;
+//! - [`owner`]: the queues of the engines that the gateway owns;
+//! - [`cache_release`]: release of the cache memory of ended programs;
+//! - [`call`]: the state of one active call;
+//! - `flow`: the steps of a call, from admission to the response.
 
+pub mod cache_release;
 pub mod call;
 mod flow;
-pub mod memory;
 pub mod message;
 mod metrics;
 pub mod owner;
@@ -31,104 +34,103 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use cache_release::CacheReleaseState;
 use call::Call;
-use memory::MemoryDuty;
 pub use message::{Action, CallerEvent, Input, PeerMessage, Ticket};
 use owner::EngineOwner;
 use view::FleetView;
 
-/// Settings of a gateway's decisions.
+/// Settings of the gateway core.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// This start of this gateway.
+    /// The gateway's node ID and incarnation.
     pub node: NodeRef,
-    /// Where other gateways reach it.
+    /// Address for connections from other gateways.
     pub peer_address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the gateway runs.
     pub zone: Zone,
     /// Numbers of the store machines.
     pub store_machines: Vec<u32>,
-    /// Groups that hold programs.
+    /// Number of replication groups that hold programs.
     pub program_groups: u32,
-    /// Longest time a call waits for a slot.
+    /// Maximum time a call waits for a slot.
     pub queue_timeout: Duration,
-    /// Longest time a call waits for an earlier one that has not arrived.
+    /// Maximum time a call waits for an earlier call that has not arrived.
     pub gap_timeout: Duration,
-    /// Silence of a back end after which an attempt is tried elsewhere.
+    /// Time without progress after which an attempt counts as failed.
     pub stall_timeout: Duration,
-    /// Longest time a request waits for the same request elsewhere.
+    /// Maximum time a request waits for a duplicate that is running.
     pub duplicate_timeout: Duration,
-    /// Calls under way in this gateway; more are refused.
+    /// Maximum number of active calls in this gateway.
     pub max_calls: usize,
-    /// Calls waiting for one engine.
+    /// Maximum number of calls that wait for one engine.
     pub max_waiting_per_engine: usize,
-    /// Attempts of one call.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
     /// Weights of the routing cost.
     pub weights: CostWeights,
-    /// Whether leaving back ends are known from the platform's list.
+    /// Whether the platform's machine list is available.
     pub has_platform: bool,
-    /// Seed of jitter and names.
+    /// Seed for jitter and generated keys.
     pub seed: u64,
 }
 
 /// Time between heartbeats to the store.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Requests that were on their way when a stop began are read and refused within
-/// this time; ending at once would cut them.
+/// Minimum duration of a graceful stop, in which requests in transit are still read and refused.
 const STOP_GRACE: Duration = Duration::from_millis(250);
-/// Patience with the store for one request.
-const STORE_PATIENCE: Duration = Duration::from_secs(10);
-/// Time between the lists of held slots that owners get.
-const HOLDING_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of one store request.
+const STORE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time between reports of held slots to the owners of engines.
+const SLOT_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an answer of the store is for.
+/// A store request that awaits its reply, by the code that handles the reply.
 #[derive(Debug)]
-enum Purpose {
-    /// A step of a call.
+enum PendingRequest {
+    /// A step of the call with this ID.
     Call(u64),
-    /// A caller's own request.
+    /// A store request on behalf of a caller.
     Caller(Ticket),
-    /// A caller that wants a stored answer.
+    /// A query for the recorded state of the call with this ID.
     Attach(u64),
-    /// The lease; sent at this moment.
+    /// A heartbeat sent at this time.
     Heartbeat(Moment),
-    /// Programs whose memory is to be released.
+    /// A query for programs whose cache memory is to be released.
     Releases,
-    /// Which programs of an engine's listing have ended.
+    /// A query for the programs in an engine's cache that are not active.
     NotActive(EngineId),
-    /// Nothing waits for it.
-    Forget,
+    /// A request whose reply is ignored.
+    Ignore,
 }
 
-/// A gateway.
+/// The state machine of a gateway.
 pub struct Gateway {
     settings: GatewaySettings,
     groups: GroupMap,
     random: ChaCha8Rng,
     router: StoreRouter,
-    purposes: BTreeMap<u64, Purpose>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     next_token: u64,
     view: FleetView,
     owner: EngineOwner,
-    memory: MemoryDuty,
+    cache_release: CacheReleaseState,
     calls: BTreeMap<u64, Call>,
     by_attempt: BTreeMap<AttemptId, u64>,
     by_ticket: BTreeMap<Ticket, u64>,
     next_call: u64,
     retries: RetryBudget,
     next_heartbeat: Moment,
-    heartbeat_is_out: bool,
-    next_holding: Moment,
+    heartbeat_pending: bool,
+    next_slot_report: Moment,
     stopping: bool,
-    /// A planned stop does not complete before this moment.
-    may_stop_from: Moment,
+    /// Earliest time at which a graceful stop completes.
+    earliest_stop: Moment,
     stopped: bool,
     actions: Vec<Action>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway with an empty view of the fleet.
     pub fn new(settings: GatewaySettings, now: Moment) -> Self {
         let offset = settings.seed as usize;
         let router = StoreRouter::new(settings.store_machines.clone(), offset);
@@ -136,61 +138,61 @@
             groups: GroupMap::new(settings.program_groups),
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             router,
-            purposes: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_token: 0,
             view: FleetView::new(settings.has_platform, now),
             owner: EngineOwner::new(settings.max_waiting_per_engine),
-            memory: MemoryDuty::default(),
+            cache_release: CacheReleaseState::default(),
             calls: BTreeMap::new(),
             by_attempt: BTreeMap::new(),
             by_ticket: BTreeMap::new(),
             next_call: 0,
             retries: RetryBudget::default(),
             next_heartbeat: now,
-            heartbeat_is_out: false,
-            next_holding: now,
+            heartbeat_pending: false,
+            next_slot_report: now,
             stopping: false,
-            may_stop_from: Moment::ZERO,
+            earliest_stop: Moment::ZERO,
             stopped: false,
             actions: Vec::new(),
             settings,
         }
     }
 
-    /// What this gateway knows of the fleet.
+    /// Returns the gateway's view of the fleet.
     pub fn view(&self) -> &FleetView {
         &self.view
     }
 
-    /// Calls under way.
-    pub fn calls_under_way(&self) -> usize {
+    /// Returns the number of active calls.
+    pub fn active_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// Whether it may start work now.
+    /// Returns whether the gateway may start new work.
     pub fn is_ready(&self, now: Moment) -> bool {
         !self.stopping && self.view.has_lease(now)
     }
 
-    /// Takes one input and returns what to do.
+    /// Processes one input and returns the resulting actions.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Action> {
         match input {
             Input::Call(ticket, request) => self.on_call(now, ticket, *request),
             Input::Attach { ticket, tenant, call, offset } => {
                 self.on_attach(now, ticket, tenant, call, offset)
             }
-            Input::Ask(ticket, request) => {
-                self.ask(now, Purpose::Caller(ticket), *request);
+            Input::StoreRequest(ticket, request) => {
+                self.send_store_request(now, PendingRequest::Caller(ticket), *request);
             }
-            Input::CallerGone(ticket) => self.on_caller_gone(ticket),
+            Input::CallerDisconnected(ticket) => self.on_caller_disconnected(ticket),
             Input::StoreReply { id, reply } => self.router.on_reply(now, id, reply),
-            Input::Peer { from, message } => self.on_peer(now, from, message),
-            Input::Backend(attempt, event) => self.on_backend(now, attempt, event),
+            Input::Peer { from, message } => self.on_peer_message(now, from, message),
+            Input::Backend(attempt, event) => self.on_backend_event(now, attempt, event),
             Input::CacheReleased { engine, program, confirmed } => {
                 self.on_cache_released(now, engine, program, confirmed)
             }
@@ -207,25 +209,25 @@
         self.take_actions(now)
     }
 
-    /// Lets time pass and returns what to do.
+    /// Runs timers and periodic work, and returns the resulting actions.
     pub fn tick(&mut self, now: Moment) -> Vec<Action> {
         self.router.tick(now);
         self.view.tick(now);
-        if now >= self.next_heartbeat && !self.heartbeat_is_out {
+        if now >= self.next_heartbeat && !self.heartbeat_pending {
             self.send_heartbeat(now);
         }
         self.run_owner(now);
-        self.run_memory(now);
-        self.send_holdings(now);
+        self.run_cache_release(now);
+        self.send_slot_reports(now);
         self.tick_calls(now);
         self.finish_stop(now);
-        metrics::CALLS_UNDER_WAY.set(self.calls.len() as u64);
+        metrics::ACTIVE_CALLS.set(self.calls.len() as u64);
         metrics::APPLIED_REVISION.set(self.view.applied().0);
         self.take_actions(now)
     }
 
     fn take_actions(&mut self, now: Moment) -> Vec<Action> {
-        // A reply may lead to another request, so this goes on until nothing is new.
+        // Handling a reply can create further router events.
         loop {
             let events = self.router.take_events();
             if events.is_empty() {
@@ -243,49 +245,55 @@
                 self.actions.push(Action::ToStore { machine, id, request: Box::new(request) })
             }
             RouterEvent::Done { token, reply } => {
-                if let Some(purpose) = self.purposes.remove(&token) {
-                    self.on_store_answer(now, purpose, reply);
+                if let Some(pending) = self.pending_requests.remove(&token) {
+                    self.on_store_answer(now, pending, reply);
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: Moment, purpose: Purpose, request: StoreRequest) {
+    fn send_store_request(&mut self, now: Moment, pending: PendingRequest, request: StoreRequest) {
         self.next_token += 1;
         let token = self.next_token;
-        self.purposes.insert(token, purpose);
-        self.router.submit(now, token, request, STORE_PATIENCE);
+        self.pending_requests.insert(token, pending);
+        self.router.submit(now, token, request, STORE_TIMEOUT);
     }
 
-    fn command(
+    fn send_command(
         &mut self,
         now: Moment,
-        purpose: Purpose,
+        pending: PendingRequest,
         program: &ProgramId,
         command: ProgramCommand,
     ) {
         let group = self.groups.group_of(program);
         let request = StoreRequest::Command(group, Command::Program(command));
-        self.ask(now, purpose, request);
+        self.send_store_request(now, pending, request);
     }
 
-    fn query(&mut self, now: Moment, purpose: Purpose, group: GroupId, query: ProgramQuery) {
+    fn send_query(
+        &mut self,
+        now: Moment,
+        pending: PendingRequest,
+        group: GroupId,
+        query: ProgramQuery,
+    ) {
         let request = StoreRequest::Query(group, Query::Program(query));
-        self.ask(now, purpose, request);
+        self.send_store_request(now, pending, request);
     }
 
-    fn on_store_answer(&mut self, now: Moment, purpose: Purpose, reply: Option<StoreReply>) {
-        match purpose {
-            Purpose::Call(call) => {
+    fn on_store_answer(&mut self, now: Moment, pending: PendingRequest, reply: Option<StoreReply>) {
+        match pending {
+            PendingRequest::Call(call) => {
                 let output = reply.and_then(program_output);
                 self.on_call_answer(now, call, output);
             }
-            Purpose::Caller(ticket) => self.on_caller_answer(now, ticket, reply),
-            Purpose::Attach(call) => self.on_attach_answer(now, call, reply),
-            Purpose::Heartbeat(sent) => self.on_heartbeat_answer(now, sent, reply),
-            Purpose::Releases => self.on_releases(now, reply),
-            Purpose::NotActive(engine) => self.on_not_active(now, &engine, reply),
-            Purpose::Forget => {}
+            PendingRequest::Caller(ticket) => self.on_caller_answer(now, ticket, reply),
+            PendingRequest::Attach(call) => self.on_attach_answer(now, call, reply),
+            PendingRequest::Heartbeat(sent_at) => self.on_heartbeat_answer(now, sent_at, reply),
+            PendingRequest::Releases => self.on_releases(now, reply),
+            PendingRequest::NotActive(engine) => self.on_not_active(now, &engine, reply),
+            PendingRequest::Ignore => {}
         }
     }
 
@@ -293,17 +301,22 @@
         if let Some(StoreReply::Output(Output::Program(ProgramOutput::Cancelled(running)))) = &reply
         {
             for (attempt, by) in running.clone() {
-                self.tell(now, by.node, PeerMessage::Cancel { attempt });
+                self.send_peer_message(now, by.node, PeerMessage::Cancel { attempt });
             }
         }
-        let event = CallerEvent::Store(reply.map(Box::new));
+        let event = CallerEvent::StoreReply(reply.map(Box::new));
         self.actions.push(Action::ToCaller(ticket, event));
     }
 
-    /// Says something to a gateway, perhaps this one.
-    fn tell(&mut self, now: Moment, to: calicohoist_types::NodeId, message: PeerMessage) {
+    /// Sends a message to a gateway; handles a message to this gateway directly.
+    fn send_peer_message(
+        &mut self,
+        now: Moment,
+        to: calicohoist_types::NodeId,
+        message: PeerMessage,
+    ) {
         if to == self.settings.node.node {
-            return self.on_peer(now, to, message);
+            return self.on_peer_message(now, to, message);
         }
         if let Some(address) = self.view.address_of(&to) {
             self.actions.push(Action::ToPeer { to, address, message });
@@ -312,7 +325,7 @@
 
     fn send_heartbeat(&mut self, now: Moment) {
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        self.heartbeat_is_out = true;
+        self.heartbeat_pending = true;
         let heartbeat = Heartbeat {
             from: self.settings.node.clone(),
             peer_address: self.settings.peer_address,
@@ -326,39 +339,44 @@
         let request = StoreRequest::Heartbeat(Box::new(heartbeat));
         self.next_token += 1;
         let token = self.next_token;
-        self.purposes.insert(token, Purpose::Heartbeat(now));
+        self.pending_requests.insert(token, PendingRequest::Heartbeat(now));
         self.router.submit(now, token, request, calicohoist_store::nodes::LEASE_DURATION);
     }
 
-    fn on_heartbeat_answer(&mut self, now: Moment, sent: Moment, reply: Option<StoreReply>) {
-        self.heartbeat_is_out = false;
+    fn on_heartbeat_answer(&mut self, now: Moment, sent_at: Moment, reply: Option<StoreReply>) {
+        self.heartbeat_pending = false;
         let Some(StoreReply::Heartbeat(reply)) = reply else {
             return;
         };
         let applied_before = self.view.applied();
-        self.view.on_heartbeat(now, sent, *reply);
+        self.view.on_heartbeat(now, sent_at, *reply);
         if self.view.applied() > applied_before {
             emit!(Event::ConfigurationApplied, "revision {}", self.view.applied());
-            // The sooner the store hears of it, the sooner it is in force.
+            // Report the applied revision at once: it takes effect when all nodes have it.
             self.next_heartbeat = now;
         }
         self.run_owner(now);
     }
 
-    /// Updates which engines this gateway owns, and gives out slots.
+    /// Updates the set of owned engines and grants slots.
     fn run_owner(&mut self, now: Moment) {
-        let own = self.settings.node.node.clone();
+        let own_node = self.settings.node.node.clone();
         let stopping = self.stopping;
-        let outcome = self.owner.run(now, &own, &self.view, stopping);
+        let outcome = self.owner.run(now, &own_node, &self.view, stopping);
         for (engine, address) in outcome.probes {
             self.actions.push(Action::ProbeEngine { engine, address });
         }
         for (to, message) in outcome.messages {
-            self.tell(now, to, message);
+            self.send_peer_message(now, to, message);
         }
     }
 
-    fn on_peer(&mut self, now: Moment, from: calicohoist_types::NodeId, message: PeerMessage) {
+    fn on_peer_message(
+        &mut self,
+        now: Moment,
+        from: calicohoist_types::NodeId,
+        message: PeerMessage,
+    ) {
         match message {
             PeerMessage::Granted { attempt, engine } => self.on_granted(now, attempt, engine),
             PeerMessage::Refused { attempt, engine, overloaded } => {
@@ -368,18 +386,18 @@
             message => {
                 let answer = self.owner.on_message(now, from.clone(), message);
                 if let Some(answer) = answer {
-                    self.tell(now, from, answer);
+                    self.send_peer_message(now, from, answer);
                 }
                 self.run_owner(now);
             }
         }
     }
 
-    fn send_holdings(&mut self, now: Moment) {
-        if now < self.next_holding {
+    fn send_slot_reports(&mut self, now: Moment) {
+        if now < self.next_slot_report {
             return;
         }
-        self.next_holding = now + HOLDING_INTERVAL;
+        self.next_slot_report = now + SLOT_REPORT_INTERVAL;
         let mut by_engine: BTreeMap<EngineId, Vec<AttemptId>> = BTreeMap::new();
         for call in self.calls.values() {
             if let Some((engine, attempt)) = call.held_slot() {
@@ -388,7 +406,7 @@
         }
         for (engine, attempts) in by_engine {
             if let Some(owner) = self.view.owner_of(&engine) {
-                self.tell(now, owner, PeerMessage::Holding { engine, attempts });
+                self.send_peer_message(now, owner, PeerMessage::Holding { engine, attempts });
             }
         }
     }
@@ -397,18 +415,18 @@
         if self.stopping {
             return;
         }
-        emit!(Event::StopRequested, "{} calls under way", self.calls.len());
+        emit!(Event::StopRequested, "{} active calls", self.calls.len());
         self.stopping = true;
-        self.may_stop_from = now + STOP_GRACE;
+        self.earliest_stop = now + STOP_GRACE;
         self.next_heartbeat = now;
         self.run_owner(now);
     }
 
     fn finish_stop(&mut self, now: Moment) {
         let handed_over =
-            self.view.knows_stopping(&self.settings.node) || !self.view.has_lease(now);
+            self.view.is_listed_as_stopping(&self.settings.node) || !self.view.has_lease(now);
         let is_idle = self.calls.is_empty() || is_broken(Rule::FinishCalls);
-        let is_due = self.stopping && !self.stopped && now >= self.may_stop_from;
+        let is_due = self.stopping && !self.stopped && now >= self.earliest_stop;
         if is_due && is_idle && handed_over {
             self.stopped = true;
             self.actions.push(Action::Stopped);
--- a/crates/gateway/src/core/owner.rs
+++ b/crates/gateway/src/core/owner.rs
@@ -1,8 +1,8 @@
-//! The queues of the engines that this gateway owns.
+//! Queues of the engines that this gateway owns.
 //!
-//! Two gateways may both believe that they own an engine for a moment. That
-//! costs order, not safety: the engine itself batches what it gets, and every
-//! attempt is fenced in the program's record.
+//! Two gateways may consider themselves the owner of an engine for a short time.
+//! This affects scheduling order but not correctness: the engine batches its
+//! requests itself, and every attempt is fenced in the program's record.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,57 +18,57 @@
 
 /// Time between probes of an owned engine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// An engine that has not answered for this long gets no new work.
+/// Time without a probe reply after which an engine gets no new work.
 const PROBE_EXPIRY: Duration = Duration::from_secs(3);
-/// A slot is not taken back for a missing mention while it is younger than this.
-const HOLDING_GRACE: Duration = Duration::from_secs(3);
+/// Minimum age of a slot before its absence from a holder's report frees it.
+const SLOT_REPORT_GRACE: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
 struct OwnedEngine {
     queue: EngineQueue,
     next_probe: Moment,
-    answered: Option<Moment>,
+    last_reply: Option<Moment>,
     leaving: bool,
 }
 
-/// What follows from a run of the owner's duty.
+/// Results of [`EngineOwner::run`].
 #[derive(Debug, Default)]
 pub(crate) struct OwnerOutcome {
     /// Engines to probe.
     pub(crate) probes: Vec<(EngineId, SocketAddr)>,
-    /// Messages to holders.
+    /// Messages to gateways about their attempts.
     pub(crate) messages: Vec<(NodeId, PeerMessage)>,
 }
 
-/// All owned engines.
+/// The engines that this gateway owns.
 #[derive(Debug)]
 pub(crate) struct EngineOwner {
     engines: BTreeMap<EngineId, OwnedEngine>,
-    /// Version of the owners that was followed last, and whether it was stopping.
-    followed: Option<(u64, bool)>,
+    /// Owners version and stopping flag of the last ownership update.
+    last_ownership: Option<(u64, bool)>,
     max_waiting: usize,
 }
 
 impl EngineOwner {
     pub(crate) fn new(max_waiting: usize) -> Self {
-        Self { engines: BTreeMap::new(), followed: None, max_waiting }
+        Self { engines: BTreeMap::new(), last_ownership: None, max_waiting }
     }
 
-    /// The owned engines.
+    /// Returns the owned engines.
     pub(crate) fn engines(&self) -> impl Iterator<Item = &EngineId> {
         self.engines.keys()
     }
 
-    /// Follows the view: takes over and gives up engines, gives out slots.
+    /// Updates ownership from the view, schedules probes and grants slots.
     pub(crate) fn run(
         &mut self,
         now: Moment,
-        own: &NodeId,
+        own_node: &NodeId,
         view: &FleetView,
         stopping: bool,
     ) -> OwnerOutcome {
         let mut outcome = OwnerOutcome::default();
-        self.follow_ownership(own, view, stopping, &mut outcome);
+        self.update_ownership(own_node, view, stopping, &mut outcome);
         for (engine, owned) in &mut self.engines {
             let Some(spec) = view.engine(engine) else {
                 continue;
@@ -78,35 +78,36 @@
                 owned.next_probe = now + PROBE_INTERVAL;
                 outcome.probes.push((engine.clone(), spec.address));
             }
-            if !view.may_use(engine) || owned.leaving {
-                bounce(engine, owned, &mut outcome);
-            } else if owned.is_fresh(now) && view.has_lease(now) {
-                grant(now, engine, spec.slots, owned, &mut outcome);
+            if !view.is_schedulable(engine) || owned.leaving {
+                refuse_waiting(engine, owned, &mut outcome);
+            } else if owned.is_responsive(now) && view.has_lease(now) {
+                grant_slots(now, engine, spec.slots, owned, &mut outcome);
             }
         }
         outcome
     }
 
-    fn follow_ownership(
+    fn update_ownership(
         &mut self,
-        own: &NodeId,
+        own_node: &NodeId,
         view: &FleetView,
         stopping: bool,
         outcome: &mut OwnerOutcome,
     ) {
         let current = (view.owners_version(), stopping);
-        if self.followed.replace(current) == Some(current) {
+        if self.last_ownership.replace(current) == Some(current) {
             return;
         }
-        let is_own = |engine: &EngineId| !stopping && view.owner_of(engine).as_ref() == Some(own);
+        let is_own =
+            |engine: &EngineId| !stopping && view.owner_of(engine).as_ref() == Some(own_node);
         let engines = view.engines().map(|(engine, _)| engine);
         let wanted: BTreeSet<EngineId> = engines.filter(is_own).collect();
-        let given_up: Vec<EngineId> =
+        let disowned: Vec<EngineId> =
             self.engines.keys().filter(|engine| !wanted.contains(*engine)).cloned().collect();
-        for engine in given_up {
+        for engine in disowned {
             emit!(Event::EngineDisowned, "{engine}");
             if let Some(mut owned) = self.engines.remove(&engine) {
-                bounce(&engine, &mut owned, outcome);
+                refuse_waiting(&engine, &mut owned, outcome);
             }
         }
         for engine in wanted {
@@ -124,12 +125,12 @@
         report: Option<EngineReport>,
     ) {
         if let (Some(owned), Some(report)) = (self.engines.get_mut(engine), report) {
-            owned.answered = Some(now);
+            owned.last_reply = Some(now);
             owned.leaving = report.leaving;
         }
     }
 
-    /// Takes a message of a holder; returns the answer, if one is due at once.
+    /// Handles a message of another gateway; returns the reply, if any.
     pub(crate) fn on_message(
         &mut self,
         now: Moment,
@@ -172,7 +173,7 @@
                     for attempt in &attempts {
                         owned.queue.adopt(attempt.clone(), from.clone(), now);
                     }
-                    owned.queue.reconcile(&from, &attempts, now - HOLDING_GRACE);
+                    owned.queue.reconcile(&from, &attempts, now - SLOT_REPORT_GRACE);
                 }
                 None
             }
@@ -180,26 +181,26 @@
         }
     }
 
-    /// Loads of the owned engines, for routing.
+    /// Returns the loads of the owned engines, which gateways use for routing.
     pub(crate) fn loads(&self, now: Moment, view: &FleetView) -> Vec<EngineLoad> {
         let load = |(engine, owned): (&EngineId, &OwnedEngine)| EngineLoad {
             engine: engine.clone(),
             running: owned.queue.running(),
             waiting: owned.queue.waiting(),
             waiting_tokens: owned.queue.waiting_tokens(),
-            accepts: view.may_use(engine) && !owned.leaving && owned.is_fresh(now),
+            accepts: view.is_schedulable(engine) && !owned.leaving && owned.is_responsive(now),
         };
         self.engines.iter().map(load).collect()
     }
 }
 
 impl OwnedEngine {
-    fn is_fresh(&self, now: Moment) -> bool {
-        self.answered.is_some_and(|answered| now.since(answered) < PROBE_EXPIRY)
+    fn is_responsive(&self, now: Moment) -> bool {
+        self.last_reply.is_some_and(|last_reply| now.since(last_reply) < PROBE_EXPIRY)
     }
 }
 
-fn grant(
+fn grant_slots(
     now: Moment,
     engine: &EngineId,
     slots: u32,
@@ -212,8 +213,8 @@
     }
 }
 
-/// Sends every waiting call back to its holder, to go elsewhere.
-fn bounce(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
+/// Refuses all waiting attempts, so that their gateways route them again.
+fn refuse_waiting(engine: &EngineId, owned: &mut OwnedEngine, outcome: &mut OwnerOutcome) {
     for entry in owned.queue.drain_waiting() {
         let message = PeerMessage::Refused {
             attempt: entry.attempt,
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,9 +1,9 @@
-//! Threads and rings around the core.
+//! Threads and channels around the core.
 //!
-//! Duties: `core` owns the [`Gateway`] and takes everything that happens from one
-//! bounded ring; HTTP workers serve callers; a bounded set of attempt threads
-//! talks to back ends; control threads release memory and probe engines; one
-//! duty reads the platform's list; links carry frames to store and peers.
+//! The `core` thread owns the [`Gateway`] and reads all inputs from one bounded
+//! channel. HTTP workers serve callers, attempt threads call back ends, control
+//! threads release cache memory and probe engines, and the `platform` thread polls
+//! the platform's machine list. Links carry frames to the store and other gateways.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -21,43 +21,43 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
 
+use crate::api::ApiHandler;
+use crate::api::caller_channels::CallerChannels;
 use crate::backend::{engine, platform, service};
 use crate::core::message::{Action, BackendEvent, BackendFailure, Input, PeerMessage};
 use crate::core::{Gateway, GatewaySettings};
-use crate::front::Front;
-use crate::front::callers::Callers;
 use crate::view::SharedView;
 
-/// Inputs that may wait for the core.
-const RING: usize = 65_536;
-/// Inputs taken before time passes again.
+/// Capacity of the core's input channel.
+const INPUT_CAPACITY: usize = 65_536;
+/// Maximum number of inputs processed between checks for the next tick.
 const MAX_BATCH: usize = 256;
-/// How often time passes for the core.
-const TICK: Duration = Duration::from_millis(20);
-/// Control requests that may wait.
-const CONTROL_RING: usize = 4_096;
-/// Threads that carry out control requests.
+/// Time between ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity of the channel of control requests.
+const CONTROL_CAPACITY: usize = 4_096;
+/// Number of threads that execute control requests.
 const CONTROL_THREADS: usize = 4;
-/// Time between readings of the platform's list.
+/// Time between polls of the platform's machine list.
 const PLATFORM_INTERVAL: Duration = Duration::from_secs(1);
 const STOP_POLL: Duration = Duration::from_millis(50);
 
 /// Settings of a gateway process.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Settings of its decisions. Its peer address is replaced by the bound one.
+    /// Settings of the core. The peer address is replaced by the bound address.
     pub core: GatewaySettings,
-    /// Store machines.
+    /// Addresses of the store machines.
     pub stores: BTreeMap<u32, SocketAddr>,
-    /// The platform's list of machines.
+    /// Address of the platform API, if there is one.
     pub platform: Option<SocketAddr>,
-    /// Bounds of the HTTP server.
+    /// Settings of the HTTP server.
     pub http: ServerSettings,
-    /// Attempts under way on back ends at a time.
+    /// Maximum number of concurrent attempts on back ends.
     pub attempt_threads: usize,
 }
 
-/// One frame between gateways.
+/// A frame between gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerFrame {
     /// The sender.
@@ -66,14 +66,14 @@
     pub message: PeerMessage,
 }
 
-/// What the core's ring carries.
+/// An item of the core's input channel.
 #[derive(Debug)]
 pub enum CoreInput {
-    /// For the core.
+    /// An input of the core.
     Input(Input),
 }
 
-/// A running gateway. Dropping it stops it at once, as a crash would.
+/// A running gateway. Dropping it stops it without finishing active calls.
 pub struct GatewayServer {
     http: HttpServer,
     peer_address: SocketAddr,
@@ -85,10 +85,10 @@
 }
 
 impl GatewayServer {
-    /// Starts a gateway for callers on `http` and other gateways on `peers`.
+    /// Starts a gateway that serves callers on `http` and other gateways on `peers`.
     ///
     /// # Errors
-    /// When a socket or thread cannot be had.
+    /// Fails when a socket or thread cannot be created.
     pub fn start(
         mut config: ServerConfig,
         http: TcpListener,
@@ -98,72 +98,72 @@
         config.core.peer_address = peer_address;
         let stop = Arc::new(AtomicBool::new(false));
         let stopping = Arc::new(AtomicBool::new(false));
-        let (sender, receiver) = bounded(RING);
+        let (sender, receiver) = bounded(INPUT_CAPACITY);
         let (stopped_sender, stopped) = bounded(1);
-        let callers = Arc::new(Callers::default());
+        let caller_channels = Arc::new(CallerChannels::default());
         let view = Arc::new(SharedView::default());
         let peer_server = FrameServer::start(peers, peer_handler(sender.clone()))?;
         let (attempts, mut threads) = start_attempt_threads(&config, &sender, &stop)?;
         let (control, control_threads) = start_control_threads(&sender, &stop)?;
         threads.extend(control_threads);
-        let duty = CoreDuty {
+        let core_thread = CoreThread {
             receiver,
-            callers: callers.clone(),
+            caller_channels: caller_channels.clone(),
             view: view.clone(),
             stores: open_store_links(&config.stores, &sender)?,
             peers: BTreeMap::new(),
             attempts,
             control,
             core: sender.clone(),
-            own: config.core.node.node.clone(),
+            own_node: config.core.node.node.clone(),
             stop: stop.clone(),
             stopping: stopping.clone(),
             stopped: stopped_sender,
         };
         let settings = config.core.clone();
-        threads.push(spawn("core", move || duty.run(settings))?);
+        threads.push(spawn("core", move || core_thread.run(settings))?);
         if let Some(address) = config.platform {
             let (sender, stop) = (sender.clone(), stop.clone());
-            threads.push(spawn("platform", move || watch_platform(address, &sender, &stop))?);
+            threads.push(spawn("platform", move || poll_platform(address, &sender, &stop))?);
         }
-        let front = Front {
+        let handler = ApiHandler {
             core: sender.clone(),
-            callers,
+            caller_channels,
             view,
             groups: GroupMap::new(config.core.program_groups),
             stopping,
         };
-        let http = HttpServer::start_on(http, config.http, Arc::new(front))?;
+        let http = HttpServer::start_on(http, config.http, Arc::new(handler))?;
         Ok(Self { http, peer_address, core: sender, stop, stopped, threads, _peers: peer_server })
     }
 
-    /// Address for callers.
+    /// Returns the address for callers.
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Address for other gateways.
+    /// Returns the address for other gateways.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Begins a planned stop: new calls are refused, those under way finish.
+    /// Begins a graceful stop: refuses new calls and finishes active ones.
     pub fn begin_stop(&self) {
         let _ = self.core.send(CoreInput::Input(Input::Stop));
     }
 
-    /// Waits for the planned stop to complete; `false` when `patience` ran out.
-    pub fn wait_stopped(&self, patience: Duration) -> bool {
-        self.stopped.recv_timeout(patience).is_ok()
+    /// Waits for the graceful stop to complete; returns `false` after the timeout.
+    pub fn wait_stopped(&self, timeout: Duration) -> bool {
+        self.stopped.recv_timeout(timeout).is_ok()
     }
 
-    /// A planned stop with patience; `true` when nothing was cut.
-    pub fn stop_gracefully(mut self, patience: Duration) -> bool {
+    /// Stops the gateway; returns `true` when all active calls finished before the timeout.
+    pub fn stop_gracefully(mut self, timeout: Duration) -> bool {
         self.begin_stop();
-        let complete = self.wait_stopped(patience);
+        let complete = self.wait_stopped(timeout);
         let event = if complete { Event::StopFinished } else { Event::StopForced };
         emit!(event, "gateway");
-        // Workers still write the last bytes of answers that are complete.
+        // Workers may still be writing the end of complete answers.
         self.http.stop();
         complete
     }
@@ -208,7 +208,7 @@
     Ok(links)
 }
 
-fn watch_platform(address: SocketAddr, core: &Sender<CoreInput>, stop: &AtomicBool) {
+fn poll_platform(address: SocketAddr, core: &Sender<CoreInput>, stop: &AtomicBool) {
     let mut next = Instant::now();
     while !stop.load(Ordering::SeqCst) {
         if Instant::now() >= next {
@@ -220,39 +220,39 @@
     }
 }
 
-/// Work for attempt and control threads.
+/// A job for an attempt or control thread.
 type Job = Box<dyn FnOnce(&Sender<CoreInput>) + Send>;
-/// A ring of jobs, and the threads behind it.
-type Crew = (Sender<Job>, Vec<JoinHandle<()>>);
+/// The job channel of a thread pool, and its threads.
+type WorkerPool = (Sender<Job>, Vec<JoinHandle<()>>);
 
 fn start_attempt_threads(
     config: &ServerConfig,
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    start_crew("attempt", config.attempt_threads, config.attempt_threads, core, stop)
+) -> std::io::Result<WorkerPool> {
+    start_workers("attempt", config.attempt_threads, config.attempt_threads, core, stop)
 }
 
 fn start_control_threads(
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    start_crew("control", CONTROL_THREADS, CONTROL_RING, core, stop)
+) -> std::io::Result<WorkerPool> {
+    start_workers("control", CONTROL_THREADS, CONTROL_CAPACITY, core, stop)
 }
 
-fn start_crew(
+fn start_workers(
     name: &str,
     threads: usize,
-    ring: usize,
+    capacity: usize,
     core: &Sender<CoreInput>,
     stop: &Arc<AtomicBool>,
-) -> std::io::Result<Crew> {
-    let (sender, receiver) = bounded::<Job>(ring);
+) -> std::io::Result<WorkerPool> {
+    let (sender, receiver) = bounded::<Job>(capacity);
     let mut handles = Vec::new();
     for index in 0..threads {
         let (receiver, core, stop) = (receiver.clone(), core.clone(), stop.clone());
         handles.push(spawn(&format!("{name}-{index}"), move || {
-            // The ring is closed when the core ends; an idle thread costs nothing.
+            // The channel is closed when the core thread ends.
             while let Ok(job) = receiver.recv() {
                 if stop.load(Ordering::SeqCst) {
                     return;
@@ -264,26 +264,26 @@
     Ok((sender, handles))
 }
 
-/// The duty that owns the core.
-struct CoreDuty {
+/// State of the thread that owns the core.
+struct CoreThread {
     receiver: Receiver<CoreInput>,
-    callers: Arc<Callers>,
+    caller_channels: Arc<CallerChannels>,
     view: Arc<SharedView>,
     stores: BTreeMap<u32, Link<StoreFrame>>,
     peers: BTreeMap<NodeId, (SocketAddr, Link<PeerFrame>)>,
     attempts: Sender<Job>,
     control: Sender<Job>,
     core: Sender<CoreInput>,
-    own: NodeId,
+    own_node: NodeId,
     stop: Arc<AtomicBool>,
     stopping: Arc<AtomicBool>,
     stopped: Sender<()>,
 }
 
-impl CoreDuty {
+impl CoreThread {
     fn run(mut self, settings: GatewaySettings) {
         let origin = Instant::now();
-        // The origin lies in the past, so that moments just before now exist.
+        // Start at one second, so that short durations can be subtracted from now.
         let now = || Moment::from_micros(1_000_000) + origin.elapsed();
         let stall_timeout = settings.stall_timeout;
         let mut gateway = Gateway::new(settings, now());
@@ -291,12 +291,12 @@
         while !self.stop.load(Ordering::SeqCst) {
             for input in self.take_batch() {
                 let actions = gateway.step(now(), input);
-                self.perform_all(actions, stall_timeout);
+                self.perform_actions(actions, stall_timeout);
             }
             if now() >= next_tick {
-                next_tick = now() + TICK;
+                next_tick = now() + TICK_INTERVAL;
                 let actions = gateway.tick(now());
-                self.perform_all(actions, stall_timeout);
+                self.perform_actions(actions, stall_timeout);
                 self.view.update(gateway.view(), gateway.is_ready(now()));
                 self.stopping.store(gateway.is_stopping(), Ordering::SeqCst);
             }
@@ -305,7 +305,7 @@
 
     fn take_batch(&self) -> Vec<Input> {
         let mut batch = Vec::new();
-        match self.receiver.recv_timeout(TICK) {
+        match self.receiver.recv_timeout(TICK_INTERVAL) {
             Ok(CoreInput::Input(input)) => batch.push(input),
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return batch,
         }
@@ -318,13 +318,13 @@
         batch
     }
 
-    fn perform_all(&mut self, actions: Vec<Action>, stall_timeout: Duration) {
+    fn perform_actions(&mut self, actions: Vec<Action>, stall_timeout: Duration) {
         for action in actions {
-            self.perform(action, stall_timeout);
+            self.perform_action(action, stall_timeout);
         }
     }
 
-    fn perform(&mut self, action: Action, stall_timeout: Duration) {
+    fn perform_action(&mut self, action: Action, stall_timeout: Duration) {
         match action {
             Action::ToStore { machine, id, request } => {
                 if let Some(link) = self.stores.get(&machine) {
@@ -334,24 +334,24 @@
             }
             Action::ToPeer { to, address, message } => self.send_to_peer(to, address, message),
             Action::ToCaller(ticket, event) => {
-                self.callers.deliver(ticket, event);
+                self.caller_channels.deliver(ticket, event);
             }
-            Action::RunOnEngine(order) => {
-                let attempt = order.attempt.clone();
+            Action::RunOnEngine(task) => {
+                let attempt = task.attempt.clone();
                 self.run_attempt(attempt, move |report| {
-                    engine::run(&order, stall_timeout, report);
+                    engine::run(&task, stall_timeout, report);
                 });
             }
-            Action::RunOnService(order) => {
-                let attempt = order.attempt.clone();
+            Action::RunOnService(task) => {
+                let attempt = task.attempt.clone();
                 self.run_attempt(attempt, move |report| {
-                    service::run(&order, stall_timeout, report);
+                    service::run(&task, stall_timeout, report);
                 });
             }
             Action::CancelOnEngine { attempt, address } => {
-                self.control(move |_| engine::cancel(address, &attempt));
+                self.run_control(move |_| engine::cancel(address, &attempt));
             }
-            Action::ReleaseCache { engine, address, program } => self.control(move |core| {
+            Action::ReleaseCache { engine, address, program } => self.run_control(move |core| {
                 let confirmed = engine::release(address, &program);
                 let _ = core.send(CoreInput::Input(Input::CacheReleased {
                     engine,
@@ -359,12 +359,12 @@
                     confirmed,
                 }));
             }),
-            Action::ListCache { engine, address } => self.control(move |core| {
+            Action::ListCache { engine, address } => self.run_control(move |core| {
                 if let Some(programs) = engine::list(address) {
                     let _ = core.send(CoreInput::Input(Input::CacheListing { engine, programs }));
                 }
             }),
-            Action::ProbeEngine { engine, address } => self.control(move |core| {
+            Action::ProbeEngine { engine, address } => self.run_control(move |core| {
                 let report = engine::probe(address);
                 let _ = core.send(CoreInput::Input(Input::EngineProbe { engine, report }));
             }),
@@ -374,14 +374,13 @@
         }
     }
 
-    /// Runs an attempt on a free thread. Without one it counts as not started,
-    /// since nothing was sent.
+    /// Runs an attempt on a free thread; reports it as not started if there is none.
     fn run_attempt(
         &self,
         attempt: calicohoist_types::AttemptId,
         run: impl FnOnce(&mut dyn FnMut(BackendEvent)) + Send + 'static,
     ) {
-        let name = attempt.clone();
+        let failed_attempt = attempt.clone();
         let job: Job = Box::new(move |core| {
             run(&mut |event| {
                 let _ = core.send(CoreInput::Input(Input::Backend(attempt.clone(), event)));
@@ -389,12 +388,12 @@
         });
         if self.attempts.try_send(job).is_err() {
             let event = BackendEvent::Failed(BackendFailure::NotStarted);
-            let _ = self.core.try_send(CoreInput::Input(Input::Backend(name, event)));
+            let _ = self.core.try_send(CoreInput::Input(Input::Backend(failed_attempt, event)));
         }
     }
 
-    fn control(&self, job: impl FnOnce(&Sender<CoreInput>) + Send + 'static) {
-        // A control request that finds no room is repeated by its duty.
+    fn run_control(&self, job: impl FnOnce(&Sender<CoreInput>) + Send + 'static) {
+        // Dropped when the channel is full; periodic requests are sent again.
         let _ = self.control.try_send(Box::new(job));
     }
 
@@ -409,7 +408,7 @@
             }
         }
         if let Some((_, link)) = self.peers.get(&to) {
-            link.send(PeerFrame { from: self.own.clone(), message });
+            link.send(PeerFrame { from: self.own_node.clone(), message });
         }
     }
 }
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -7,8 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use calicohoist_gateway::core::message::{CallRequest, CallerEvent, Finish, Ticket, Work};
-use calicohoist_gateway::front::errors::ApiError;
+use calicohoist_gateway::api::errors::ApiError;
+use calicohoist_gateway::core::message::{
+    CallPayload, CallRequest, CallerEvent, Completion, Ticket,
+};
 use calicohoist_store::commands::program::{
     NewProgram, ProgramCommand, ProgramError, ProgramOutput,
 };
@@ -310,7 +312,7 @@
     }
 
     fn ask_news(&mut self, id: u64, news: ClientNews) {
-        if let ClientNews::Event(CallerEvent::Store(Some(reply))) = news {
+        if let ClientNews::Event(CallerEvent::StoreReply(Some(reply))) = news {
             if let Some(ask) = self.clients.asks.remove(&id) {
                 self.ask_answered(ask, *reply);
             }
@@ -537,14 +539,14 @@
         let gateway = open.gateway % self.gateways.len();
         open.gateway = gateway;
         let program = &self.clients.programs[open.program];
-        let work = match &open.asked {
-            Asked::Model { model, messages } => Work::Model {
+        let payload = match &open.asked {
+            Asked::Model { model, messages } => CallPayload::Model {
                 model: ModelId::new(model),
                 messages: messages.clone(),
                 max_tokens: None,
             },
             Asked::Service { service, input } => {
-                Work::Service { service: ServiceId::new(service), input: input.clone() }
+                CallPayload::Service { service: ServiceId::new(service), input: input.clone() }
             }
         };
         let request = CallRequest {
@@ -553,7 +555,7 @@
             sequence: Some(open.sequence),
             key: Some(IdempotencyKey::new(&open.key)),
             repeatable: open.repeatable,
-            work,
+            payload,
         };
         let ticket = self.clients.ticket(gateway, Open::Try(Box::new(open)));
         self.send_client(gateway, ticket, ClientRequest::Call(Box::new(request)));
@@ -576,12 +578,12 @@
                 self.clients.open.insert(ticket, (gateway, Open::Try(open)));
             }
             ClientNews::Event(CallerEvent::Finished(finish)) => {
-                let Finish { finish_reason, usage, .. } = finish;
+                let Completion { finish_reason, usage, .. } = finish;
                 let text = std::mem::take(&mut open.text);
                 self.try_ended(*open, TryEnd::Answered { text, finish_reason, usage });
             }
             ClientNews::Event(CallerEvent::Failed(failure)) => {
-                let error = ApiError::of_failure(&failure).body().error;
+                let error = ApiError::from_failure(&failure).body().error;
                 let code = error.code.unwrap_or_default();
                 self.try_ended(*open, TryEnd::Refused { outcome: failure.outcome, code });
             }
