--- a/crates/calicohoist/tests/drains.rs
+++ b/crates/calicohoist/tests/drains.rs
@@ -13,9 +13,9 @@
 
 fn model(name: &str) -> ScriptedReplica {
     ScriptedReplica::start(name, |exchange| {
-        let id = exchange.seen.id().to_owned();
-        exchange.begin_stream();
-        exchange.event(1, &id);
+        let id = exchange.request.id().to_owned();
+        exchange.start_stream();
+        exchange.send_event(1, &id);
         exchange.end_stream();
     })
 }
@@ -39,8 +39,8 @@
 fn a_drain_outlasts_its_leader_a_disk_and_all_power() {
     let machines = Machines::new();
     let (near, far) = (model("m-1"), model("m-2"));
-    machines.list.show_in("hall", &near, "models", "ready");
-    machines.list.show_in("annex", &far, "models", "ready");
+    machines.list.put_in_zone("hall", &near, "models", "ready");
+    machines.list.put_in_zone("annex", &far, "models", "ready");
     let mut stores: Vec<Process> = STORES.iter().map(|ip| machines.start(ip, true)).collect();
     let body = configuration(5).to_string();
     wait_until("the configuration is accepted", || {
--- a/crates/calicohoist/tests/machines/mod.rs
+++ b/crates/calicohoist/tests/machines/mod.rs
@@ -16,7 +16,7 @@
 
 pub mod forwarder;
 
-use crate::support::{ListServer, Reply, client, exchange, request_head, wait_until};
+use crate::support::{ListServer, Response, client, exchange, request_head, wait_until};
 
 pub const STORES: [&str; 3] = ["127.0.0.11", "127.0.0.12", "127.0.0.13"];
 /// Where store processes listen behind forwarders.
@@ -170,7 +170,12 @@
     }
 
     /// Asks every store machine until one answers 200 by itself.
-    pub fn operator(&self, method: &str, path: &str, body: &str) -> Option<(Reply, &'static str)> {
+    pub fn operator(
+        &self,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<(Response, &'static str)> {
         STORES.iter().find_map(|ip| {
             let mut stream = std::net::TcpStream::connect(self.control(ip)).ok()?;
             let request = format!(
@@ -179,7 +184,7 @@
                 body.len()
             );
             stream.write_all(request.as_bytes()).ok()?;
-            let reply = client::read_reply(&mut std::io::BufReader::new(stream));
+            let reply = client::read_response(&mut std::io::BufReader::new(stream));
             (reply.status == 200).then_some((reply, *ip))
         })
     }
--- a/crates/calicohoist/tests/processes.rs
+++ b/crates/calicohoist/tests/processes.rs
@@ -13,9 +13,9 @@
 
 fn model() -> ScriptedReplica {
     ScriptedReplica::start("i-1", |exchange| {
-        let id = exchange.seen.id().to_owned();
-        exchange.begin_stream();
-        exchange.event(1, &id);
+        let id = exchange.request.id().to_owned();
+        exchange.start_stream();
+        exchange.send_event(1, &id);
         exchange.end_stream();
     })
 }
@@ -24,7 +24,7 @@
 fn programs_go_on_through_a_killed_leader_a_lost_disk_and_a_planned_stop() {
     let machines = Machines::new();
     let model = model();
-    machines.list.show(&model, "models", "ready");
+    machines.list.put(&model, "models", "ready");
     let mut stores: Vec<Process> = STORES.iter().map(|ip| machines.start(ip, true)).collect();
     let mut fronts: Vec<Process> = FRONTS.iter().map(|ip| machines.start(ip, true)).collect();
     let body = configuration(5).to_string();
--- a/crates/calicohoist/tests/soak/caller.rs
+++ b/crates/calicohoist/tests/soak/caller.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-use crate::support::{Reply, client, request_head};
+use crate::support::{Response, client, request_head};
 use crate::{
     BUDGET, EVENTS, INPUT_BYTES, MOST_TOKENS, Shared, TOKENS_PER_EVENT, TRIES, TURNS, output,
 };
@@ -24,13 +24,13 @@
 
 impl KeptConnections {
     /// One request; `None` when there was no connection or no head.
-    fn exchange(&mut self, address: SocketAddr, request: &[u8]) -> Option<Reply> {
+    fn exchange(&mut self, address: SocketAddr, request: &[u8]) -> Option<Response> {
         let mut connection = match self.0.remove(&address) {
             Some(kept) => kept,
             None => connect(address)?,
         };
         connection.get_mut().write_all(request).ok()?;
-        let reply = client::read_reply(&mut connection);
+        let reply = client::read_response(&mut connection);
         let closes = reply.header("connection").is_some_and(|value| value == "close");
         if reply.is_complete && !closes {
             self.0.insert(address, connection);
@@ -46,7 +46,7 @@
 }
 
 /// One request over a connection of its own; `None` when there was no connection or no head.
-pub fn try_exchange(address: SocketAddr, request: &[u8]) -> Option<Reply> {
+pub fn try_exchange(address: SocketAddr, request: &[u8]) -> Option<Response> {
     KeptConnections::default().exchange(address, request)
 }
 
@@ -135,7 +135,7 @@
         id: &str,
         previous: Option<&str>,
         input: &str,
-        reply: &Reply,
+        reply: &Response,
     ) -> bool {
         let text = reply.text();
         let events = text.matches("data: ").count() as u64;
--- a/crates/calicohoist/tests/soak/drains.rs
+++ b/crates/calicohoist/tests/soak/drains.rs
@@ -86,7 +86,7 @@
         let names: Vec<&str> = names.map(|(name, ..)| *name).collect();
         let drained = replicas.iter().filter(|replica| names.contains(&replica.id.as_str()));
         for seen in drained.flat_map(ScriptedReplica::requests) {
-            let late = seen.at.filter(|at| *at > from && *at < drain.withdrawn);
+            let late = seen.received_at.filter(|at| *at > from && *at < drain.withdrawn);
             if let Some(at) = late {
                 let after = (at - drain.acknowledged).as_millis();
                 violations.push(format!("{} reached {} {after} ms after", seen.id(), drain.zone));
--- a/crates/calicohoist/tests/soak/faults.rs
+++ b/crates/calicohoist/tests/soak/faults.rs
@@ -123,8 +123,8 @@
             let mut replica = if service == "models" { model(name) } else { tool(name) };
             let forwarder = Forwarder::start(at("127.0.0.1", 0), replica.address);
             replica.address = forwarder.address;
-            machines.list.show_in(zone, &replica, service, "ready");
-            machines.list.change(&replica, "born", json!(FIRST_START_MS));
+            machines.list.put_in_zone(zone, &replica, service, "ready");
+            machines.list.set_field(&replica, "born", json!(FIRST_START_MS));
             into_replicas.push(forwarder);
             replicas.push(replica);
         }
@@ -197,7 +197,7 @@
         self.newest_start_ms += 1;
         self.into_replicas[index].break_connections();
         let start = json!(self.newest_start_ms);
-        self.machines.list.change(&self.replicas[index], "born", start);
+        self.machines.list.set_field(&self.replicas[index], "born", start);
     }
 
     /// Lets time pass, and ends the faults whose time has come.
--- a/crates/calicohoist/tests/soak/main.rs
+++ b/crates/calicohoist/tests/soak/main.rs
@@ -125,23 +125,23 @@
 }
 
 fn refuse(exchange: &mut support::replica::Exchange<'_>) {
-    exchange.answer("503 Full", "Calicohoist-Not-Executed: full\r\n", "");
+    exchange.respond("503 Full", "Calicohoist-Not-Executed: full\r\n", "");
 }
 
 fn model(name: &str) -> ScriptedReplica {
     ScriptedReplica::start(name, |exchange| {
-        let id = exchange.seen.id().to_owned();
+        let id = exchange.request.id().to_owned();
         let behaviour = behaviour(&id);
         if behaviour == Behaviour::Refuses {
             return refuse(exchange);
         }
-        exchange.begin_stream();
+        exchange.start_stream();
         for number in 1..=EVENTS {
             if behaviour == Behaviour::BreaksOff && number == 2 {
-                return exchange.break_off();
+                return exchange.abort_connection();
             }
             thread::sleep(Duration::from_millis(4));
-            exchange.event(number, &format!("{id}/{number}"));
+            exchange.send_event(number, &format!("{id}/{number}"));
         }
         exchange.end_stream();
     })
@@ -149,12 +149,12 @@
 
 fn tool(name: &str) -> ScriptedReplica {
     ScriptedReplica::start(name, |exchange| {
-        let id = exchange.seen.id().to_owned();
+        let id = exchange.request.id().to_owned();
         match behaviour(&id) {
             Behaviour::Refuses => refuse(exchange),
-            Behaviour::BreaksOff => exchange.break_off(),
+            Behaviour::BreaksOff => exchange.abort_connection(),
             Behaviour::Answers => {
-                exchange.answer("200 OK", "", &large_answer(&id).unwrap_or(id));
+                exchange.respond("200 OK", "", &large_answer(&id).unwrap_or(id));
             }
         }
     })
