--- a/crates/calicohoist/src/cli/serve.rs
+++ b/crates/calicohoist/src/cli/serve.rs
@@ -9,7 +9,7 @@
 use bpaf::Bpaf;
 use bytes::Bytes;
 use calicohoist_ledger::server;
-use calicohoist_platform::{NODE_FILE_VARIABLE, NodeRole, read_node_file};
+use calicohoist_platform::{NODE_FILE_VARIABLE, NodeRole, parse_node_file};
 use calicohoist_proxy::front;
 use calicohoist_telemetry::{Event, LogSettings, emit, logging, metrics};
 use eyre::{Result, WrapErr};
@@ -50,7 +50,7 @@
     let file = &arguments.node_file;
     let text = std::fs::read_to_string(file)
         .wrap_err_with(|| format!("cannot read {}", file.display()))?;
-    let role = read_node_file(&text)?;
+    let role = parse_node_file(&text)?;
     if arguments.check {
         println!("{}: accepted", file.display());
         return Ok(());
