--- a/crates/emulator/src/answer.rs
+++ b/crates/emulator/src/answer.rs
@@ -1,16 +1,16 @@
-//! What an emulated model answers: a function of the model and the whole prompt.
+//! Deterministic answers: a function of the model and the full prompt.
 
 use calicohoist_types::{ChatMessage, ModelId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Shortest answer, in tokens.
+/// Minimum answer length, in tokens.
 pub const MIN_ANSWER_TOKENS: usize = 8;
-/// Longest answer, in tokens.
+/// Maximum answer length, in tokens.
 pub const MAX_ANSWER_TOKENS: usize = 40;
 
-/// Words of at most 12 bytes, so that each is one token.
-const WORDS: [&str; 40] = [
+/// Vocabulary; each word is at most 12 bytes, which makes it exactly one token.
+const VOCABULARY: [&str; 40] = [
     "notice",
     "permit",
     "water",
@@ -53,20 +53,20 @@
     "and",
 ];
 
-/// The tokens of the answer to `prompt`, without a limit.
+/// Returns the tokens of the unlimited answer to `prompt`.
 pub fn answer_tokens(model: &ModelId, prompt: &[ChatMessage]) -> Vec<&'static str> {
     let mut random = ChaCha8Rng::from_seed(prompt_seed(model, prompt));
     let length = random.random_range(MIN_ANSWER_TOKENS..=MAX_ANSWER_TOKENS);
-    let word = |_| WORDS[random.random_range(0..WORDS.len())];
+    let word = |_| VOCABULARY[random.random_range(0..VOCABULARY.len())];
     (0..length).map(word).collect()
 }
 
-/// The text of the answer to `prompt` when at most `max_tokens` may be generated.
+/// Returns the answer to `prompt`, truncated to `max_tokens`.
 pub fn answer_text(model: &ModelId, prompt: &[ChatMessage], max_tokens: u64) -> String {
     let tokens = answer_tokens(model, prompt);
     let limit = usize::try_from(max_tokens).unwrap_or(usize::MAX);
-    let taken: Vec<&str> = tokens.into_iter().take(limit).collect();
-    taken.join(" ")
+    let truncated: Vec<&str> = tokens.into_iter().take(limit).collect();
+    truncated.join(" ")
 }
 
 fn prompt_seed(model: &ModelId, prompt: &[ChatMessage]) -> [u8; 32] {
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,26 +1,26 @@
-//! Real time as [`Moment`]s that all emulated parts and callers of a machine share.
+//! Wall clock shared by all emulated components and callers on a host.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use calicohoist_types::Moment;
 
-/// The machine's real clock. Its moments count from the start of Unix time, so
-/// that records of several processes can be compared.
+/// System clock. Its [`Moment`]s count from the Unix epoch, which makes records of different
+/// processes comparable.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealClock;
 
 impl RealClock {
-    /// Now.
+    /// Returns the current time.
     pub fn now(self) -> Moment {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        Moment::ZERO + since.unwrap_or_default()
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        Moment::ZERO + since_epoch.unwrap_or_default()
     }
 
     /// Sleeps until `moment`.
     pub fn sleep_until(self, moment: Moment) {
-        let left = moment.since(self.now());
-        if left > Duration::ZERO {
-            std::thread::sleep(left);
+        let remaining = moment.since(self.now());
+        if remaining > Duration::ZERO {
+            std::thread::sleep(remaining);
         }
     }
 }
--- a/crates/emulator/src/engine/cache.rs
+++ b/crates/emulator/src/engine/cache.rs
@@ -1,10 +1,10 @@
-//! The prefix cache: blocks of tokens, found by a hash of everything before them.
+//! Prefix cache of fixed-size token blocks, keyed by a hash of the whole preceding prefix.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use calicohoist_types::{Moment, ProgramId};
 
-/// Tokens in one block.
+/// Number of tokens per block.
 pub const BLOCK_TOKENS: u64 = 16;
 
 /// Hash of a block's tokens and all tokens before it.
@@ -17,36 +17,37 @@
     pins: u32,
 }
 
-/// Blocks in an engine's memory.
+/// Prefix cache of an engine with a fixed number of blocks and LRU eviction.
 #[derive(Debug)]
 pub struct BlockCache {
     capacity: usize,
     blocks: BTreeMap<BlockHash, Block>,
-    tokens: BTreeMap<ProgramId, u64>,
-    changed: BTreeSet<ProgramId>,
+    cached_tokens: BTreeMap<ProgramId, u64>,
+    changed_programs: BTreeSet<ProgramId>,
 }
 
 impl BlockCache {
-    /// A cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             blocks: BTreeMap::new(),
-            tokens: BTreeMap::new(),
-            changed: BTreeSet::new(),
+            cached_tokens: BTreeMap::new(),
+            changed_programs: BTreeSet::new(),
         }
     }
 
-    /// How many of `hashes`, from the first on, are held.
-    pub fn held_prefix(&self, hashes: &[BlockHash]) -> usize {
+    /// Returns the number of leading `hashes` that are cached.
+    pub fn cached_prefix_len(&self, hashes: &[BlockHash]) -> usize {
         hashes.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
 
-    /// Stores blocks for `program` and pins them while a request uses them.
-    /// Returns how many fitted; the rest are computed but not kept.
+    /// Stores blocks for `program` and pins them until [`BlockCache::unpin`].
+    ///
+    /// Returns the number of leading blocks stored; the rest did not fit.
     pub fn store(&mut self, now: Moment, program: &ProgramId, hashes: &[BlockHash]) -> usize {
         for (stored, hash) in hashes.iter().enumerate() {
-            if !self.blocks.contains_key(hash) && !self.make_room() {
+            if !self.blocks.contains_key(hash) && !self.evict_if_full() {
                 return stored;
             }
             let block = self.blocks.entry(*hash).or_insert_with(|| Block {
@@ -57,14 +58,14 @@
             block.last_used = now;
             block.pins += 1;
             if block.holders.insert(program.clone()) {
-                *self.tokens.entry(program.clone()).or_default() += BLOCK_TOKENS;
-                self.changed.insert(program.clone());
+                *self.cached_tokens.entry(program.clone()).or_default() += BLOCK_TOKENS;
+                self.changed_programs.insert(program.clone());
             }
         }
         hashes.len()
     }
 
-    /// Ends the use of blocks by a request.
+    /// Releases one pin of each of the given blocks.
     pub fn unpin(&mut self, hashes: &[BlockHash]) {
         for hash in hashes {
             if let Some(block) = self.blocks.get_mut(hash) {
@@ -73,44 +74,48 @@
         }
     }
 
-    /// Frees one block if the cache is full; `false` when all are in use.
-    fn make_room(&mut self) -> bool {
+    /// Evicts the least recently used_blocks unpinned block if the cache is full.
+    ///
+    /// Returns `false` when the cache is full and every block is pinned.
+    fn evict_if_full(&mut self) -> bool {
         if self.blocks.len() < self.capacity {
             return true;
         }
-        let unused = self.blocks.iter().filter(|(_, block)| block.pins == 0);
-        let oldest = unused.min_by_key(|(_, block)| block.last_used).map(|(hash, _)| *hash);
-        match oldest {
+        let unpinned = self.blocks.iter().filter(|(_, block)| block.pins == 0);
+        let least_recent = unpinned.min_by_key(|(_, block)| block.last_used).map(|(hash, _)| *hash);
+        match least_recent {
             Some(hash) => {
-                self.drop_block(hash);
+                self.evict_block(hash);
                 true
             }
             None => false,
         }
     }
 
-    fn drop_block(&mut self, hash: BlockHash) {
+    fn evict_block(&mut self, hash: BlockHash) {
         let Some(block) = self.blocks.remove(&hash) else {
             return;
         };
         for program in block.holders {
-            self.forget_tokens(&program);
+            self.subtract_block_tokens(&program);
         }
     }
 
-    fn forget_tokens(&mut self, program: &ProgramId) {
-        if let Some(tokens) = self.tokens.get_mut(program) {
+    fn subtract_block_tokens(&mut self, program: &ProgramId) {
+        if let Some(tokens) = self.cached_tokens.get_mut(program) {
             *tokens = tokens.saturating_sub(BLOCK_TOKENS);
             if *tokens == 0 {
-                self.tokens.remove(program);
+                self.cached_tokens.remove(program);
             }
         }
-        self.changed.insert(program.clone());
+        self.changed_programs.insert(program.clone());
     }
 
-    /// Frees everything that only `program` holds; returns the tokens it held.
+    /// Removes `program` from its blocks and frees those without another holder.
+    ///
+    /// Returns the number of tokens that were cached for `program`.
     pub fn release(&mut self, program: &ProgramId) -> u64 {
-        let freed = self.tokens.get(program).copied().unwrap_or_default();
+        let freed = self.cached_tokens.get(program).copied().unwrap_or_default();
         let held: Vec<BlockHash> = self.blocks_of(program);
         for hash in held {
             if let Some(block) = self.blocks.get_mut(&hash) {
@@ -120,37 +125,38 @@
                 }
             }
         }
-        if self.tokens.remove(program).is_some() {
-            self.changed.insert(program.clone());
+        if self.cached_tokens.remove(program).is_some() {
+            self.changed_programs.insert(program.clone());
         }
         freed
     }
 
-    /// The blocks that `program` holds.
+    /// Returns the blocks cached for `program`.
     pub fn blocks_of(&self, program: &ProgramId) -> Vec<BlockHash> {
         let held = self.blocks.iter().filter(|(_, block)| block.holders.contains(program));
         held.map(|(hash, _)| *hash).collect()
     }
 
-    /// Programs with the tokens held for each.
-    pub fn listing(&self) -> Vec<(ProgramId, u64)> {
-        self.tokens.iter().map(|(program, tokens)| (program.clone(), *tokens)).collect()
+    /// Returns the number of cached tokens of each program.
+    pub fn tokens_by_program(&self) -> Vec<(ProgramId, u64)> {
+        self.cached_tokens.iter().map(|(program, tokens)| (program.clone(), *tokens)).collect()
     }
 
-    /// Blocks in use.
-    pub fn used(&self) -> usize {
+    /// Returns the number of occupied blocks.
+    pub fn used_blocks(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Blocks in all.
+    /// Returns the total number of blocks.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Takes the programs whose holdings changed, with the tokens held now.
+    /// Returns the programs whose cached tokens changed since the last call, with the new count.
     pub fn take_changes(&mut self) -> Vec<(ProgramId, u64)> {
-        let changed = std::mem::take(&mut self.changed);
-        let held = |program: &ProgramId| self.tokens.get(program).copied().unwrap_or_default();
+        let changed = std::mem::take(&mut self.changed_programs);
+        let held =
+            |program: &ProgramId| self.cached_tokens.get(program).copied().unwrap_or_default();
         changed.into_iter().map(|program| (program.clone(), held(&program))).collect()
     }
 }
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine: continuous batching over a prefix cache of limited memory.
+//! Emulated inference engine: continuous batching with a bounded prefix cache.
 
 pub mod cache;
 pub mod model;
--- a/crates/emulator/src/engine/record.rs
+++ b/crates/emulator/src/engine/record.rs
@@ -1,23 +1,23 @@
-//! What an engine notes of each request it was sent, for the checker.
+//! Engine-side record of each request, evaluated by the checker.
 
 use calicohoist_types::{AttemptId, ChatMessage, Moment, ProgramId, Usage};
 use serde::{Deserialize, Serialize};
 
-/// One request an engine took.
+/// Record of one request accepted by an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// The engine.
+    /// Engine name.
     pub engine: String,
-    /// The attempt it was sent as.
+    /// Attempt id.
     pub attempt: AttemptId,
-    /// The program it said it belongs to.
+    /// Program named by the request.
     pub program: ProgramId,
-    /// The whole prompt.
+    /// Full prompt.
     pub prompt: Vec<ChatMessage>,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Moment,
-    /// When its last token was generated; `None` when it was cancelled or runs.
+    /// Completion time; `None` while the request runs or if it was cancelled.
     pub finished: Option<Moment>,
-    /// Tokens used so far.
+    /// Token usage; zero until the request completes.
     pub usage: Usage,
 }
--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! An engine behind its HTTP API, in real time.
+//! HTTP server that runs an engine model in real time.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -19,31 +19,31 @@
 use parking_lot::Mutex;
 use serde_json::json;
 
-use super::model::{EngineModel, EngineProfile, Refusal, Submission};
+use super::model::{EngineModel, EngineProfile, Submission, SubmitError};
 use super::record::EngineRecord;
-use super::streams::{More, Streams};
+use super::streams::{StreamPoll, Streams};
 use crate::clock::RealClock;
 
-/// How often the engine's duty looks for the end of a step when idle.
-const IDLE_POLL: Duration = Duration::from_millis(2);
+/// Polling interval of the step thread while no step is running.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Patience with the weight store.
+/// Connect and reply timeout of the weight store.
 const WEIGHTS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Settings of an engine server.
 #[derive(Clone, Debug)]
 pub struct EngineServerSettings {
-    /// Its name.
+    /// Engine name.
     pub name: String,
-    /// The model it serves at first.
+    /// Initially loaded model.
     pub model: ModelId,
-    /// Speed and size.
+    /// Performance and capacity parameters.
     pub profile: EngineProfile,
-    /// One-way delay of the network before it.
+    /// Simulated one-way network delay, applied to each request.
     pub delay: Duration,
-    /// The weight store that models are loaded from; without one they load at once.
+    /// Address of the weight store; without one, models load instantly.
     pub weights: Option<SocketAddr>,
-    /// Seed of event losses.
+    /// Seed for the simulated loss of cache events.
     pub seed: u64,
 }
 
@@ -53,11 +53,11 @@
     delay: Duration,
     clock: RealClock,
     weights: Option<SocketAddr>,
-    loads_until: Mutex<Option<Moment>>,
+    load_ready_at: Mutex<Option<Moment>>,
     hung: AtomicBool,
 }
 
-/// A running engine. Dropping it stops it at once.
+/// Running engine server, stopped when dropped.
 pub struct EngineServer {
     http: HttpServer,
     handler: Arc<EngineHandler>,
@@ -69,7 +69,7 @@
     /// Starts an engine on `listener`.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if a thread cannot be spawned.
     pub fn start(settings: EngineServerSettings, listener: TcpListener) -> std::io::Result<Self> {
         let workers = settings.profile.max_batch * 2 + 8;
         let model =
@@ -80,41 +80,41 @@
             delay: settings.delay,
             clock: RealClock,
             weights: settings.weights,
-            loads_until: Mutex::new(None),
+            load_ready_at: Mutex::new(None),
             hung: AtomicBool::new(false),
         });
         let server_settings =
             ServerSettings { workers, queue: workers * 4, ..ServerSettings::default() };
         let http = HttpServer::start_on(listener, server_settings, handler.clone())?;
         let stop = Arc::new(AtomicBool::new(false));
-        let (duty, stop_seen) = (handler.clone(), stop.clone());
+        let (step_handler, stop_flag) = (handler.clone(), stop.clone());
         let thread = std::thread::Builder::new()
             .name("engine-steps".to_owned())
-            .spawn(move || duty.run_steps(&stop_seen))?;
+            .spawn(move || step_handler.run_steps(&stop_flag))?;
         Ok(Self { http, handler, stop, thread: Some(thread) })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Everything it was asked to do so far.
+    /// Returns the records of all submitted requests.
     pub fn records(&self) -> Vec<EngineRecord> {
         self.handler.model.lock().records().cloned().collect()
     }
 
-    /// Programs it holds memory of.
+    /// Returns the number of cached tokens of each program.
     pub fn holdings(&self) -> Vec<(ProgramId, u64)> {
         self.handler.model.lock().listing()
     }
 
-    /// Makes it take no new work.
+    /// Stops accepting new requests.
     pub fn leave(&self) {
         self.handler.model.lock().leave();
     }
 
-    /// Makes it stop generating without a word, or go on.
+    /// Suspends or resumes generation; a hung engine keeps its connections open.
     pub fn hang(&self, hung: bool) {
         self.handler.hung.store(hung, Ordering::SeqCst);
     }
@@ -134,20 +134,20 @@
     fn run_steps(&self, stop: &AtomicBool) {
         while !stop.load(Ordering::SeqCst) {
             if self.hung.load(Ordering::SeqCst) {
-                std::thread::sleep(IDLE_POLL);
+                std::thread::sleep(IDLE_POLL_INTERVAL);
                 continue;
             }
             let next = {
                 let mut model = self.model.lock();
                 let now = self.clock.now();
-                if self.loads_until.lock().take_if(|ready| *ready <= now).is_some() {
+                if self.load_ready_at.lock().take_if(|ready| *ready <= now).is_some() {
                     model.finish_loading();
                 }
                 let outputs = model.advance(now);
-                self.streams.add(outputs);
+                self.streams.append(outputs);
                 model.next_step_end()
             };
-            let idle_until = self.clock.now() + IDLE_POLL;
+            let idle_until = self.clock.now() + IDLE_POLL_INTERVAL;
             self.clock.sleep_until(next.unwrap_or(idle_until).min(idle_until));
         }
     }
@@ -155,15 +155,15 @@
     fn chat(&self, mut exchange: Exchange) {
         let request = match exchange.read_json::<ChatRequest>() {
             Ok(request) => request,
-            Err(error) => return refuse(exchange, 400, &error.to_string()),
+            Err(error) => return reply_error(exchange, 400, &error.to_string()),
         };
         let Ok(prompt) = request.plain_messages() else {
-            return refuse(exchange, 400, "messages must be text");
+            return reply_error(exchange, 400, "messages must be text");
         };
         let attempt = exchange.header(HEADER_ENGINE_ATTEMPT).and_then(AttemptId::parse);
         let program = exchange.header(HEADER_ENGINE_PROGRAM).and_then(ProgramId::parse);
         let (Some(attempt), Some(program)) = (attempt, program) else {
-            return refuse(exchange, 400, "x-request-id and x-cache-owner are needed");
+            return reply_error(exchange, 400, "x-request-id and x-cache-owner are needed");
         };
         let priority = exchange.header(HEADER_ENGINE_PRIORITY).and_then(|text| text.parse().ok());
         let max_tokens = request.token_limit().unwrap_or(u64::MAX);
@@ -182,31 +182,31 @@
                 self.streams.open(attempt.clone());
                 self.stream(exchange, &attempt, &request.model, 0);
             }
-            Err(Refusal::Leaving) => refuse(exchange, 503, "leaving"),
-            Err(Refusal::WrongModel) => refuse(exchange, 404, "model is not loaded"),
-            Err(Refusal::Duplicate) => refuse(exchange, 409, "attempt exists"),
+            Err(SubmitError::Leaving) => reply_error(exchange, 503, "leaving"),
+            Err(SubmitError::WrongModel) => reply_error(exchange, 404, "model is not loaded"),
+            Err(SubmitError::Duplicate) => reply_error(exchange, 409, "attempt exists"),
         }
     }
 
-    fn stream(&self, exchange: Exchange, attempt: &AttemptId, model: &str, from_piece: usize) {
+    fn stream(&self, exchange: Exchange, attempt: &AttemptId, model: &str, from_chunk: usize) {
         let Ok(mut events) = exchange.start_event_stream(&[]) else {
             return;
         };
         let id = attempt.to_string();
-        let mut seen = from_piece;
+        let mut offset = from_chunk;
         loop {
-            match self.streams.more(attempt, seen) {
-                More::Gone => return,
-                // Keeps the connection known to be alive, as real engines do.
-                More::NotYet if self.hung.load(Ordering::SeqCst) => {}
-                More::NotYet => {
+            match self.streams.poll(attempt, offset) {
+                StreamPoll::Closed => return,
+                // A hung engine sends no keep-alive chunks.
+                StreamPoll::Pending if self.hung.load(Ordering::SeqCst) => {}
+                StreamPoll::Pending => {
                     if events.send(&ChatChunk::new(&id, 0, model, None, None)).is_err() {
                         return;
                     }
                 }
-                More::Pieces(pieces, end) => {
-                    seen += pieces.len();
-                    let text = pieces.concat();
+                StreamPoll::Chunks(chunks, end) => {
+                    offset += chunks.len();
+                    let text = chunks.concat();
                     let reason = end.map(|(reason, _)| reason.to_owned());
                     let mut chunk = ChatChunk::new(&id, 0, model, Some(text), reason);
                     chunk.usage = end.map(|(_, usage)| usage.into());
@@ -224,10 +224,10 @@
 
     fn resume(&self, exchange: Exchange, segments: &[String]) {
         let Some(attempt) = AttemptId::parse(&segments.join("/")) else {
-            return refuse(exchange, 400, "not an attempt");
+            return reply_error(exchange, 400, "not an attempt");
         };
         if !self.streams.contains(&attempt) {
-            return refuse(exchange, 404, "no such attempt");
+            return reply_error(exchange, 404, "no such attempt");
         }
         let model = self.model.lock().model().to_string();
         self.stream(exchange, &attempt, &model, 0);
@@ -244,15 +244,15 @@
 
     fn release(&self, exchange: Exchange, program: &str) {
         let Some(program) = ProgramId::parse(program) else {
-            return refuse(exchange, 400, "not a program");
+            return reply_error(exchange, 400, "not a program");
         };
         let tokens = self.model.lock().release(self.clock.now(), &program);
         exchange.reply_json(200, &[], &CacheReleased { tokens });
     }
 
     fn list_cache(&self, exchange: Exchange) {
-        let held = self.model.lock().listing().into_iter();
-        let programs = held.map(|(program, tokens)| CachedProgram { program, tokens }).collect();
+        let cached = self.model.lock().listing().into_iter();
+        let programs = cached.map(|(program, tokens)| CachedProgram { program, tokens }).collect();
         exchange.reply_json(200, &[], &CacheListing { programs });
     }
 
@@ -267,22 +267,22 @@
         exchange.reply_json(200, &[], &list);
     }
 
-    fn order(&self, mut exchange: Exchange) {
+    fn execute_command(&self, mut exchange: Exchange) {
         match exchange.read_json::<FencedCommand>() {
-            Ok(order) => {
-                let reply = self.model.lock().order(&order);
+            Ok(command) => {
+                let reply = self.model.lock().execute(&command);
                 if reply.accepted {
-                    self.fetch_weights();
+                    self.start_weight_transfer();
                 }
                 let status = if reply.accepted { 200 } else { 409 };
                 exchange.reply_json(status, &[], &reply);
             }
-            Err(error) => refuse(exchange, 400, &error.to_string()),
+            Err(error) => reply_error(exchange, 400, &error.to_string()),
         }
     }
 
-    /// Starts the transfer of the model that is to be loaded, if one is.
-    fn fetch_weights(&self) {
+    /// Requests the weights of the pending model load, if any, and schedules its completion.
+    fn start_weight_transfer(&self) {
         let (name, loading) = {
             let model = self.model.lock();
             (model.name().to_owned(), model.loading().cloned())
@@ -298,7 +298,7 @@
         });
         let wait =
             wait.map_or(Duration::ZERO, |reply| Duration::from_micros(reply.ready_in_micros));
-        *self.loads_until.lock() = Some(self.clock.now() + wait);
+        *self.load_ready_at.lock() = Some(self.clock.now() + wait);
     }
 
     fn export(&self, exchange: Exchange, program: &str) {
@@ -314,7 +314,7 @@
                 let blocks = self.model.lock().import(self.clock.now(), &exported);
                 exchange.reply_json(200, &[], &json!({ "blocks": blocks }));
             }
-            Err(error) => refuse(exchange, 400, &error.to_string()),
+            Err(error) => reply_error(exchange, 400, &error.to_string()),
         }
     }
 
@@ -347,21 +347,21 @@
             ("DELETE", ["v1", "cache", program]) => self.release(exchange, program),
             ("GET", ["v1", "cache", program, "export"]) => self.export(exchange, program),
             ("POST", ["v1", "cache", "import"]) => self.import(exchange),
-            ("POST", ["v1", "orders"]) => self.order(exchange),
+            ("POST", ["v1", "orders"]) => self.execute_command(exchange),
             ("GET", ["records"]) => {
                 let records: Vec<EngineRecord> = self.model.lock().records().cloned().collect();
                 exchange.reply_json(200, &[], &records);
             }
-            _ => refuse(exchange, 404, "no such endpoint"),
+            _ => reply_error(exchange, 404, "no such endpoint"),
         }
     }
 
     fn handle_overload(&self, exchange: Exchange) {
-        refuse(exchange, 503, "too many requests");
+        reply_error(exchange, 503, "too many requests");
     }
 }
 
-fn refuse(exchange: Exchange, status: u16, message: &str) {
+fn reply_error(exchange: Exchange, status: u16, message: &str) {
     let error = ErrorDetail {
         message: message.to_owned(),
         kind: "engine_error".to_owned(),
--- a/crates/emulator/src/engine/streams.rs
+++ b/crates/emulator/src/engine/streams.rs
@@ -1,4 +1,4 @@
-//! Answers of an engine's requests, kept so that a broken stream can be resumed.
+//! Buffered answer streams, kept so that an interrupted client can resume.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,35 +8,35 @@
 
 use super::model::EngineOutput;
 
-/// Longest wait for more of an answer in one call.
-const WAIT: Duration = Duration::from_millis(200);
+/// Maximum time that one poll blocks.
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// One answer so far.
+/// Buffered state of one answer.
 #[derive(Clone, Debug, Default)]
 pub struct StreamState {
-    /// The pieces of text.
-    pub pieces: Vec<String>,
-    /// Why it ended, and the usage.
+    /// Text chunks generated so far.
+    pub chunks: Vec<String>,
+    /// Finish reason and usage, once the answer is complete.
     pub end: Option<(&'static str, Usage)>,
-    /// It was cancelled.
+    /// Whether the request was cancelled.
     pub cancelled: bool,
 }
 
-/// All answers.
+/// Answer streams of all attempts.
 #[derive(Debug, Default)]
 pub struct Streams {
     states: Mutex<HashMap<AttemptId, StreamState>>,
     changed: Condvar,
 }
 
-/// What a reader of a stream sees.
-pub enum More {
-    /// New pieces, and the end if it is reached.
-    Pieces(Vec<String>, Option<(&'static str, Usage)>),
-    /// Nothing yet.
-    NotYet,
-    /// There is no such answer, or it was cancelled.
-    Gone,
+/// Result of polling a stream.
+pub enum StreamPoll {
+    /// New chunks, and the end of the stream if it was reached.
+    Chunks(Vec<String>, Option<(&'static str, Usage)>),
+    /// No new chunks before the timeout.
+    Pending,
+    /// The stream does not exist or was cancelled.
+    Closed,
 }
 
 impl Streams {
@@ -45,12 +45,12 @@
         self.states.lock().entry(attempt).or_default();
     }
 
-    /// Whether there is a stream of this attempt.
+    /// Returns whether a stream of this attempt exists.
     pub fn contains(&self, attempt: &AttemptId) -> bool {
         self.states.lock().contains_key(attempt)
     }
 
-    /// Notes that a request was cancelled.
+    /// Marks a stream as cancelled and wakes its readers.
     pub fn cancel(&self, attempt: &AttemptId) {
         if let Some(state) = self.states.lock().get_mut(attempt) {
             state.cancelled = true;
@@ -58,8 +58,8 @@
         self.changed.notify_all();
     }
 
-    /// Adds what a step produced.
-    pub fn add(&self, outputs: Vec<EngineOutput>) {
+    /// Appends step outputs to their streams and wakes the readers.
+    pub fn append(&self, outputs: Vec<EngineOutput>) {
         if outputs.is_empty() {
             return;
         }
@@ -67,7 +67,7 @@
         for output in outputs {
             match output {
                 EngineOutput::Text { attempt, text } => {
-                    states.entry(attempt).or_default().pieces.push(text);
+                    states.entry(attempt).or_default().chunks.push(text);
                 }
                 EngineOutput::Done { attempt, finish_reason, usage } => {
                     states.entry(attempt).or_default().end = Some((finish_reason, usage))
@@ -78,25 +78,28 @@
         self.changed.notify_all();
     }
 
-    /// Waits a little for pieces after the first `seen`.
-    pub fn more(&self, attempt: &AttemptId, seen: usize) -> More {
+    /// Waits up to the poll timeout for chunks beyond the first `offset`.
+    pub fn poll(&self, attempt: &AttemptId, offset: usize) -> StreamPoll {
         let mut states = self.states.lock();
-        let has_more = |states: &HashMap<AttemptId, StreamState>| {
+        let is_ready = |states: &HashMap<AttemptId, StreamState>| {
             let state = states.get(attempt);
             state.is_none_or(|state| {
-                state.pieces.len() > seen || state.end.is_some() || state.cancelled
+                state.chunks.len() > offset || state.end.is_some() || state.cancelled
             })
         };
-        if !has_more(&states) {
-            self.changed.wait_for(&mut states, WAIT);
+        if !is_ready(&states) {
+            self.changed.wait_for(&mut states, POLL_TIMEOUT);
         }
         match states.get(attempt) {
-            None => More::Gone,
-            Some(state) if state.cancelled => More::Gone,
-            Some(state) if state.pieces.len() > seen || state.end.is_some() => {
-                More::Pieces(state.pieces[seen.min(state.pieces.len())..].to_vec(), state.end)
+            None => StreamPoll::Closed,
+            Some(state) if state.cancelled => StreamPoll::Closed,
+            Some(state) if state.chunks.len() > offset || state.end.is_some() => {
+                StreamPoll::Chunks(
+                    state.chunks[offset.min(state.chunks.len())..].to_vec(),
+                    state.end,
+                )
             }
-            Some(_) => More::NotYet,
+            Some(_) => StreamPoll::Pending,
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for everything outside calicohoist: engines, tool services, the
-//! weight store and the platform's list of machines.
+//! Emulators of the systems calicohoist depends on: engines, tool services, the weight store and
+//! the platform's machine list.
 //!
-//! Each is a model without I/O that runs in real or virtual time, and a server
-//! that lets it run in real time behind the published protocol. Answers are a
-//! function of the whole prompt, so a lost or mixed history shows in the text.
-//! Everything records what it did; the checker judges from those records alone.
+//! Each emulator consists of an I/O-free model, which runs in real or virtual time, and an HTTP
+//! server that runs the model in real time. Answers are a function of the full prompt, so lost or
+//! mixed-up context is visible in the text. Engines and services record every request for the
+//! checker.
 
 pub mod answer;
 pub mod clock;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving machines. It lags.
+//! Emulated machine list of the platform, with a configurable propagation delay.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -12,32 +12,32 @@
 
 use crate::clock::RealClock;
 
-/// The list as a model without I/O.
+/// I/O-free model of the machine list.
 #[derive(Debug)]
 pub struct PlatformModel {
     lag: Duration,
-    leaving: BTreeMap<String, Moment>,
+    leaving_since: BTreeMap<String, Moment>,
     machines: Vec<String>,
 }
 
 impl PlatformModel {
-    /// A list of live machines that shows changes after `lag`.
+    /// Creates a list of live machines whose changes become visible after `lag`.
     pub fn new(machines: Vec<String>, lag: Duration) -> Self {
-        Self { lag, leaving: BTreeMap::new(), machines }
+        Self { lag, leaving_since: BTreeMap::new(), machines }
     }
 
-    /// Announces that a machine will go.
+    /// Marks a machine as leaving.
     pub fn announce_leaving(&mut self, now: Moment, machine: &str) {
-        self.leaving.entry(machine.to_owned()).or_insert(now);
+        self.leaving_since.entry(machine.to_owned()).or_insert(now);
     }
 
-    /// The list as it shows at `now`.
+    /// Returns the list as visible at `now`.
     pub fn list(&self, now: Moment) -> Vec<MachineStatus> {
-        let shows = |since: &Moment| *since + self.lag <= now;
+        let is_visible = |since: &Moment| *since + self.lag <= now;
         let status = |name: &String| MachineStatus {
             name: name.clone(),
-            state: match self.leaving.get(name) {
-                Some(since) if shows(since) => MachineState::Leaving,
+            state: match self.leaving_since.get(name) {
+                Some(since) if is_visible(since) => MachineState::Leaving,
                 _ => MachineState::Live,
             },
         };
@@ -50,17 +50,17 @@
     clock: RealClock,
 }
 
-/// The list behind its HTTP API, in real time.
+/// HTTP server that runs the machine list in real time.
 pub struct PlatformServer {
     http: HttpServer,
     handler: Arc<PlatformHandler>,
 }
 
 impl PlatformServer {
-    /// Starts on `listener`.
+    /// Starts the server on `listener`.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if a thread cannot be spawned.
     pub fn start(model: PlatformModel, listener: TcpListener) -> std::io::Result<Self> {
         let handler = Arc::new(PlatformHandler { model: Mutex::new(model), clock: RealClock });
         let settings = ServerSettings { workers: 4, ..ServerSettings::default() };
@@ -68,12 +68,12 @@
         Ok(Self { http, handler })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Announces that a machine will go.
+    /// Marks a machine as leaving.
     pub fn announce_leaving(&self, machine: &str) {
         let now = self.handler.clock.now();
         self.handler.model.lock().announce_leaving(now, machine);
--- a/crates/emulator/src/service.rs
+++ b/crates/emulator/src/service.rs
@@ -1,5 +1,5 @@
-//! Tool services: print orders and utility records. Each execution is counted
-//! by its key; nothing is deduplicated, so a request that runs twice shows.
+//! Emulated tool services. Executions are counted by idempotency key and not deduplicated, so that
+//! the checker detects duplicate executions.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -18,52 +18,52 @@
 
 use crate::clock::RealClock;
 
-/// One key a service executed.
+/// Execution record of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// The replica.
+    /// Replica name.
     pub replica: String,
-    /// The key.
+    /// Idempotency key.
     pub key: String,
-    /// How often it was executed.
+    /// Number of executions.
     pub executions: u32,
-    /// When it was first executed.
+    /// Time of the first execution.
     pub first: Moment,
-    /// What the service answered.
+    /// Output returned to the caller.
     pub output: String,
 }
 
-/// What a service says to an input.
+/// Returns the output of `service` for `input`.
 pub fn job_output(service: &str, input: &str) -> String {
     let hash = blake3::hash(input.as_bytes());
     format!("{service} done, receipt {}", &hash.to_hex()[..12])
 }
 
-/// A replica as a model without I/O.
+/// I/O-free model of a service replica.
 #[derive(Debug)]
 pub struct ServiceModel {
     replica: String,
-    fastest: Duration,
+    min_duration: Duration,
     random: ChaCha8Rng,
     records: BTreeMap<String, ServiceRecord>,
 }
 
 impl ServiceModel {
-    /// A replica whose jobs take `fastest` and, now and then, much longer.
-    pub fn new(replica: impl Into<String>, fastest: Duration, seed: u64) -> Self {
+    /// Creates a replica whose job durations follow a Pareto distribution from `min_duration` on.
+    pub fn new(replica: impl Into<String>, min_duration: Duration, seed: u64) -> Self {
         Self {
             replica: replica.into(),
-            fastest,
+            min_duration,
             random: ChaCha8Rng::seed_from_u64(seed),
             records: BTreeMap::new(),
         }
     }
 
-    /// Draws how long the next job takes: a Pareto tail cut at ten times the fastest.
+    /// Draws a job duration from a Pareto distribution, capped at ten times the minimum.
     pub fn draw_duration(&mut self) -> Duration {
-        let share: f64 = self.random.random_range(0.0..1.0);
-        let stretch = (1.0 - share).powf(-0.5).min(10.0);
-        self.fastest.mul_f64(stretch)
+        let uniform: f64 = self.random.random_range(0.0..1.0);
+        let factor = (1.0 - uniform).powf(-0.5).min(10.0);
+        self.min_duration.mul_f64(factor)
     }
 
     /// Executes a job.
@@ -80,13 +80,13 @@
         JobResult { key: job.key.clone(), output }
     }
 
-    /// What became of a key.
+    /// Returns the result of an executed key.
     pub fn look_up(&self, key: &str) -> Option<JobResult> {
         let record = self.records.get(key)?;
         Some(JobResult { key: key.to_owned(), output: record.output.clone() })
     }
 
-    /// Every key it executed.
+    /// Returns the records of all executed keys.
     pub fn records(&self) -> impl Iterator<Item = &ServiceRecord> {
         self.records.values()
     }
@@ -99,17 +99,17 @@
     hung: AtomicBool,
 }
 
-/// A replica behind its HTTP API, in real time.
+/// HTTP server that runs a service replica in real time.
 pub struct ServiceServer {
     http: HttpServer,
     handler: Arc<ServiceHandler>,
 }
 
 impl ServiceServer {
-    /// Starts a replica on `listener`, with a one-way network delay before it.
+    /// Starts a replica on `listener` with a simulated one-way network delay.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if a thread cannot be spawned.
     pub fn start(
         model: ServiceModel,
         delay: Duration,
@@ -125,7 +125,7 @@
         Ok(Self { http, handler })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.http.address()
     }
@@ -135,7 +135,7 @@
         self.handler.model.lock().records().cloned().collect()
     }
 
-    /// Makes it execute jobs without answering, or answer again.
+    /// Suspends or resumes replies; a hung replica still executes jobs.
     pub fn hang(&self, hung: bool) {
         self.handler.hung.store(hung, Ordering::SeqCst);
     }
--- a/crates/emulator/src/weights.rs
+++ b/crates/emulator/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: model weights over one link of limited rate.
+//! Emulated weight store: serves model weights over one bandwidth-limited link.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 
 use crate::clock::RealClock;
 
-/// The link as a model without I/O: transfers go one after the other.
+/// I/O-free model of the link; transfers are serialized.
 #[derive(Debug)]
 pub struct WeightStoreModel {
     bytes_per_second: u64,
@@ -22,13 +22,12 @@
 }
 
 impl WeightStoreModel {
-    /// A store of `bytes_per_second` with the models' sizes in bytes.
+    /// Creates a store with a link rate and the size of each model in bytes.
     pub fn new(bytes_per_second: u64, sizes: BTreeMap<ModelId, u64>) -> Self {
         Self { bytes_per_second: bytes_per_second.max(1), sizes, busy_until: Moment::ZERO }
     }
 
-    /// Queues a transfer; returns when it will have arrived, or `None` for a
-    /// model it does not have.
+    /// Queues a transfer and returns its completion time, or `None` for an unknown model.
     pub fn transfer(&mut self, now: Moment, model: &ModelId) -> Option<Moment> {
         let size = *self.sizes.get(model)?;
         let seconds = size as f64 / self.bytes_per_second as f64;
@@ -42,16 +41,16 @@
     clock: RealClock,
 }
 
-/// The store behind its HTTP API, in real time.
+/// HTTP server that runs the weight store in real time.
 pub struct WeightStoreServer {
     http: HttpServer,
 }
 
 impl WeightStoreServer {
-    /// Starts on `listener`.
+    /// Starts the server on `listener`.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Returns an error if a thread cannot be spawned.
     pub fn start(model: WeightStoreModel, listener: TcpListener) -> std::io::Result<Self> {
         let handler = Arc::new(WeightHandler { model: Mutex::new(model), clock: RealClock });
         let settings = ServerSettings { workers: 2, ..ServerSettings::default() };
@@ -59,7 +58,7 @@
         Ok(Self { http })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.http.address()
     }
