--- a/crates/calicohoist/src/cli/log_lines.rs
+++ b/crates/calicohoist/src/cli/log_lines.rs
@@ -1,4 +1,4 @@
-//! Log files in JSON lines.
+//! Reader for log files in JSON lines format.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -7,13 +7,13 @@
 use eyre::{Result, WrapErr};
 use serde_json::{Map, Value};
 
-/// One line of a log.
+/// Parsed log line.
 pub type LogLine = Map<String, Value>;
 
-/// Reads the lines of files; those of standard input without any.
+/// Reads all log lines of `files`, or of standard input if `files` is empty.
 ///
 /// # Errors
-/// When a file cannot be read.
+/// Returns an error if a file cannot be read.
 pub fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>> {
     let mut lines = Vec::new();
     if files.is_empty() {
@@ -26,7 +26,7 @@
     Ok(lines)
 }
 
-/// Lines may carry something before the object, as collectors of logs add it.
+/// Skips any prefix before the JSON object, as added by log collectors, and lines without one.
 fn read(input: &mut impl BufRead, lines: &mut Vec<LogLine>) -> Result<()> {
     for line in input.lines() {
         let line = line?;
@@ -38,22 +38,22 @@
     Ok(())
 }
 
-/// The time of a line up to the second.
-pub fn second_of(line: &LogLine) -> &str {
+/// Returns the timestamp of a line, truncated to the second.
+pub fn timestamp_second(line: &LogLine) -> &str {
     const SECOND_LENGTH: usize = "2026-01-01T00:00:00".len();
-    let time = text(line, "time");
+    let time = str_field(line, "time");
     time.get(..SECOND_LENGTH).unwrap_or(time)
 }
 
-/// A value as a person reads it: text without quotes.
-pub fn shown_value(value: &Value) -> String {
+/// Formats a value for display, with strings unquoted.
+pub fn display_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
     }
 }
 
-/// A field that is text; empty when there is none.
-pub fn text<'a>(line: &'a LogLine, key: &str) -> &'a str {
+/// Returns a string field, or an empty string if there is none.
+pub fn str_field<'a>(line: &'a LogLine, key: &str) -> &'a str {
     line.get(key).and_then(Value::as_str).unwrap_or_default()
 }
--- a/crates/calicohoist/src/cli/losses.rs
+++ b/crates/calicohoist/src/cli/losses.rs
@@ -1,8 +1,8 @@
-//! `calicohoist losses`: what was not served, by cause and second, from log files.
+//! `calicohoist losses`: counts failed requests by cause and second, from log files.
 //!
-//! A request counts by its last line; one without any counts by what became of its process.
-//! A program counts once, by its last request that was not served after the last one that
-//! was: whatever failed before that was made good.
+//! The outcome of a request is taken from its end event; without one, the request failed if its
+//! gateway restarted. A program counts as failed once, if its last request failed: an earlier
+//! failure was recovered by a later successful request.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use bpaf::Bpaf;
 use eyre::Result;
 
-use super::log_lines::{LogLine, read_all, second_of, shown_value, text};
+use super::log_lines::{LogLine, display_value, read_all, str_field, timestamp_second};
 
 /// Arguments of `losses`.
 #[derive(Clone, Debug, Bpaf)]
@@ -18,32 +18,32 @@
     /// Count requests instead of programs
     #[bpaf(long("requests"))]
     requests: bool,
-    /// Name a program or request of each row
+    /// Print the id of one program or request per row
     #[bpaf(long("examples"))]
     examples: bool,
-    /// Log files in JSON lines; standard input without any
+    /// Log files in JSON lines format; standard input if none is given
     #[bpaf(positional("FILE"))]
     files: Vec<PathBuf>,
 }
 
-/// Outcomes that need no row: a whole answer, and refusals that are right.
-const SERVED: [&str; 3] = ["200", "402", "500"];
-const PROCESS_ENDED: &str = "its gateway ended";
-const NO_LAST_LINE: &str = "no last line";
+/// Outcomes that are not losses: complete answers and expected rejections.
+const SUCCESS_OUTCOMES: [&str; 3] = ["200", "402", "500"];
+const GATEWAY_ENDED: &str = "its gateway ended";
+const NO_END_EVENT: &str = "no last line";
 
-/// A request, as the logs tell of it.
+/// Request as reconstructed from the logs.
 #[derive(Clone, Debug, Default)]
 struct RequestRecord {
     program: String,
     route: String,
     node: String,
-    taken_at: String,
-    /// `taken_at` up to the second.
+    received_at: String,
+    /// `received_at`, truncated to the second.
     second: String,
     outcome: Option<String>,
 }
 
-/// What a row counts.
+/// Grouping key of an output row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LossKey {
     second: String,
@@ -51,72 +51,75 @@
     cause: String,
 }
 
-/// Prints the rows.
+/// Prints the loss counts.
 ///
 /// # Errors
-/// When a file cannot be read, or holds no request.
+/// Returns an error if a file cannot be read or the logs contain no request.
 pub fn run(arguments: &LossesArguments) -> Result<()> {
     let lines = read_all(&arguments.files)?;
-    let requests = requests(&lines);
+    let requests = collect_requests(&lines);
     if requests.is_empty() {
-        eyre::bail!("no line tells of a request");
+        eyre::bail!("no request found in the logs");
     }
-    let counted = if arguments.requests { by_request(&requests) } else { by_program(&requests) };
-    for (key, ids) in &counted {
+    let counts =
+        if arguments.requests { count_by_request(&requests) } else { count_by_program(&requests) };
+    for (key, ids) in &counts {
         let example = ids.first().filter(|_| arguments.examples);
         let example = example.map(|id| format!("  {id}")).unwrap_or_default();
         println!("{} {:>5}  {}  {}{example}", key.second, ids.len(), key.route, key.cause);
     }
-    let total: usize = counted.values().map(Vec::len).sum();
+    let total: usize = counts.values().map(Vec::len).sum();
     println!("{total} of {} requests or their programs were not served", requests.len());
     Ok(())
 }
 
-fn requests(lines: &[LogLine]) -> BTreeMap<String, RequestRecord> {
+fn collect_requests(lines: &[LogLine]) -> BTreeMap<String, RequestRecord> {
     let mut lines: Vec<&LogLine> = lines.iter().collect();
-    lines.sort_by_key(|line| text(line, "time"));
+    lines.sort_by_key(|line| str_field(line, "time"));
     let mut requests: BTreeMap<String, RequestRecord> = BTreeMap::new();
     for line in lines {
-        let id = text(line, "request");
-        match text(line, "name") {
+        let id = str_field(line, "request");
+        match str_field(line, "name") {
             "RequestTaken" => {
                 let record = RequestRecord {
-                    program: text(line, "program").to_owned(),
-                    route: text(line, "route").to_owned(),
-                    node: text(line, "node").to_owned(),
-                    taken_at: text(line, "time").to_owned(),
-                    second: second_of(line).to_owned(),
+                    program: str_field(line, "program").to_owned(),
+                    route: str_field(line, "route").to_owned(),
+                    node: str_field(line, "node").to_owned(),
+                    received_at: str_field(line, "time").to_owned(),
+                    second: timestamp_second(line).to_owned(),
                     outcome: None,
                 };
                 requests.insert(id.to_owned(), record);
             }
             "RequestEnded" => {
                 if let Some(record) = requests.get_mut(id) {
-                    record.outcome = Some(line.get("outcome").map(shown_value).unwrap_or_default());
+                    record.outcome =
+                        Some(line.get("outcome").map(display_value).unwrap_or_default());
                 }
             }
-            "RoleStarted" => end_requests_of(text(line, "node"), &mut requests),
+            "RoleStarted" => mark_requests_lost(str_field(line, "node"), &mut requests),
             _ => {}
         }
     }
     requests
 }
 
-/// A process that starts anew has lost what it had.
-fn end_requests_of(node: &str, requests: &mut BTreeMap<String, RequestRecord>) {
-    let of_node = |record: &&mut RequestRecord| record.node == node && record.outcome.is_none();
-    for record in requests.values_mut().filter(of_node) {
-        record.outcome = Some(PROCESS_ENDED.to_owned());
+/// Marks the unfinished requests of a restarted process as lost.
+fn mark_requests_lost(node: &str, requests: &mut BTreeMap<String, RequestRecord>) {
+    let is_unfinished =
+        |record: &&mut RequestRecord| record.node == node && record.outcome.is_none();
+    for record in requests.values_mut().filter(is_unfinished) {
+        record.outcome = Some(GATEWAY_ENDED.to_owned());
     }
 }
 
 impl RequestRecord {
     fn is_served(&self) -> bool {
-        self.outcome.as_deref().is_some_and(|outcome| SERVED.contains(&outcome))
+        self.outcome.as_deref().is_some_and(|outcome| SUCCESS_OUTCOMES.contains(&outcome))
     }
 
     fn key(&self) -> LossKey {
-        let outcome = self.outcome.as_deref().unwrap_or(NO_LAST_LINE);
+        let outcome = self.outcome.as_deref().unwrap_or(NO_END_EVENT);
         LossKey {
             second: self.second.clone(),
             route: self.route.clone(),
@@ -125,28 +128,28 @@
     }
 }
 
-type Counted = BTreeMap<LossKey, Vec<String>>;
+type LossCounts = BTreeMap<LossKey, Vec<String>>;
 
-fn by_request(requests: &BTreeMap<String, RequestRecord>) -> Counted {
-    let mut counted = Counted::new();
+fn count_by_request(requests: &BTreeMap<String, RequestRecord>) -> LossCounts {
+    let mut counts = LossCounts::new();
     for (id, record) in requests.iter().filter(|(_, record)| !record.is_served()) {
-        counted.entry(record.key()).or_default().push(id.clone());
+        counts.entry(record.key()).or_default().push(id.clone());
     }
-    counted
+    counts
 }
 
-fn by_program(requests: &BTreeMap<String, RequestRecord>) -> Counted {
+fn count_by_program(requests: &BTreeMap<String, RequestRecord>) -> LossCounts {
     let mut programs: BTreeMap<&str, Vec<&RequestRecord>> = BTreeMap::new();
     for record in requests.values().filter(|record| record.program != "-") {
         programs.entry(&record.program).or_default().push(record);
     }
-    let mut counted = Counted::new();
+    let mut counts = LossCounts::new();
     for (program, mut records) in programs {
-        records.sort_by(|one, other| one.taken_at.cmp(&other.taken_at));
+        records.sort_by(|left, right| left.received_at.cmp(&right.received_at));
         let last = records.last().filter(|last| !last.is_served());
         if let Some(last) = last {
-            counted.entry(last.key()).or_default().push(program.to_owned());
+            counts.entry(last.key()).or_default().push(program.to_owned());
         }
     }
-    counted
+    counts
 }
--- a/crates/calicohoist/src/cli/mod.rs
+++ b/crates/calicohoist/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The command line.
+//! Command line interface.
 //!
-//! Exit status: 0 done, 1 failed, 2 settings or arguments not accepted.
+//! Exit status: 0 on success, 1 on failure, 2 for invalid settings or arguments.
 
 mod explain;
 mod log_lines;
@@ -28,18 +28,18 @@
 use losses::{LossesArguments, losses_arguments};
 use serve::{ServeArguments, serve_arguments};
 
-/// Status of refused settings or arguments.
-const EXIT_REFUSED: u8 = 2;
-const SIGNAL_POLL: Duration = Duration::from_millis(50);
+/// Exit status for invalid settings or arguments.
+const EXIT_INVALID: u8 = 2;
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 /// Scheduler for agent programs.
 struct Arguments {
-    /// Shape of log lines: text or json
+    /// Log format: text or json
     #[bpaf(argument::<String>("FORMAT"), parse(parse_format), fallback(LogFormat::Text))]
     log_format: LogFormat,
-    /// Least severe level that is logged: error, warn, info, debug or trace
+    /// Log level: error, warn, info, debug or trace
     #[bpaf(argument("LEVEL"), fallback(LevelFilter::Info))]
     log_level: LevelFilter,
     #[bpaf(external(command))]
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Debug, Bpaf)]
 enum Command {
-    /// Run a store machine
+    /// Run a store node
     #[bpaf(command)]
     Store {
         /// Settings file
@@ -62,23 +62,23 @@
         #[bpaf(argument("FILE"))]
         config: PathBuf,
     },
-    /// Run the role that the platform's settings file names
+    /// Run the role defined by the node file of the platform
     #[bpaf(command)]
     Serve(#[bpaf(external(serve_arguments))] ServeArguments),
-    /// Tell the story of a request or program from log files of `serve`
+    /// Print the timeline of a request or program from log files of `serve`
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_arguments))] ExplainArguments),
-    /// Count by cause and second what was not served, from log files of `serve`
+    /// Count failed programs or requests by cause and second, from log files of `serve`
     #[bpaf(command)]
     Losses(#[bpaf(external(losses_arguments))] LossesArguments),
-    /// Check a settings file and start nothing
+    /// Validate a settings file
     #[bpaf(command)]
     Check {
         /// Settings file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show resources
+    /// List resources
     #[bpaf(command)]
     Get {
         #[bpaf(external(target))]
@@ -86,11 +86,11 @@
         /// Kind: model, engine, service or tenant
         #[bpaf(positional("KIND"))]
         kind: String,
-        /// Name; without one, all of the kind
+        /// Name; all resources of the kind if omitted
         #[bpaf(positional("NAME"))]
         name: Option<String>,
     },
-    /// Declare the resources of a file, or report everything wrong with it
+    /// Apply the resources of a file, or report all errors in it
     #[bpaf(command)]
     Apply {
         #[bpaf(external(target))]
@@ -98,7 +98,7 @@
         /// TOML file with [[resource]] tables
         #[bpaf(short('f'), long("file"), argument("FILE"))]
         file: PathBuf,
-        /// Check only
+        /// Validate only
         dry_run: bool,
     },
     /// Delete a resource
@@ -106,7 +106,7 @@
     Delete {
         #[bpaf(external(target))]
         target: Target,
-        /// Only if it has this version
+        /// Delete only if the resource has this version
         #[bpaf(argument("VERSION"))]
         version: Option<u64>,
         /// Kind
@@ -116,7 +116,7 @@
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Follow changes from a revision on
+    /// Follow changes after a revision
     #[bpaf(command)]
     Watch {
         #[bpaf(external(target))]
@@ -124,7 +124,7 @@
         /// Start after this revision
         #[bpaf(argument("REVISION"), fallback(0))]
         after: u64,
-        /// End after this many changes
+        /// Exit after this many changes
         #[bpaf(argument("COUNT"))]
         count: Option<usize>,
     },
@@ -134,12 +134,12 @@
         #[bpaf(external(target))]
         target: Target,
     },
-    /// Take an engine or service replica out of service, or put it back
+    /// Drain an engine or service replica, or undo the drain
     #[bpaf(command)]
     Drain {
         #[bpaf(external(target))]
         target: Target,
-        /// Put it back
+        /// Undo the drain
         undo: bool,
         /// Kind: engine or service
         #[bpaf(positional("KIND"))]
@@ -167,14 +167,14 @@
     }
 }
 
-/// Runs the command line of this process.
+/// Parses the command line and runs the command.
 pub fn run() -> ExitCode {
     let arguments = match arguments().run_inner(bpaf::Args::current_args()) {
         Ok(arguments) => arguments,
         Err(failure) => {
             failure.print_message(100);
-            let is_refusal = failure.exit_code() != 0;
-            return ExitCode::from(if is_refusal { EXIT_REFUSED } else { 0 });
+            let is_invalid = failure.exit_code() != 0;
+            return ExitCode::from(if is_invalid { EXIT_INVALID } else { 0 });
         }
     };
     let settings = LogSettings {
@@ -182,32 +182,34 @@
         level: arguments.log_level,
         node: String::new(),
     };
-    let performed = match arguments.command {
+    let result = match arguments.command {
         Command::Serve(serve) => serve::run(serve, settings),
-        command => logging::install(settings).and_then(|()| perform(command)),
+        command => logging::install(settings).and_then(|()| run_command(command)),
     };
-    match performed {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => report(&error),
+        Err(error) => report_error(&error),
     }
 }
 
-fn report(error: &eyre::Report) -> ExitCode {
+fn report_error(error: &eyre::Report) -> ExitCode {
     if let Some(findings) = error.downcast_ref::<Findings>() {
         for finding in &findings.0 {
             eprintln!("{finding}");
         }
-        return ExitCode::from(EXIT_REFUSED);
+        return ExitCode::from(EXIT_INVALID);
     }
     eprintln!("error: {error:#}");
     ExitCode::FAILURE
 }
 
-fn perform(command: Command) -> Result<()> {
+fn run_command(command: Command) -> Result<()> {
     match command {
         Command::Store { config } => run_store(&Settings::read(&config)?),
         Command::Gateway { config } => run_gateway(&Settings::read(&config)?),
-        Command::Serve(_) => eyre::bail!("serve installs its own logger"),
+        Command::Serve(_) => {
+            eyre::bail!("`serve` must be dispatched before the logger is installed")
+        }
         Command::Explain(arguments) => explain::run(&arguments),
         Command::Losses(arguments) => losses::run(&arguments),
         Command::Check { file } => {
@@ -228,32 +230,32 @@
     }
 }
 
-/// Counts the signals that ask for a stop: the first plans it, the second cuts.
-fn watch_signals() -> Result<Arc<AtomicUsize>> {
+/// Counts SIGTERM and SIGINT: the first requests a graceful stop, the second forces it.
+fn count_stop_signals() -> Result<Arc<AtomicUsize>> {
     let count = Arc::new(AtomicUsize::new(0));
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT])?;
-    let seen = count.clone();
+    let counter = count.clone();
     std::thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for _ in signals.forever() {
-            seen.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
         }
     })?;
     Ok(count)
 }
 
-fn wait_for_signal(signals: &AtomicUsize, wanted: usize) {
-    while signals.load(Ordering::SeqCst) < wanted {
-        std::thread::sleep(SIGNAL_POLL);
+fn wait_for_signals(signals: &AtomicUsize, min_count: usize) {
+    while signals.load(Ordering::SeqCst) < min_count {
+        std::thread::sleep(SIGNAL_POLL_INTERVAL);
     }
 }
 
 fn run_store(settings: &Settings) -> Result<()> {
-    let signals = watch_signals()?;
+    let signals = count_stop_signals()?;
     let (server, _health) = roles::start_store(settings)?;
     while signals.load(Ordering::SeqCst) == 0 {
-        std::thread::sleep(SIGNAL_POLL);
+        std::thread::sleep(SIGNAL_POLL_INTERVAL);
         if server.has_failed() {
-            eyre::bail!("the disk failed; this replica stops, its peers carry on");
+            eyre::bail!("disk write failed; stopping this store replica");
         }
     }
     emit!(Event::StopRequested, "store");
@@ -263,18 +265,18 @@
 }
 
 fn run_gateway(settings: &Settings) -> Result<()> {
-    let signals = watch_signals()?;
+    let signals = count_stop_signals()?;
     let server = roles::start_gateway(settings)?;
-    wait_for_signal(&signals, 1);
-    let cut = signals.clone();
+    wait_for_signals(&signals, 1);
+    let forced_stop = signals.clone();
     std::thread::Builder::new().name("second-signal".to_owned()).spawn(move || {
-        wait_for_signal(&cut, 2);
+        wait_for_signals(&forced_stop, 2);
         emit!(Event::StopForced, "second signal");
         std::process::exit(1);
     })?;
     if roles::stop_gateway(server) {
         Ok(())
     } else {
-        eyre::bail!("calls were still under way when patience ran out")
+        eyre::bail!("graceful stop timed out with calls still in flight")
     }
 }
--- a/crates/calicohoist/src/cli/operator.rs
+++ b/crates/calicohoist/src/cli/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' client: tables for people, JSON for scripts.
+//! Operator commands: client of the gateway's resource API, with table or JSON output.
 
 use std::path::Path;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const REPLY_TIMEOUT: Duration = Duration::from_secs(15);
-const WATCH_PAUSE: Duration = Duration::from_millis(250);
-const HEADER_REQUEST: &str = "calicohoist-request";
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(250);
+const REQUEST_ID_HEADER: &str = "calicohoist-request";
 
 fn client(target: &Target) -> HttpClient {
     HttpClient::new(target.gateway, CONNECT_TIMEOUT, REPLY_TIMEOUT)
 }
 
 fn fetch(target: &Target, path: &str) -> Result<Value> {
-    client(target).get(path).map_err(explain)
+    client(target).get(path).map_err(api_error)
 }
 
-/// Turns an error answer into its message and findings.
-fn explain(error: ClientError) -> eyre::Report {
+/// Extracts the message of an API error response.
+fn api_error(error: ClientError) -> eyre::Report {
     let ClientError::Status { status, body } = &error else {
         return eyre!(error);
     };
@@ -47,7 +47,7 @@
 pub(super) fn get(target: &Target, kind: &str, name: Option<&str>) -> Result<()> {
     let items = match name {
         Some(name) => vec![fetch(target, &format!("/apis/v1/{kind}/{name}"))?],
-        None => all_pages(target, kind)?,
+        None => fetch_all_pages(target, kind)?,
     };
     if target.json {
         print_json(&Value::Array(items));
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-fn all_pages(target: &Target, kind: &str) -> Result<Vec<Value>> {
+fn fetch_all_pages(target: &Target, kind: &str) -> Result<Vec<Value>> {
     let mut items = Vec::new();
     let mut after = String::new();
     loop {
@@ -76,8 +76,9 @@
     }
 }
 
-/// A resource of a file, with the line it starts in.
-struct Declared {
+/// Resource declared in a file.
+struct DeclaredResource {
+    /// Line of the table header.
     line: usize,
     kind: String,
     name: String,
@@ -86,10 +87,10 @@
 
 pub(super) fn apply(target: &Target, file: &Path, dry_run: bool) -> Result<()> {
     let declared = read_declarations(file)?;
-    // Everything is checked before anything is changed.
+    // Validate all resources before applying any.
     let mut findings = Vec::new();
     for resource in &declared {
-        findings.extend(put(target, file, resource, true)?);
+        findings.extend(put_resource(target, file, resource, true)?);
     }
     Findings::into_result(findings)?;
     if dry_run {
@@ -98,17 +99,17 @@
     }
     let mut findings = Vec::new();
     for resource in &declared {
-        findings.extend(put(target, file, resource, false)?);
+        findings.extend(put_resource(target, file, resource, false)?);
     }
     Findings::into_result(findings)?;
     println!("{} resources applied", declared.len());
     Ok(())
 }
 
-fn read_declarations(file: &Path) -> Result<Vec<Declared>> {
+fn read_declarations(file: &Path) -> Result<Vec<DeclaredResource>> {
     let text = std::fs::read_to_string(file)?;
     let document: Document<String> = text.parse().map_err(|error: toml_edit::TomlError| {
-        let line = error.span().map(|span| line_of(&text, span.start));
+        let line = error.span().map(|span| line_number(&text, span.start));
         let mut finding = Finding::of_field("", error.message(), "a TOML document");
         finding.place.file = file.display().to_string();
         finding.place.line = line;
@@ -118,41 +119,46 @@
     let tables = tables.ok_or_else(|| eyre!("{}: no [[resource]] tables", file.display()))?;
     let mut declared = Vec::new();
     for table in tables {
-        let line = table.span().map_or(1, |span| line_of(&text, span.start));
+        let line = table.span().map_or(1, |span| line_number(&text, span.start));
         let field = |name: &str| table.get(name).and_then(|item| item.as_str()).map(str::to_owned);
         let (Some(kind), Some(name)) = (field("kind"), field("name")) else {
             bail!("{}:{line}: a resource needs kind and name", file.display());
         };
         let spec = table.get("spec").and_then(|item| item.as_table_like());
         let fields = spec.into_iter().flat_map(|spec| spec.iter());
-        let spec = fields.map(|(name, item)| (name.to_owned(), json_of(item))).collect();
-        declared.push(Declared { line, kind, name, spec: Value::Object(spec) });
+        let spec = fields.map(|(name, item)| (name.to_owned(), toml_to_json(item))).collect();
+        declared.push(DeclaredResource { line, kind, name, spec: Value::Object(spec) });
     }
     Ok(declared)
 }
 
-fn json_of(item: &toml_edit::Item) -> Value {
+fn toml_to_json(item: &toml_edit::Item) -> Value {
     if let Some(text) = item.as_str() {
         json!(text)
     } else if let Some(number) = item.as_integer() {
         json!(number)
-    } else if let Some(flag) = item.as_bool() {
-        json!(flag)
+    } else if let Some(boolean) = item.as_bool() {
+        json!(boolean)
     } else {
         json!(item.to_string().trim())
     }
 }
 
-fn line_of(text: &str, byte: usize) -> usize {
+fn line_number(text: &str, byte: usize) -> usize {
     text[..byte.min(text.len())].matches('\n').count() + 1
 }
 
-/// Declares one resource; returns what is wrong with it.
-fn put(target: &Target, file: &Path, resource: &Declared, dry_run: bool) -> Result<Vec<Finding>> {
-    let Declared { line, kind, name, spec } = resource;
+/// Submits one resource and returns the findings of the server.
+fn put_resource(
+    target: &Target,
+    file: &Path,
+    resource: &DeclaredResource,
+    dry_run: bool,
+) -> Result<Vec<Finding>> {
+    let DeclaredResource { line, kind, name, spec } = resource;
     let path = format!("/apis/v1/{kind}/{name}?dry_run={dry_run}");
-    let sender = client(target).with_header(HEADER_REQUEST, request_id());
-    let response = sender.request_json(Method::PUT, &path, spec)?;
+    let client = client(target).with_header(REQUEST_ID_HEADER, request_id());
+    let response = client.request_json(Method::PUT, &path, spec)?;
     if response.is_success() {
         return Ok(Vec::new());
     }
@@ -178,25 +184,25 @@
 pub(super) fn delete(target: &Target, kind: &str, name: &str, version: Option<u64>) -> Result<()> {
     let query = version.map_or(String::new(), |version| format!("?version={version}"));
     let path = format!("/apis/v1/{kind}/{name}{query}");
-    let sender = client(target).with_header(HEADER_REQUEST, request_id());
-    let answer: Value = sender.delete(&path).map_err(explain)?;
+    let client = client(target).with_header(REQUEST_ID_HEADER, request_id());
+    let response: Value = client.delete(&path).map_err(api_error)?;
     if target.json {
-        print_json(&answer);
+        print_json(&response);
     } else {
-        println!("{kind}/{name} deleted at revision {}", answer["revision"]);
+        println!("{kind}/{name} deleted at revision {}", response["revision"]);
     }
     Ok(())
 }
 
 pub(super) fn watch(target: &Target, after: u64, count: Option<usize>) -> Result<()> {
     let mut after = after;
-    let mut shown = 0;
-    while count.is_none_or(|count| shown < count) {
+    let mut printed = 0;
+    while count.is_none_or(|count| printed < count) {
         let update = fetch(target, &format!("/apis/v1/changes?after={after}"))?;
-        let is_whole = update["whole"] == json!(true);
-        let field = if is_whole { "items" } else { "changes" };
+        let is_full_state = update["whole"] == json!(true);
+        let field = if is_full_state { "items" } else { "changes" };
         let rows = update[field].as_array().cloned().unwrap_or_default();
-        if is_whole {
+        if is_full_state {
             println!(
                 "# changes up to {} are no longer kept; the whole state follows",
                 update["revision"]
@@ -205,10 +211,10 @@
         for row in &rows {
             println!("{row}");
         }
-        shown += rows.len();
+        printed += rows.len();
         after = update["revision"].as_u64().unwrap_or(after).max(after);
         if rows.is_empty() {
-            std::thread::sleep(WATCH_PAUSE);
+            std::thread::sleep(WATCH_POLL_INTERVAL);
         }
     }
     Ok(())
@@ -250,13 +256,13 @@
     let mut spec = resource["spec"].clone();
     spec["drain"] = json!(drain);
     let path = format!("/apis/v1/{kind}/{name}?version={}", resource["version"]);
-    let sender = client(target).with_header(HEADER_REQUEST, request_id());
-    let answer: Value = sender.put(&path, &spec).map_err(explain)?;
+    let client = client(target).with_header(REQUEST_ID_HEADER, request_id());
+    let response: Value = client.put(&path, &spec).map_err(api_error)?;
     if target.json {
-        print_json(&answer);
+        print_json(&response);
     } else {
         let verb = if drain { "draining" } else { "back in service" };
-        println!("{kind}/{name} {verb} as of revision {}", answer["version"]);
+        println!("{kind}/{name} {verb} as of revision {}", response["version"]);
     }
     Ok(())
 }
--- a/crates/calicohoist/src/cli/serve.rs
+++ b/crates/calicohoist/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `calicohoist serve`: the role that a settings file of the platform names.
+//! `calicohoist serve`: runs the role defined by the node file of the platform.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -26,27 +26,27 @@
 /// Arguments of `serve`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct ServeArguments {
-    /// The platform's settings file
+    /// Node file of the platform
     #[bpaf(long("node-file"), env(NODE_FILE_VARIABLE), argument("FILE"))]
     node_file: PathBuf,
-    /// Port of the metrics; none are served without it
+    /// Port of the metrics endpoint; disabled if omitted
     #[bpaf(long("metrics-port"), argument("PORT"))]
     metrics_port: Option<u16>,
-    /// Ledger machines: listen on this address instead of the machine's own, which others
-    /// reach through a forwarder
+    /// Ledger nodes: listen on this address instead of the advertised one, for use behind a
+    /// forwarder
     #[bpaf(long("bind"), argument("IP"))]
     bind: Option<Ipv4Addr>,
-    /// Check the file and start nothing
+    /// Validate the node file and exit
     #[bpaf(long("check"))]
     check: bool,
 }
 
-/// Runs the role until SIGTERM or SIGINT, or only checks the file.
+/// Runs the role until SIGTERM or SIGINT, or only validates the node file.
 ///
 /// # Errors
-/// When the file is not accepted, or the role cannot start or go on.
+/// Returns an error if the file is invalid or the role fails to start or to run.
 pub fn run(arguments: ServeArguments, mut log: LogSettings) -> Result<()> {
-    let early_stop = catch_early_signals()?;
+    let early_stop = register_early_signal_handlers()?;
     let file = &arguments.node_file;
     let text = std::fs::read_to_string(file)
         .wrap_err_with(|| format!("cannot read {}", file.display()))?;
@@ -61,10 +61,10 @@
     };
     log.node = name;
     logging::install_non_blocking(log)?;
-    // One thread carries all sockets: on a fraction of a core, threads only take turns.
+    // Nodes get a fraction of a core, so a multi-threaded runtime would gain nothing.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let result = runtime.block_on(async {
-        let stop = watch_signals(&early_stop)?;
+        let stop = watch_stop_signals(&early_stop)?;
         if let Some(port) = arguments.metrics_port {
             let listener = calicohoist_transport::bind(SocketAddr::new(ip, port))?;
             tokio::spawn(serve_metrics(listener));
@@ -88,22 +88,24 @@
     result
 }
 
-/// Catches signals before anything else is done; the flag tells whether one asked to stop. Until a
-/// handler stands, SIGTERM and SIGHUP end a process as if it had crashed: both did while it read
-/// its settings, and now it ends with status 0 (a process whose settings come from a pipe).
-fn catch_early_signals() -> std::io::Result<Arc<AtomicBool>> {
+/// Registers signal handlers before the node file is read and returns the stop flag.
+///
+/// Without them, an early SIGTERM or SIGHUP would terminate the process with its default action
+/// instead of a graceful stop.
+fn register_early_signal_handlers() -> std::io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
-    for number in [SIGTERM, SIGINT] {
-        flag::register(number, Arc::clone(&stop))?;
+    for signal_number in [SIGTERM, SIGINT] {
+        flag::register(signal_number, Arc::clone(&stop))?;
     }
     flag::register(SIGHUP, Arc::default())?;
     Ok(stop)
 }
 
-/// Turns true at SIGTERM or SIGINT, or if one came early. SIGHUP is noted and changes nothing:
-/// what a role needs of the file it needs at its start only.
-fn watch_signals(early_stop: &AtomicBool) -> Result<watch::Receiver<bool>> {
-    let (stop, stopped) = watch::channel(false);
+/// Returns a channel that becomes `true` on SIGTERM or SIGINT, or if `early_stop` is set.
+///
+/// SIGHUP is only logged: the node file is read once at startup.
+fn watch_stop_signals(early_stop: &AtomicBool) -> Result<watch::Receiver<bool>> {
+    let (stop, stop_requested) = watch::channel(false);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hang_up = signal(SignalKind::hangup())?;
@@ -120,10 +122,10 @@
         }
         stop.send_replace(true);
     });
-    Ok(stopped)
+    Ok(stop_requested)
 }
 
-/// Answers every request with the metrics of this process.
+/// Serves the metrics of this process on every path.
 async fn serve_metrics(listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -131,8 +133,8 @@
         };
         let service = service_fn(|_request| async {
             let mut response = hyper::Response::new(Full::new(Bytes::from(metrics::render())));
-            let content = HeaderValue::from_static(metrics::CONTENT_TYPE);
-            response.headers_mut().insert(CONTENT_TYPE, content);
+            let content_type = HeaderValue::from_static(metrics::CONTENT_TYPE);
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             Ok::<_, Infallible>(response)
         });
         tokio::spawn(async move {
--- a/crates/calicohoist/src/lib.rs
+++ b/crates/calicohoist/src/lib.rs
@@ -1,8 +1,8 @@
-//! The product's roles, settings and command line.
+//! Roles, settings and command line of the `calicohoist` binary.
 //!
-//! - [`settings`]: the settings file, checked as a whole;
-//! - [`roles`]: starting and stopping a role;
-//! - [`cli`]: the command line, with the operators' client.
+//! - [`settings`]: parsing and validation of the settings file;
+//! - [`roles`]: startup and shutdown of the roles;
+//! - [`cli`]: command line, including the operator commands.
 
 pub mod cli;
 pub mod roles;
--- a/crates/calicohoist/src/main.rs
+++ b/crates/calicohoist/src/main.rs
@@ -1,4 +1,4 @@
-//! The `calicohoist` command.
+//! Entry point of the `calicohoist` binary.
 
 use std::process::ExitCode;
 
--- a/crates/calicohoist/src/roles.rs
+++ b/crates/calicohoist/src/roles.rs
@@ -1,4 +1,4 @@
-//! Starting a role from its settings, and stopping it as planned.
+//! Startup of the roles from their settings, and graceful shutdown.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 
 use crate::settings::{GatewaySection, Settings, StoreSection};
 
-/// Longest time a planned stop of a gateway waits for calls under way.
-const STOP_PATIENCE: Duration = Duration::from_secs(120);
+/// Maximum time that a graceful gateway stop waits for calls in flight.
+const GRACEFUL_STOP_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// The settings of a store machine's driver.
+/// Builds the driver settings of a store node.
 pub fn store_settings(settings: &Settings, section: &StoreSection) -> StoreSettings {
     let raft = RaftSettings {
         heartbeat: section.heartbeat,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The settings of a gateway's driver.
+/// Builds the driver settings of a gateway.
 pub fn gateway_config(settings: &Settings, section: &GatewaySection) -> ServerConfig {
     let mut random = rand::rng();
     let core = GatewaySettings {
@@ -75,16 +75,16 @@
     }
 }
 
-/// Later starts have larger numbers, so that the newer start of a name wins.
+/// Returns the start time in microseconds, so that the latest process of a name takes precedence.
 fn incarnation() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    u64::try_from(since_epoch.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
 }
 
 /// Starts a gateway.
 ///
 /// # Errors
-/// When a socket cannot be bound or a thread cannot be started.
+/// Returns an error if a socket cannot be bound or a thread cannot be spawned.
 pub fn start_gateway(settings: &Settings) -> Result<GatewayServer> {
     let section = settings.gateway.as_ref();
     let section = section.ok_or_else(|| eyre!("the settings have no table [gateway]"))?;
@@ -101,17 +101,17 @@
     Ok(server)
 }
 
-/// Starts a store machine, with its health endpoint if one is set.
+/// Starts a store node and its health endpoint, if configured.
 ///
 /// # Errors
-/// When the log is damaged, or a socket cannot be bound.
+/// Returns an error if the log is corrupt or a socket cannot be bound.
 pub fn start_store(settings: &Settings) -> Result<(StoreServer, Option<HttpServer>)> {
     let section = settings.store.as_ref();
     let section = section.ok_or_else(|| eyre!("the settings have no table [store]"))?;
     let address = settings.machines[&section.machine];
     let listener = bind(address)?;
     let server = StoreServer::start(store_settings(settings, section), listener)?;
-    let health = section.health.map(start_health).transpose()?;
+    let health = section.health.map(start_health_server).transpose()?;
     emit!(Event::RoleStarted, "store {} address={}", section.machine, server.address());
     Ok((server, health))
 }
@@ -120,20 +120,20 @@
     TcpListener::bind(address).wrap_err_with(|| format!("cannot bind {address}"))
 }
 
-fn start_health(address: SocketAddr) -> Result<HttpServer> {
+fn start_health_server(address: SocketAddr) -> Result<HttpServer> {
     let settings = ServerSettings { workers: 2, ..ServerSettings::default() };
-    Ok(HttpServer::start_on(bind(address)?, settings, Arc::new(Health))?)
+    Ok(HttpServer::start_on(bind(address)?, settings, Arc::new(HealthHandler))?)
 }
 
-/// Stops a gateway as planned; `false` when calls had to be cut.
+/// Stops a gateway gracefully; returns `false` if calls in flight were aborted.
 pub fn stop_gateway(server: GatewayServer) -> bool {
-    server.stop_gracefully(STOP_PATIENCE)
+    server.stop_gracefully(GRACEFUL_STOP_TIMEOUT)
 }
 
-/// `/healthz`, `/readyz` and `/metrics` of a store machine.
-struct Health;
+/// HTTP handler for `/healthz`, `/readyz` and `/metrics` of a store node.
+struct HealthHandler;
 
-impl Handler for Health {
+impl Handler for HealthHandler {
     fn handle(&self, exchange: Exchange) {
         match exchange.path() {
             "/healthz" | "/readyz" => exchange.reply_text(200, "text/plain", "ok\n"),
--- a/crates/calicohoist/src/settings/mod.rs
+++ b/crates/calicohoist/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The settings file: typed, checked as a whole before anything starts.
+//! Typed settings, validated completely before startup.
 //!
-//! docs/CONFIGURATION.md lists every field with its default.
+//! docs/CONFIGURATION.md documents all fields and defaults.
 
 mod reader;
 
@@ -10,77 +10,79 @@
 use std::time::Duration;
 
 use calicohoist_types::{Finding, Findings, NodeId, Zone};
-use reader::{ACCEPTED_NAME, Reader, Section};
+use reader::{NAME_FORMAT, Reader, Section};
 
-/// Most store machines of one fleet.
-const MAX_MACHINES: usize = 15;
+/// Maximum number of store nodes in a cluster.
+const MAX_STORE_NODES: usize = 15;
 
-/// Everything a process needs to know.
+/// Validated settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of the process; unique in its fleet.
+    /// Node name, unique in the cluster.
     pub name: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: Zone,
-    /// The store machines.
+    /// Addresses of the store nodes, by number.
     pub machines: BTreeMap<u32, SocketAddr>,
-    /// Groups that hold programs; the same everywhere, for good.
+    /// Number of replication groups that programs are sharded over.
+    ///
+    /// Must be the same on all nodes and cannot be changed later.
     pub program_groups: u32,
-    /// Settings of the role `store`.
+    /// Settings of the store role, if enabled.
     pub store: Option<StoreSection>,
-    /// Settings of the role `gateway`.
+    /// Settings of the gateway role, if enabled.
     pub gateway: Option<GatewaySection>,
 }
 
-/// Settings of the role `store`.
+/// Settings of the store role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreSection {
-    /// Number of this machine.
+    /// Number of this node in `store_machines`.
     pub machine: u32,
-    /// Folder for log and snapshots.
+    /// Directory of the log and snapshots.
     pub data_folder: PathBuf,
-    /// Address of `/healthz`, `/readyz` and `/metrics`.
+    /// Listen address of `/healthz`, `/readyz` and `/metrics`.
     pub health: Option<SocketAddr>,
-    /// Time between heartbeats.
+    /// Heartbeat interval.
     pub heartbeat: Duration,
-    /// Shortest silence after which another leader is elected.
+    /// Minimum election timeout.
     pub election: Duration,
-    /// Entries after which a group writes a snapshot.
+    /// Number of log entries between two snapshots of a group.
     pub entries_per_snapshot: u64,
 }
 
-/// Settings of the role `gateway`.
+/// Settings of the gateway role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySection {
-    /// Address for callers and operators.
+    /// Listen address for clients and operators.
     pub http: SocketAddr,
-    /// Address for other gateways.
+    /// Listen address for other gateways.
     pub peers: SocketAddr,
-    /// The platform's list of machines.
+    /// Address of the platform's machine list.
     pub platform: Option<SocketAddr>,
-    /// Requests served at a time.
+    /// Maximum number of concurrent requests.
     pub workers: usize,
-    /// Largest accepted body, in bytes.
+    /// Maximum request body size, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time a body may take to arrive.
+    /// Timeout for receiving a request body.
     pub body_timeout: Duration,
-    /// Longest time a call waits for an engine.
+    /// Maximum time that a call waits for an engine.
     pub queue_timeout: Duration,
-    /// Longest time a call waits for an earlier one that has not arrived.
+    /// Maximum time that a call waits for a missing predecessor.
     pub gap_timeout: Duration,
-    /// Silence of a back end after which an attempt is tried elsewhere.
+    /// Time without backend output after which an attempt is retried elsewhere.
     pub stall_timeout: Duration,
-    /// Attempts of one call.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
-    /// Calls waiting for one engine.
+    /// Maximum number of calls queued per engine.
     pub max_waiting_per_engine: usize,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all findings if the file is unreadable or invalid.
     pub fn read(path: &std::path::Path) -> Result<Self, Findings> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -93,10 +95,10 @@
         }
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all findings if the text is invalid.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let mut reader = Reader::new(file, text);
         let Some(document) = reader.parse() else {
@@ -104,7 +106,7 @@
         };
         let mut root = reader.root(document.as_table());
         let settings = read_root(&mut reader, &mut root);
-        reader.finish(root);
+        reader.report_unknown_fields(root);
         let findings = reader.into_findings();
         match settings {
             Some(settings) if findings.is_empty() => Ok(settings),
@@ -122,9 +124,9 @@
     let store = store.and_then(|section| read_store(reader, section, &machines));
     let gateway = reader.section(root, "gateway");
     let gateway = gateway.and_then(|section| read_gateway(reader, section));
-    if store.is_none() && gateway.is_none() && reader.is_clean() {
+    if store.is_none() && gateway.is_none() && reader.has_no_findings() {
         let accepted = "a table [store], [gateway] or both";
-        reader.add("", None, "names no role", accepted);
+        reader.add_finding("", None, "defines no role", accepted);
     }
     Some(Settings {
         name: NodeId::new(name?),
@@ -139,9 +141,14 @@
 fn read_machines(reader: &mut Reader<'_>, root: &mut Section<'_>) -> BTreeMap<u32, SocketAddr> {
     let mut machines = BTreeMap::new();
     let sections = reader.sections(root, "store_machines");
-    if sections.is_empty() || sections.len() > MAX_MACHINES {
+    if sections.is_empty() || sections.len() > MAX_STORE_NODES {
         let problem = format!("has {} entries", sections.len());
-        reader.add("store_machines", None, problem, format!("1 to {MAX_MACHINES} tables"));
+        reader.add_finding(
+            "store_machines",
+            None,
+            problem,
+            format!("1 to {MAX_STORE_NODES} tables"),
+        );
     }
     for mut section in sections {
         let number = reader.required(&mut section, "number", "1 to 65535, each once", |item| {
@@ -149,17 +156,22 @@
         });
         let address = reader.address(&mut section, "address");
         if let (Some(number), Some(address)) = (number, address) {
-            let is_taken = machines.values().any(|known| *known == address);
-            if is_taken {
+            let is_duplicate = machines.values().any(|known| *known == address);
+            if is_duplicate {
                 let field = section.field("address");
-                reader.add(&field, section.span(), "is used twice", "an address of its own");
+                reader.add_finding(
+                    &field,
+                    section.span(),
+                    "is used twice",
+                    "an address of its own",
+                );
             }
             if machines.insert(number, address).is_some() {
                 let field = section.field("number");
-                reader.add(&field, section.span(), "is used twice", "a number of its own");
+                reader.add_finding(&field, section.span(), "is used twice", "a number of its own");
             }
         }
-        reader.finish(section);
+        reader.report_unknown_fields(section);
     }
     machines
 }
@@ -184,10 +196,10 @@
     let entries = reader.number(&mut section, "entries_per_snapshot", 100..=10_000_000, 20_000);
     if election < heartbeat * 3 {
         let field = section.field("election_ms");
-        let problem = format!("{election} leaves no room for a lost heartbeat");
-        reader.add(&field, section.span(), problem, format!("{} or more", heartbeat * 3));
+        let problem = format!("{election} is less than three heartbeat intervals");
+        reader.add_finding(&field, section.span(), problem, format!("{} or more", heartbeat * 3));
     }
-    reader.finish(section);
+    reader.report_unknown_fields(section);
     Some(StoreSection {
         machine: machine?,
         data_folder: data_folder?,
@@ -231,7 +243,7 @@
             256,
         ) as usize,
     };
-    reader.finish(section);
+    reader.report_unknown_fields(section);
     (http.is_some() && peers.is_some()).then_some(gateway)
 }
 
@@ -251,5 +263,5 @@
     Duration::from_millis(number)
 }
 
-/// What a name may look like, for messages of the command line.
-pub const NAME_RULE: &str = ACCEPTED_NAME;
+/// Accepted format of names.
+pub const NAME_RULE: &str = NAME_FORMAT;
--- a/crates/calicohoist/src/settings/reader.rs
+++ b/crates/calicohoist/src/settings/reader.rs
@@ -1,5 +1,4 @@
-//! Reads values from a TOML document and collects everything that is wrong with
-//! it, each finding with file, line, column and field.
+//! TOML reader that collects all validation findings, each with file, line, column and field.
 
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
@@ -7,17 +6,17 @@
 use calicohoist_types::{Finding, Location, is_valid_name};
 use toml_edit::{Document, Item, Table, TableLike};
 
-/// What a name may look like.
-pub const ACCEPTED_NAME: &str = "1 to 128 letters, digits, '-', '_', '.' or ':'";
+/// Accepted format of names.
+pub const NAME_FORMAT: &str = "1 to 128 letters, digits, '-', '_', '.' or ':'";
 
-/// A document with the findings so far.
+/// Document reader with the findings so far.
 pub struct Reader<'a> {
     file: &'a str,
     text: &'a str,
     findings: Vec<Finding>,
 }
 
-/// A table being read, with its path and the fields that were asked for.
+/// Table being read, with its path and the names of its known fields.
 pub struct Section<'t> {
     path: String,
     table: &'t dyn TableLike,
@@ -26,30 +25,30 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of `text`, which came from `file`.
+    /// Creates a reader for `text`, the content of `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text, findings: Vec::new() }
     }
 
-    /// Parses the document; `None`, with a finding, when it is not TOML.
+    /// Parses the document; adds a finding and returns `None` on a TOML syntax error.
     pub fn parse(&mut self) -> Option<Document<String>> {
         match self.text.parse::<Document<String>>() {
             Ok(document) => Some(document),
             Err(error) => {
                 let problem = error.message().to_owned();
-                self.add("", error.span(), problem, "a TOML document");
+                self.add_finding("", error.span(), problem, "a TOML document");
                 None
             }
         }
     }
 
-    /// Everything found.
+    /// Returns all findings.
     pub fn into_findings(self) -> Vec<Finding> {
         self.findings
     }
 
-    /// Adds a finding at a place of the text.
-    pub fn add(
+    /// Adds a finding with the position of `span`.
+    pub fn add_finding(
         &mut self,
         field: &str,
         span: Option<Range<usize>>,
@@ -69,54 +68,59 @@
         });
     }
 
-    /// Line and column, from 1, of a byte.
-    fn position(&self, byte: usize) -> (usize, usize) {
-        let before = &self.text[..byte.min(self.text.len())];
+    /// Returns the one-based line and column of a offset offset.
+    fn position(&self, offset: usize) -> (usize, usize) {
+        let before = &self.text[..offset.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|character| *character != '\n').count() + 1;
         (line, column)
     }
 
-    /// The whole document as a section.
+    /// Returns the document root as a section.
     pub fn root<'t>(&self, table: &'t Table) -> Section<'t> {
         Section { path: String::new(), table, span: None, known: Vec::new() }
     }
 
-    /// A table inside `section`, if it is there.
+    /// Reads an optional table in `section`.
     pub fn section<'t>(
         &mut self,
         section: &mut Section<'t>,
         name: &'static str,
     ) -> Option<Section<'t>> {
-        let item = section.take(name)?;
+        let item = section.get_known(name)?;
         let field = section.field(name);
         match item.as_table_like() {
             Some(table) => {
                 Some(Section { path: field, table, span: item.span(), known: Vec::new() })
             }
             None => {
-                self.add(&field, item.span(), "is not a table", format!("[{name}]"));
+                self.add_finding(&field, item.span(), "is not a table", format!("[{name}]"));
                 None
             }
         }
     }
 
-    /// The tables of an array of tables.
+    /// Reads an optional array of tables.
     pub fn sections<'t>(
         &mut self,
         section: &mut Section<'t>,
         name: &'static str,
     ) -> Vec<Section<'t>> {
-        let Some(item) = section.take(name) else {
+        let Some(item) = section.get_known(name) else {
             return Vec::new();
         };
         let field = section.field(name);
         let Some(tables) = item.as_array_of_tables() else {
-            self.add(&field, item.span(), "is not a list of tables", format!("[[{field}]]"));
+            self.add_finding(
+                &field,
+                item.span(),
+                "is not a list of tables",
+                format!("[[{field}]]"),
+            );
             return Vec::new();
         };
-        let numbered = tables.iter().enumerate();
-        numbered
+        let indexed = tables.iter().enumerate();
+        indexed
             .map(|(index, table)| Section {
                 path: format!("{field}[{index}]"),
                 table,
@@ -126,18 +130,18 @@
             .collect()
     }
 
-    /// Reports the fields of a section that were not asked for.
-    pub fn finish(&mut self, section: Section<'_>) {
+    /// Adds a finding for each field of a section that was not read.
+    pub fn report_unknown_fields(&mut self, section: Section<'_>) {
         for (name, item) in section.table.iter() {
             if !section.known.contains(&name) {
                 let accepted = section.known.join(", ");
                 let span = section.key_span(name).or(item.span());
-                self.add(&section.field(name), span, "is not a known field", accepted);
+                self.add_finding(&section.field(name), span, "is not a known field", accepted);
             }
         }
     }
 
-    /// A required value that `parse` accepts.
+    /// Reads a required value with `parse`.
     pub fn required<T>(
         &mut self,
         section: &mut Section<'_>,
@@ -148,13 +152,13 @@
         if section.table.get(name).is_none() {
             section.known.push(name);
             let field = section.field(name);
-            self.add(&field, section.span.clone(), "is missing", accepted);
+            self.add_finding(&field, section.span.clone(), "is missing", accepted);
             return None;
         }
         self.optional(section, name, accepted, parse)
     }
 
-    /// A value that `parse` accepts, if it is there.
+    /// Reads an optional value with `parse`.
     pub fn optional<T>(
         &mut self,
         section: &mut Section<'_>,
@@ -162,16 +166,16 @@
         accepted: &str,
         parse: impl Fn(&Item) -> Option<T>,
     ) -> Option<T> {
-        let item = section.take(name)?;
+        let item = section.get_known(name)?;
         let parsed = parse(item);
         if parsed.is_none() {
             let problem = format!("{} is not accepted", item.to_string().trim());
-            self.add(&section.field(name), item.span(), problem, accepted);
+            self.add_finding(&section.field(name), item.span(), problem, accepted);
         }
         parsed
     }
 
-    /// A whole number in `range`, or `default`.
+    /// Reads an optional integer in `range`, with a default.
     pub fn number(
         &mut self,
         section: &mut Section<'_>,
@@ -187,39 +191,39 @@
         parsed.unwrap_or(default)
     }
 
-    /// A required socket address.
+    /// Reads a required socket address.
     pub fn address(&mut self, section: &mut Section<'_>, name: &'static str) -> Option<SocketAddr> {
         self.required(section, name, "an IP number and port, such as \"10.0.0.1:7100\"", |item| {
             item.as_str()?.parse().ok()
         })
     }
 
-    /// A required name.
+    /// Reads a required name.
     pub fn name(&mut self, section: &mut Section<'_>, name: &'static str) -> Option<String> {
-        self.required(section, name, ACCEPTED_NAME, |item| {
+        self.required(section, name, NAME_FORMAT, |item| {
             let text = item.as_str()?;
             is_valid_name(text).then(|| text.to_owned())
         })
     }
 
-    /// Whether nothing was found so far.
-    pub fn is_clean(&self) -> bool {
+    /// Returns whether there are no findings so far.
+    pub fn has_no_findings(&self) -> bool {
         self.findings.is_empty()
     }
 }
 
 impl<'t> Section<'t> {
-    fn take(&mut self, name: &'static str) -> Option<&'t Item> {
+    fn get_known(&mut self, name: &'static str) -> Option<&'t Item> {
         self.known.push(name);
         self.table.get(name)
     }
 
-    /// The path of a field of this section.
+    /// Returns the full path of a field of this section.
     pub fn field(&self, name: &str) -> String {
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    /// Where the section stands.
+    /// Returns the source range of the section.
     pub fn span(&self) -> Option<Range<usize>> {
         self.span.clone()
     }
