--- a/crates/calicohoist/src/cli/losses.rs
+++ b/crates/calicohoist/src/cli/losses.rs
@@ -1,8 +1,8 @@
 //! `calicohoist losses`: counts failed requests by cause and second, from log files.
 //!
-//! The outcome of a request is taken from its end event; without one, the request failed if its
-//! gateway restarted. A program counts as failed once, if its last request failed: an earlier
-//! failure was recovered by a later successful request.
+//! The outcome of a request is taken from its end event; without one, the cause is a
+//! restart of its gateway or the missing event itself. A program counts at most once, if its last
+//! request failed; earlier failures were recovered by a later request.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/calicohoist/src/cli/mod.rs
+++ b/crates/calicohoist/src/cli/mod.rs
@@ -255,7 +255,7 @@
     while signals.load(Ordering::SeqCst) == 0 {
         std::thread::sleep(SIGNAL_POLL_INTERVAL);
         if server.has_failed() {
-            eyre::bail!("disk write failed; stopping this store replica");
+            eyre::bail!("disk failure; stopping this store replica");
         }
     }
     emit!(Event::StopRequested, "store");
--- a/crates/calicohoist/tests/command_line.rs
+++ b/crates/calicohoist/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the product explains itself.
+//! Help texts and shell completion of the command line.
 
 mod support;
 
@@ -9,11 +9,11 @@
 ];
 
 #[test]
-fn every_subcommand_is_named_and_has_help() {
+fn help_lists_every_subcommand() {
     support::assert_everything_has_help(PROGRAM, &SUBCOMMANDS);
 }
 
 #[test]
-fn shells_get_completion() {
+fn shell_completion_is_available() {
     support::assert_completion(PROGRAM);
 }
--- a/crates/calicohoist/tests/drains.rs
+++ b/crates/calicohoist/tests/drains.rs
@@ -1,5 +1,5 @@
-//! A drained zone outlasts its leader, every process and a disk, and is known to gateways that
-//! start later.
+//! Zone drains survive a leader failure, a lost disk and a restart of all stores, and apply to
+//! gateways started later.
 
 #[path = "../../../platform/tests/support/mod.rs"]
 mod support;
@@ -8,10 +8,10 @@
 
 use std::fs;
 
-use machines::{FRONTS, Machines, Process, STORES};
+use machines::{Cluster, GATEWAY_IPS, Process, STORE_IPS};
 use support::{ScriptedReplica, configuration, wait_until};
 
-fn model(name: &str) -> ScriptedReplica {
+fn start_model(name: &str) -> ScriptedReplica {
     ScriptedReplica::start(name, |exchange| {
         let id = exchange.seen.id().to_owned();
         exchange.begin_stream();
@@ -20,59 +20,61 @@
     })
 }
 
-fn order(machines: &Machines, method: &str, zone: &str) {
+fn set_drain(cluster: &Cluster, method: &str, zone: &str) {
     let path = format!("/-/evacuations/{zone}");
-    wait_until("the order is acknowledged", || machines.operator(method, &path, "").is_some());
+    wait_until("the drain command is acknowledged", || {
+        cluster.operator(method, &path, "").is_some()
+    });
 }
 
-/// Whoever is ready sends to the other zone only.
-fn assert_drained(machines: &Machines, front: &str, near: &ScriptedReplica, round: &str) {
-    wait_until("the gateway is ready", || machines.is_ready(front));
-    let before = near.requests().len();
+/// Asserts that a ready gateway sends no request to the replica of the drained zone.
+fn assert_drained(cluster: &Cluster, gateway: &str, drained: &ScriptedReplica, phase: &str) {
+    wait_until("the gateway is ready", || cluster.is_ready(gateway));
+    let before = drained.requests().len();
     for number in 0..10 {
-        machines.turn(front, &format!("{round}-{number}"), None, "go");
+        cluster.turn(gateway, &format!("{phase}-{number}"), None, "go");
     }
-    assert_eq!(near.requests().len(), before, "{round}");
+    assert_eq!(drained.requests().len(), before, "{phase}");
 }
 
 #[test]
-fn a_drain_outlasts_its_leader_a_disk_and_all_power() {
-    let machines = Machines::new();
-    let (near, far) = (model("m-1"), model("m-2"));
-    machines.list.show_in("hall", &near, "models", "ready");
-    machines.list.show_in("annex", &far, "models", "ready");
-    let mut stores: Vec<Process> = STORES.iter().map(|ip| machines.start(ip, true)).collect();
+fn drain_survives_leader_disk_and_full_restart() {
+    let cluster = Cluster::new();
+    let (hall, annex) = (start_model("m-1"), start_model("m-2"));
+    cluster.platform_list.show_in("hall", &hall, "models", "ready");
+    cluster.platform_list.show_in("annex", &annex, "models", "ready");
+    let mut stores: Vec<Process> = STORE_IPS.iter().map(|ip| cluster.start(ip, true)).collect();
     let body = configuration(5).to_string();
     wait_until("the configuration is accepted", || {
-        machines.operator("PUT", "/-/config", &body).is_some()
+        cluster.operator("PUT", "/-/config", &body).is_some()
     });
-    order(&machines, "POST", "hall");
+    set_drain(&cluster, "POST", "hall");
 
-    // The first gateway starts after the drain, under a leader that never took the order.
-    let leader = machines.leader();
+    // The first gateway starts after the drain, under a leader that did not execute the command.
+    let leader = cluster.leader();
     let store = stores.iter_mut().find(|store| store.ip == leader).expect("the leader");
     store.kill();
-    let first = machines.start(FRONTS[0], true);
-    assert_drained(&machines, FRONTS[0], &near, "leader killed");
+    let first = cluster.start(GATEWAY_IPS[0], true);
+    assert_drained(&cluster, GATEWAY_IPS[0], &hall, "leader killed");
 
-    fs::remove_dir_all(machines.data_folder(leader)).expect("a lost disk");
-    *store = machines.start(leader, false);
-    machines.leader();
+    fs::remove_dir_all(cluster.data_folder(leader)).expect("the data folder is removed");
+    *store = cluster.start(leader, false);
+    cluster.leader();
     stores.iter_mut().for_each(Process::kill);
-    stores = STORES.iter().map(|ip| machines.start(ip, false)).collect();
-    machines.leader();
-    let _second = machines.start(FRONTS[1], false);
-    assert_drained(&machines, FRONTS[1], &near, "all power lost");
-    // The one that lost its leader keeps what it knew.
-    assert_drained(&machines, FRONTS[0], &near, "gateway that went on");
+    stores = STORE_IPS.iter().map(|ip| cluster.start(ip, false)).collect();
+    cluster.leader();
+    let _second = cluster.start(GATEWAY_IPS[1], false);
+    assert_drained(&cluster, GATEWAY_IPS[1], &hall, "all stores restarted");
+    // The first gateway keeps the drain although its leader was lost.
+    assert_drained(&cluster, GATEWAY_IPS[0], &hall, "gateway kept running");
 
-    // With the other zone drained, whatever is served comes from the one given back.
-    order(&machines, "DELETE", "hall");
-    order(&machines, "POST", "annex");
-    wait_until("turns come back", || {
-        let before = near.requests().len();
-        machines.turn(FRONTS[0], &format!("back-{}", far.requests().len()), None, "go");
-        near.requests().len() > before
+    // With the other zone drained, every served request comes from the restored one.
+    set_drain(&cluster, "DELETE", "hall");
+    set_drain(&cluster, "POST", "annex");
+    wait_until("the restored zone serves turns", || {
+        let before = hall.requests().len();
+        cluster.turn(GATEWAY_IPS[0], &format!("back-{}", annex.requests().len()), None, "go");
+        hall.requests().len() > before
     });
     drop((first, stores));
 }
--- a/crates/calicohoist/tests/explain.rs
+++ b/crates/calicohoist/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `calicohoist explain` tells a request's story from log files.
+//! Timeline of a request or program from log files, as printed by `calicohoist explain`.
 
 use std::process::{Command, Output};
 
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn the_story_of_a_request_holds_what_its_processes_came_to_believe() {
+fn timeline_includes_state_changes_of_involved_processes() {
     let output = explain(&["r1"]);
-    let told = lines(&output);
-    let names: Vec<&str> = told.iter().filter_map(|line| line.split(' ').nth(2)).collect();
+    let timeline = lines(&output);
+    let names: Vec<&str> = timeline.iter().filter_map(|line| line.split(' ').nth(2)).collect();
     assert_eq!(names, ["RequestTaken", "LedgerLost", "BecameLeader", "RequestEnded"]);
-    assert!(told[3].contains("outcome=not run: ledger unavailable"), "{}", told[3]);
+    assert!(timeline[3].contains("outcome=not run: ledger unavailable"), "{}", timeline[3]);
 }
 
 #[test]
-fn a_program_is_found_by_its_identity_and_beliefs_can_be_left_out() {
+fn program_timeline_without_state_changes() {
     assert_eq!(lines(&explain(&["--only", "p1"])).len(), 1);
 }
 
 #[test]
-fn an_unknown_identity_is_an_error() {
+fn unknown_id_is_an_error() {
     let output = explain(&["r9"]);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
--- a/crates/calicohoist/tests/losses.rs
+++ b/crates/calicohoist/tests/losses.rs
@@ -1,4 +1,4 @@
-//! `calicohoist losses` counts what was not served, from log files.
+//! Counts of failed programs and requests, as printed by `calicohoist losses`.
 
 use std::process::{Command, Output};
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_program_counts_once_and_only_when_its_last_request_was_not_served() {
+fn program_counts_once_if_its_last_request_failed() {
     assert_eq!(
         lines(&losses(LOG, &["--examples"])),
         [
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn requests_are_counted_each() {
-    let told = lines(&losses(LOG, &["--requests"]));
-    assert!(told[0].contains("draft  not run: ledger unavailable"), "{}", told[0]);
-    assert_eq!(told.len(), 5);
+fn failed_requests_are_counted_individually() {
+    let rows = lines(&losses(LOG, &["--requests"]));
+    assert!(rows[0].contains("draft  not run: ledger unavailable"), "{}", rows[0]);
+    assert_eq!(rows.len(), 5);
 }
 
 #[test]
-fn logs_without_a_request_are_an_error() {
+fn logs_without_requests_are_an_error() {
     let output = losses("nothing of ours\n", &[]);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
--- a/crates/calicohoist/tests/machines/forwarder.rs
+++ b/crates/calicohoist/tests/machines/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder on loopback that delays, cuts and silences connections.
+//! Loopback TCP forwarder that injects delays, stalls and connection resets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,81 +8,81 @@
 
 use parking_lot::Mutex;
 
-/// How long a silenced direction sleeps before it looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
-const CHUNK: usize = 16 << 10;
+/// Polling interval of a stalled direction.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What happens to bytes in one direction.
+/// Injected faults of one direction.
 #[derive(Clone, Copy, Debug, Default)]
-struct Treatment {
+struct LinkFaults {
     delay: Duration,
-    /// Bytes wait until then, as behind a cut link.
-    silent_until: Option<Instant>,
+    /// Time until which bytes are held back, as in a network partition.
+    stalled_until: Option<Instant>,
 }
 
 #[derive(Default)]
-struct State {
-    inward: Treatment,
-    outward: Treatment,
+struct ForwarderState {
+    to_target: LinkFaults,
+    from_target: LinkFaults,
     connections: Vec<TcpStream>,
 }
 
-/// Takes connections at one address and carries them to another.
+/// Forwards connections from one address to another.
 #[derive(Clone)]
 pub struct Forwarder {
     pub address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ForwarderState>>,
 }
 
 impl Forwarder {
     pub fn start(listen: SocketAddr, target: SocketAddr) -> Self {
         let listener = TcpListener::bind(listen).expect("a free address");
         let address = listener.local_addr().expect("an address");
-        let state: Arc<Mutex<State>> = Arc::default();
+        let state: Arc<Mutex<ForwarderState>> = Arc::default();
         let shared = Arc::clone(&state);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let shared = Arc::clone(&shared);
-                thread::spawn(move || carry(&stream, target, &shared));
+                thread::spawn(move || forward(&stream, target, &shared));
             }
         });
         Self { address, state }
     }
 
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         let mut state = self.state.lock();
-        state.inward.delay = delay;
-        state.outward.delay = delay;
+        state.to_target.delay = delay;
+        state.from_target.delay = delay;
     }
 
-    /// Bytes to the target, from it, or both wait for a while.
-    pub fn silence(&self, inward: bool, outward: bool, lasting: Duration) {
-        let until = Some(Instant::now() + lasting);
+    /// Holds back bytes to the target, from it, or both for `duration`.
+    pub fn stall(&self, to_target: bool, from_target: bool, duration: Duration) {
+        let until = Some(Instant::now() + duration);
         let mut state = self.state.lock();
-        if inward {
-            state.inward.silent_until = until;
+        if to_target {
+            state.to_target.stalled_until = until;
         }
-        if outward {
-            state.outward.silent_until = until;
+        if from_target {
+            state.from_target.stalled_until = until;
         }
     }
 
-    /// Breaks every connection there is.
+    /// Closes all open connections.
     pub fn break_connections(&self) {
         for connection in self.state.lock().connections.drain(..) {
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    /// No trouble from now on.
-    pub fn calm(&self) {
+    /// Removes all injected faults.
+    pub fn clear_faults(&self) {
         let mut state = self.state.lock();
-        state.inward = Treatment::default();
-        state.outward = Treatment::default();
+        state.to_target = LinkFaults::default();
+        state.from_target = LinkFaults::default();
     }
 }
 
-fn carry(caller: &TcpStream, target: SocketAddr, state: &Arc<Mutex<State>>) {
+fn forward(caller: &TcpStream, target: SocketAddr, state: &Arc<Mutex<ForwarderState>>) {
     let Ok(target) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
         let _ = caller.shutdown(Shutdown::Both);
         return;
@@ -92,30 +92,30 @@
     };
     {
         let mut state = state.lock();
-        state.connections.retain(|known| known.peer_addr().is_ok());
+        state.connections.retain(|connection| connection.peer_addr().is_ok());
         state.connections.extend(caller.try_clone());
         state.connections.extend(target.try_clone());
     }
     let _ = (caller.set_nodelay(true), target.set_nodelay(true));
-    let back = Arc::clone(state);
-    let answers = thread::spawn(move || {
-        pump(&target, &caller_out, || back.lock().outward);
+    let reply_state = Arc::clone(state);
+    let replies = thread::spawn(move || {
+        copy(&target, &caller_out, || reply_state.lock().from_target);
     });
-    pump(caller, &target_out, || state.lock().inward);
-    let _ = answers.join();
+    copy(caller, &target_out, || state.lock().to_target);
+    let _ = replies.join();
 }
 
-fn pump(mut from: &TcpStream, mut to: &TcpStream, treatment: impl Fn() -> Treatment) {
-    let mut chunk = vec![0; CHUNK];
-    while let Ok(count @ 1..) = from.read(&mut chunk) {
-        while treatment().silent_until.is_some_and(|until| Instant::now() < until) {
-            thread::sleep(LOOK_AGAIN);
+fn copy(mut from: &TcpStream, mut to: &TcpStream, faults: impl Fn() -> LinkFaults) {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok(count @ 1..) = from.read(&mut buffer) {
+        while faults().stalled_until.is_some_and(|until| Instant::now() < until) {
+            thread::sleep(STALL_POLL_INTERVAL);
         }
-        let delay = treatment().delay;
+        let delay = faults().delay;
         if !delay.is_zero() {
             thread::sleep(delay);
         }
-        if to.write_all(&chunk[..count]).is_err() {
+        if to.write_all(&buffer[..count]).is_err() {
             break;
         }
     }
--- a/crates/calicohoist/tests/machines/mod.rs
+++ b/crates/calicohoist/tests/machines/mod.rs
@@ -1,7 +1,7 @@
-//! The product's real processes, as the machines of a small deployment on loopback.
+//! Test cluster of real processes on loopback addresses.
 //!
-//! Other machines reach a store machine at its address, where a forwarder may stand; the
-//! process itself listens on another.
+//! Store nodes can listen on a separate bind address, which allows a forwarder on the advertised
+//! one.
 
 #![allow(dead_code, unused_imports)]
 
@@ -18,14 +18,14 @@
 
 use crate::support::{ListServer, Reply, client, exchange, request_head, wait_until};
 
-pub const STORES: [&str; 3] = ["127.0.0.11", "127.0.0.12", "127.0.0.13"];
-/// Where store processes listen behind forwarders.
-pub const BOUND: [&str; 3] = ["127.0.1.11", "127.0.1.12", "127.0.1.13"];
-/// The binary of the build under test.
-pub const THIS_BUILD: &str = env!("CARGO_BIN_EXE_calicohoist");
-pub const FRONTS: [&str; 2] = ["127.0.0.21", "127.0.0.22"];
+pub const STORE_IPS: [&str; 3] = ["127.0.0.11", "127.0.0.12", "127.0.0.13"];
+/// Bind addresses of the stores when they run behind forwarders.
+pub const STORE_BIND_IPS: [&str; 3] = ["127.0.1.11", "127.0.1.12", "127.0.1.13"];
+/// Binary of the build under test.
+pub const BUILD_UNDER_TEST: &str = env!("CARGO_BIN_EXE_calicohoist");
+pub const GATEWAY_IPS: [&str; 2] = ["127.0.0.21", "127.0.0.22"];
 
-/// Ports that are alike on all machines.
+/// Ports, the same on all nodes.
 #[derive(Clone, Copy)]
 pub struct Ports {
     pub internal: u16,
@@ -35,14 +35,14 @@
 }
 
 impl Ports {
-    /// Ports that are free on every address just now.
+    /// Finds ports that are currently free on all addresses.
     pub fn free() -> Self {
         let candidates = std::iter::repeat_with(|| {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             listener.local_addr().expect("an address").port()
         });
         let is_free = |port: &u16| {
-            let addresses = STORES.iter().chain(&FRONTS).chain(&BOUND);
+            let addresses = STORE_IPS.iter().chain(&GATEWAY_IPS).chain(&STORE_BIND_IPS);
             *port < u16::MAX
                 && addresses.into_iter().all(|address| {
                     TcpListener::bind((*address, *port)).is_ok()
@@ -51,14 +51,14 @@
         };
         let mut found: Vec<u16> = Vec::new();
         for port in candidates.filter(is_free) {
-            if found.iter().all(|known| known.abs_diff(port) > 1) {
+            if found.iter().all(|other| other.abs_diff(port) > 1) {
                 found.push(port);
             }
             if let [internal, control, http, ready] = found[..] {
                 return Self { internal, control, http, ready };
             }
         }
-        unreachable!("the candidates never end")
+        unreachable!("the candidates are infinite")
     }
 }
 
@@ -73,7 +73,7 @@
         let _ = self.child.wait();
     }
 
-    /// Sends a signal that does not end the process.
+    /// Sends a signal and does not wait for the process to exit.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
@@ -91,18 +91,23 @@
     }
 }
 
-pub struct Machines {
+pub struct Cluster {
     pub folder: TempDir,
-    pub list: ListServer,
+    pub platform_list: ListServer,
     pub ports: Ports,
-    /// Where processes find the list, if not at its own address.
-    pub list_address: Option<SocketAddr>,
+    /// Address of the platform list given to the nodes, if not that of `platform_list`.
+    pub platform_list_address: Option<SocketAddr>,
 }
 
-impl Machines {
+impl Cluster {
     pub fn new() -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        Self { folder, list: ListServer::start(), ports: Ports::free(), list_address: None }
+        Self {
+            folder,
+            platform_list: ListServer::start(),
+            ports: Ports::free(),
+            platform_list_address: None,
+        }
     }
 
     pub fn data_folder(&self, ip: &str) -> PathBuf {
@@ -110,16 +115,16 @@
     }
 
     pub fn start(&self, ip: &'static str, bootstrap: bool) -> Process {
-        self.start_bound(ip, ip, bootstrap)
+        self.start_with_bind(ip, ip, bootstrap)
     }
 
-    /// Starts a machine whose store process listens on `bind`.
-    pub fn start_bound(&self, ip: &'static str, bind: &str, bootstrap: bool) -> Process {
-        self.start_build(Path::new(THIS_BUILD), ip, bind, bootstrap)
+    /// Starts a node; a store listens on `bind`.
+    pub fn start_with_bind(&self, ip: &'static str, bind: &str, bootstrap: bool) -> Process {
+        self.start_with_binary(Path::new(BUILD_UNDER_TEST), ip, bind, bootstrap)
     }
 
-    /// The same with the binary of some build.
-    pub fn start_build(
+    /// Starts a node with the given binary; a store listens on `bind`.
+    pub fn start_with_binary(
         &self,
         binary: &Path,
         ip: &'static str,
@@ -127,9 +132,9 @@
         bootstrap: bool,
     ) -> Process {
         let Ports { internal, control, http, ready } = self.ports;
-        let is_store = STORES.contains(&ip);
+        let is_store = STORE_IPS.contains(&ip);
         let seeds: Vec<String> =
-            STORES.iter().map(|seed| format!("\"{seed}:{control}\"")).collect();
+            STORE_IPS.iter().map(|seed| format!("\"{seed}:{control}\"")).collect();
         let (serves, listen, data) = if is_store {
             let data = format!("data_dir = {:?}\n", self.data_folder(ip));
             ("\"store\",\"control\"", format!("control = \"{ip}:{control}\""), data)
@@ -144,7 +149,7 @@
              [limits]\nmemory_mb = 20\n[cloud]\naddress = \"{}\"\n",
             internal + 1,
             seeds.join(","),
-            self.list_address.unwrap_or(self.list.address),
+            self.platform_list_address.unwrap_or(self.platform_list.address),
         );
         let file = self.folder.path().join(format!("{ip}.toml"));
         fs::write(&file, text).expect("a settings file");
@@ -169,9 +174,9 @@
         SocketAddr::new(ip.parse().expect("an address"), self.ports.control)
     }
 
-    /// Asks every store machine until one answers 200 by itself.
+    /// Sends an operator request to each store until one replies with 200; returns its IP.
     pub fn operator(&self, method: &str, path: &str, body: &str) -> Option<(Reply, &'static str)> {
-        STORES.iter().find_map(|ip| {
+        STORE_IPS.iter().find_map(|ip| {
             let mut stream = std::net::TcpStream::connect(self.control(ip)).ok()?;
             let request = format!(
                 "{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
@@ -186,11 +191,11 @@
 
     pub fn leader(&self) -> &'static str {
         let mut leader = None;
-        wait_until("somebody leads", || self.operator("GET", "/-/config", "").is_some());
+        wait_until("a leader is elected", || self.operator("GET", "/-/config", "").is_some());
         while leader.is_none() {
             leader = self.operator("GET", "/-/config", "").map(|(_, ip)| ip);
         }
-        leader.unwrap_or(STORES[0])
+        leader.unwrap_or(STORE_IPS[0])
     }
 
     pub fn http(&self, ip: &str) -> SocketAddr {
@@ -203,21 +208,21 @@
             && client::control(address, "GET", "/-/ready", "").status == 200
     }
 
-    /// A turn, asked again as its caller would until it is whole; returns its identity.
-    pub fn turn(&self, front: &str, name: &str, previous: Option<&str>, input: &str) -> String {
-        let line = previous.map(|previous| format!("Calicohoist-Previous-Turn: {previous}"));
-        let more: Vec<&str> = line.as_deref().into_iter().collect();
+    /// Runs a turn, retried until its answer is complete; returns the id of that attempt.
+    pub fn turn(&self, gateway: &str, name: &str, previous: Option<&str>, input: &str) -> String {
+        let header = previous.map(|previous| format!("Calicohoist-Previous-Turn: {previous}"));
+        let headers: Vec<&str> = header.as_deref().into_iter().collect();
         for attempt in 0.. {
             let id = format!("{name}-{attempt}");
-            let head = request_head("POST", "/retained/a", &id, input.len(), &more);
-            let reply = exchange(self.http(front), format!("{head}{input}").as_bytes());
+            let head = request_head("POST", "/retained/a", &id, input.len(), &headers);
+            let reply = exchange(self.http(gateway), format!("{head}{input}").as_bytes());
             assert_ne!(reply.status, 404, "{id} after {previous:?}");
             if reply.status == 200 && reply.is_complete {
                 return id;
             }
-            assert!(attempt < 400, "{name} never ended whole: {}", reply.status);
+            assert!(attempt < 400, "{name} was never completed: {}", reply.status);
             std::thread::sleep(std::time::Duration::from_millis(25));
         }
-        unreachable!("the attempts end by themselves")
+        unreachable!("the number of attempts is limited")
     }
 }
--- a/crates/calicohoist/tests/settings.rs
+++ b/crates/calicohoist/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings files: every finding at once, each with its place.
+//! Validation of settings files: all findings are reported, each with its position.
 
 use calicohoist::settings::Settings;
 use calicohoist_types::Findings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 name = "gateway-0"
 zone = "hala-a"
 program_groups = 4
@@ -22,19 +22,19 @@
 "#;
 
 fn findings(text: &str) -> Findings {
-    Settings::parse("node.toml", text).expect_err("the settings are bad")
+    Settings::parse("node.toml", text).expect_err("the settings are invalid")
 }
 
 #[test]
-fn good_settings_are_accepted() {
-    let settings = Settings::parse("node.toml", GOOD).expect("good settings");
+fn valid_settings_are_accepted() {
+    let settings = Settings::parse("node.toml", VALID).expect("valid settings");
     assert!(settings.store.is_some());
     assert!(settings.gateway.is_some());
 }
 
 #[test]
-fn all_findings_come_at_once_with_their_lines() {
-    let text = GOOD
+fn all_findings_are_reported_with_their_lines() {
+    let text = VALID
         .replace("zone = \"hala-a\"", "zone = 3")
         .replace("machine = 1\n", "machine = 9\n")
         .replace("127.0.0.1:8080", "somewhere")
@@ -49,19 +49,19 @@
         let line = finding.place.line.expect("each finding has a line");
         let name = finding.place.field.rsplit('.').next().expect("a field");
         let text_line = text.lines().nth(line - 1).expect("the line is in the file");
-        assert!(text_line.contains(name), "{name} is said to be in line {line}: {text_line:?}");
+        assert!(text_line.contains(name), "{name} is reported in line {line}: {text_line:?}");
         assert!(!finding.accepted.is_empty());
     }
 }
 
 #[test]
-fn a_file_without_a_role_is_refused() {
-    let text = GOOD.split("[store]").next().expect("a head");
+fn settings_without_a_role_are_rejected() {
+    let text = VALID.split("[store]").next().expect("text before the store section");
     assert!(!findings(text).0.is_empty());
 }
 
 #[test]
-fn a_file_that_is_no_toml_says_where() {
+fn toml_syntax_error_reports_its_line() {
     let found = findings("name = \n").0;
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].place.line, Some(1));
--- a/crates/calicohoist/tests/signals.rs
+++ b/crates/calicohoist/tests/signals.rs
@@ -1,9 +1,6 @@
-//! Signals that come before a role has begun.
+//! Signals received before the node file is read.
 //!
-//! Symptom: told to stop just after its start, a process ended with a signal, not with status 0.
-//! Sequence: a machine is started again, and told to stop within milliseconds. Cause: until its
-//! runtime listened, SIGTERM and SIGHUP had their default effect. What settled it: the process had
-//! written no line, not even that it opened its log.
+//! Guards against SIGTERM and SIGHUP killing a process that has not started its runtime yet.
 
 use std::fs::{self, File};
 use std::io::Write as _;
@@ -12,25 +9,25 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Starts a gateway whose settings are a pipe, and waits until it is about to read them.
-fn start(folder: &Path) -> (Child, File) {
+/// Starts a gateway that reads its node file from a pipe, and waits until it opens the pipe.
+fn start_gateway(folder: &Path) -> (Child, File) {
     let pipe = folder.join("node.toml");
-    let made = Command::new("mkfifo").arg(&pipe).status().expect("coreutils");
-    assert!(made.success(), "a pipe");
+    let mkfifo_status = Command::new("mkfifo").arg(&pipe).status().expect("mkfifo is installed");
+    assert!(mkfifo_status.success(), "mkfifo failed");
     let child = Command::new(env!("CARGO_BIN_EXE_calicohoist"))
         .args(["--log-format", "json", "serve", "--node-file"])
         .arg(&pipe)
         .stdout(Stdio::null())
         .spawn()
         .expect("started");
-    // Opens as soon as the process does.
+    // Blocks until the process opens the pipe for reading.
     let settings = fs::OpenOptions::new().write(true).open(&pipe).expect("opened");
     (child, settings)
 }
 
-fn signal_and_go_on(signals: &[Signal]) -> ExitStatus {
+fn exit_status_after(signals: &[Signal]) -> ExitStatus {
     let folder = tempfile::tempdir().expect("a folder");
-    let (mut child, mut settings) = start(folder.path());
+    let (mut child, mut settings) = start_gateway(folder.path());
     for signal in signals {
         kill_process(Pid::from_child(&child), *signal).expect("signalled");
     }
@@ -39,20 +36,20 @@
                 [listen]\nfront_http = \"127.0.0.1:0\"\nready = \"127.0.0.1:0\"\n\
                 [fault_tolerance]\nmachines = 1\n[bounds]\ngrace_s = 1\n\
                 [cloud]\naddress = \"127.0.0.1:9\"\n";
-    // A process that a signal has ended reads nothing more.
+    // Fails if the process was killed by a signal.
     let _ = settings.write_all(text.as_bytes());
     drop(settings);
     child.wait().expect("ended")
 }
 
 #[test]
-fn a_stop_before_the_settings_are_read_is_a_planned_one() {
-    let status = signal_and_go_on(&[Signal::TERM]);
+fn early_sigterm_stops_gracefully() {
+    let status = exit_status_after(&[Signal::TERM]);
     assert!(status.success(), "{status}");
 }
 
 #[test]
-fn a_reload_before_the_settings_are_read_ends_nothing() {
-    let status = signal_and_go_on(&[Signal::HUP, Signal::TERM]);
+fn early_sighup_is_ignored() {
+    let status = exit_status_after(&[Signal::HUP, Signal::TERM]);
     assert!(status.success(), "{status}");
 }
--- a/crates/calicohoist/tests/soak/caller.rs
+++ b/crates/calicohoist/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: programs of turns and calls over connections that they keep.
+//! Callers that run programs of turns and calls over persistent connections.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write as _};
@@ -13,20 +13,21 @@
 
 use crate::support::{Reply, client, request_head};
 use crate::{
-    BUDGET, EVENTS, INPUT_BYTES, MOST_TOKENS, Shared, TOKENS_PER_EVENT, TRIES, TURNS, output,
+    EVENTS_PER_ANSWER, INPUT_BYTES, MAX_ATTEMPTS, MAX_TURN_TOKENS, Shared, TOKEN_BUDGET,
+    TOKENS_PER_EVENT, TURNS_PER_PROGRAM, expected_output,
 };
 
-const CALLER_PATIENCE: Duration = Duration::from_secs(6);
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Connections that stay open until their other end closes them, one to each gateway.
+/// Persistent connections, at most one per gateway.
 #[derive(Default)]
-struct KeptConnections(HashMap<SocketAddr, BufReader<TcpStream>>);
+struct ConnectionPool(HashMap<SocketAddr, BufReader<TcpStream>>);
 
-impl KeptConnections {
-    /// One request; `None` when there was no connection or no head.
+impl ConnectionPool {
+    /// Sends a request; returns `None` without a connection or a response head.
     fn exchange(&mut self, address: SocketAddr, request: &[u8]) -> Option<Reply> {
         let mut connection = match self.0.remove(&address) {
-            Some(kept) => kept,
+            Some(connection) => connection,
             None => connect(address)?,
         };
         connection.get_mut().write_all(request).ok()?;
@@ -41,52 +42,52 @@
 
 fn connect(address: SocketAddr) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(CALLER_PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     Some(BufReader::new(stream))
 }
 
-/// One request over a connection of its own; `None` when there was no connection or no head.
+/// Sends a request over a new connection; returns `None` without a connection or a response head.
 pub fn try_exchange(address: SocketAddr, request: &[u8]) -> Option<Reply> {
-    KeptConnections::default().exchange(address, request)
+    ConnectionPool::default().exchange(address, request)
 }
 
-/// A caller that runs one program after the other.
+/// Caller that runs programs sequentially.
 pub struct Caller {
     pub number: usize,
-    pub fronts: Vec<SocketAddr>,
-    pub random: StdRng,
+    pub gateways: Vec<SocketAddr>,
+    pub rng: StdRng,
     pub records: Shared,
-    pub is_over: Arc<AtomicBool>,
-    kept: KeptConnections,
+    pub stop_flag: Arc<AtomicBool>,
+    connections: ConnectionPool,
 }
 
 impl Caller {
     pub fn new(
         number: usize,
-        fronts: Vec<SocketAddr>,
-        random: StdRng,
+        gateways: Vec<SocketAddr>,
+        rng: StdRng,
         records: Shared,
-        is_over: Arc<AtomicBool>,
+        stop_flag: Arc<AtomicBool>,
     ) -> Self {
-        Self { number, fronts, random, records, is_over, kept: KeptConnections::default() }
+        Self { number, gateways, rng, records, stop_flag, connections: ConnectionPool::default() }
     }
 
     pub fn run(mut self) {
         let mut program = 0;
-        while !self.is_over.load(Ordering::Relaxed) {
+        while !self.stop_flag.load(Ordering::Relaxed) {
             program += 1;
             let name = format!("p{}-{program}", self.number);
-            self.program(&name);
+            self.run_program(&name);
         }
     }
 
-    fn front(&mut self) -> SocketAddr {
-        self.fronts[self.random.random_range(0..self.fronts.len())]
+    fn pick_gateway(&mut self) -> SocketAddr {
+        self.gateways[self.rng.random_range(0..self.gateways.len())]
     }
 
-    fn program(&mut self, program: &str) {
+    fn run_program(&mut self, program: &str) {
         let mut previous: Option<String> = None;
-        for turn in 0..TURNS {
+        for turn in 0..TURNS_PER_PROGRAM {
             let Some(id) = self.turn(program, turn, previous.as_deref()) else {
                 return;
             };
@@ -96,29 +97,30 @@
         }
     }
 
-    /// The identity of the turn when it ended whole.
+    /// Runs a turn with retries; returns the id of the completed attempt.
     pub fn turn(&mut self, program: &str, turn: usize, previous: Option<&str>) -> Option<String> {
-        for attempt in 0..TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let id = format!("{program}-t{turn}-{attempt}");
             let input = format!("<{id}>{}", ".".repeat(INPUT_BYTES));
-            let mut more = vec![
+            let mut headers = vec![
                 format!("Calicohoist-Program-Id: {program}"),
-                format!("Calicohoist-Token-Budget: {BUDGET}"),
-                format!("Calicohoist-Token-Usage: 10,{MOST_TOKENS}"),
+                format!("Calicohoist-Token-Budget: {TOKEN_BUDGET}"),
+                format!("Calicohoist-Token-Usage: 10,{MAX_TURN_TOKENS}"),
             ];
-            more.extend(previous.map(|previous| format!("Calicohoist-Previous-Turn: {previous}")));
-            let more: Vec<&str> = more.iter().map(String::as_str).collect();
-            let head = request_head("POST", "/retained/a", &id, input.len(), &more);
+            headers
+                .extend(previous.map(|previous| format!("Calicohoist-Previous-Turn: {previous}")));
+            let headers: Vec<&str> = headers.iter().map(String::as_str).collect();
+            let head = request_head("POST", "/retained/a", &id, input.len(), &headers);
             {
                 let mut records = self.records.lock();
-                let asked = (previous.map(str::to_owned), input.clone());
-                records.asked.insert(id.clone(), asked);
-                records.once.insert(id.clone());
+                let submitted = (previous.map(str::to_owned), input.clone());
+                records.submitted.insert(id.clone(), submitted);
+                records.at_most_once.insert(id.clone());
             }
-            let front = self.front();
-            let reply = self.kept.exchange(front, format!("{head}{input}").as_bytes());
+            let gateway = self.pick_gateway();
+            let reply = self.connections.exchange(gateway, format!("{head}{input}").as_bytes());
             let reply = reply.unwrap_or_default();
-            if self.take_turn(program, &id, previous, &input, &reply) {
+            if self.record_turn_reply(program, &id, previous, &input, &reply) {
                 return Some(id);
             }
             if reply.status == 402 {
@@ -129,7 +131,7 @@
         None
     }
 
-    fn take_turn(
+    fn record_turn_reply(
         &self,
         program: &str,
         id: &str,
@@ -143,25 +145,26 @@
         *records.tokens.entry(program.to_owned()).or_default() += events * TOKENS_PER_EVENT;
         let is_own = text.lines().all(|line| !line.starts_with("data: ") || line.contains(id));
         if reply.status == 200 && !is_own {
-            records.violations.push(format!("{id} got another answer: {text}"));
+            records.violations.push(format!("{id} received the answer of another request: {text}"));
         }
         match reply.status {
             200 if reply.is_complete => {
-                if events != EVENTS {
-                    records.violations.push(format!("{id} ended whole after {events} events"));
+                if events != EVENTS_PER_ANSWER {
+                    records.violations.push(format!("{id} was completed after {events} events"));
                 }
-                let before = previous.map(|known| records.whole[known].clone());
-                let said = format!("{}{input}{}", before.unwrap_or_default(), output(id));
-                records.whole.insert(id.to_owned(), said);
+                let earlier = previous.map(|previous| records.completed[previous].clone());
+                let transcript =
+                    format!("{}{input}{}", earlier.unwrap_or_default(), expected_output(id));
+                records.completed.insert(id.to_owned(), transcript);
                 records.served += 1;
                 true
             }
             404 => {
-                records.violations.push(format!("{id}: 404, though {previous:?} ended whole"));
+                records.violations.push(format!("{id}: 404, although {previous:?} was completed"));
                 false
             }
             402 | 408 | 429 | 503 => {
-                records.refused.insert(id.to_owned());
+                records.rejected.insert(id.to_owned());
                 false
             }
             _ => false,
@@ -171,22 +174,24 @@
     fn call(&mut self, program: &str, turn: usize, path: &str) {
         let id = format!("{program}-c{turn}{}", path.replace('/', "-"));
         if path.starts_with("/unsafe") {
-            self.records.lock().once.insert(id.clone());
+            self.records.lock().at_most_once.insert(id.clone());
         }
         let head = request_head("GET", path, &id, 0, &["Calicohoist-Deadline-Ms: 2000"]);
-        let front = self.front();
-        let Some(reply) = self.kept.exchange(front, head.as_bytes()) else {
+        let gateway = self.pick_gateway();
+        let Some(reply) = self.connections.exchange(gateway, head.as_bytes()) else {
             return;
         };
         let mut records = self.records.lock();
         match reply.status {
             200 if reply.is_complete && reply.text() != id => {
                 let text = reply.text();
-                records.violations.push(format!("{id} got another answer: {text}"));
+                records
+                    .violations
+                    .push(format!("{id} received the answer of another request: {text}"));
             }
             200 => records.served += 1,
             408 | 429 | 503 => {
-                records.refused.insert(id);
+                records.rejected.insert(id);
             }
             _ => {}
         }
--- a/crates/calicohoist/tests/soak/faults.rs
+++ b/crates/calicohoist/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to processes and connections: series of faults that overlap.
+//! Fault injection for processes and connections.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,15 +16,15 @@
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
 use crate::machines::forwarder::Forwarder;
-use crate::machines::{BOUND, Machines, Process, STORES, THIS_BUILD};
+use crate::machines::{BUILD_UNDER_TEST, Cluster, Process, STORE_BIND_IPS, STORE_IPS};
 use crate::support::ScriptedReplica;
-use crate::{model, tool};
+use crate::{start_model, start_tool};
 
-/// A lost disk is repaired within this time when nothing else happens to the stores.
-const REPAIR: Duration = Duration::from_secs(8);
-/// How often a process that is to end is looked at.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// The replicas, each with its service and its zone.
+/// Time in which a store recovers from disk loss without further store faults.
+const REPAIR_TIME: Duration = Duration::from_secs(8);
+/// Polling interval for process exits.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Replicas as (name, service, zone).
 pub const REPLICAS: [(&str, &str, &str); 4] = [
     ("m-1", "models", ZONES[0]),
     ("m-2", "models", ZONES[1]),
@@ -33,256 +33,270 @@
 ];
 /// Zones of replicas.
 pub const ZONES: [&str; 2] = ["hall", "annex"];
-/// Share of the series after which a replica starts again under its identity.
-const RESTART_SHARE: f64 = 0.3;
-/// Sets the draws of these starts apart from those of all other faults, which a seed fixes.
-const STARTS_SEED: u64 = 47;
-/// Sets the draws of builds apart from all others, too.
-const UPGRADES_SEED: u64 = 51;
-/// Share of the starts of a process at which it is of this build; else it is of the older one, also
-/// where this one ran before.
-const UPGRADE_SHARE: f64 = 0.6;
-/// When replicas started first, in ms of Unix time.
+/// Probability that a replica restarts after a round of faults.
+const RESTART_PROBABILITY: f64 = 0.3;
+/// Separates the random stream of replica restarts from that of the other faults.
+const RESTART_SEED: u64 = 47;
+/// Separates the random stream of build selection.
+const UPGRADE_SEED: u64 = 51;
+/// Probability that a process of an upgrade run starts with the build under test.
+const UPGRADE_PROBABILITY: f64 = 0.6;
+/// Initial start time of the replicas, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_790_000_000_000;
-/// Time between two machines that are replaced as planned.
+/// Pause between two nodes of a rolling upgrade.
 const UPGRADE_PAUSE: Duration = Duration::from_millis(1_500);
-/// Most faults in one series.
-const LONGEST_SERIES: usize = 4;
+/// Maximum number of faults per round.
+const MAX_FAULTS_PER_ROUND: usize = 4;
 
-/// A machine with its process, if that runs.
-struct Place {
+/// Node and its process, if it is running.
+struct Node {
     ip: &'static str,
-    bound: &'static str,
-    /// The binary of its process, or of the one that runs next.
+    bind_ip: &'static str,
+    /// Binary of the current process, or of the last one.
     binary: PathBuf,
     process: Option<Process>,
-    /// Length of its log when the process was started.
+    /// Length of the log when the process was started.
     log_bytes: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Target {
     Store(usize),
-    Front(usize),
+    Gateway(usize),
 }
 
-/// What ends a fault later on.
+/// Scheduled action that ends a fault.
 #[derive(Clone, Copy, Debug)]
-enum Ending {
+enum Recovery {
     Start(Target),
-    Continue(Target),
-    /// The process of this number was told to stop; another one follows it.
-    Stop(Target, u32),
-    Calm(usize),
+    Resume(Target),
+    /// Restarts the node once the stopping process with this pid has exited.
+    RestartAfterExit(Target, u32),
+    ClearLinkFaults(usize),
 }
 
 pub struct Soak {
-    pub machines: Machines,
+    pub cluster: Cluster,
     pub replicas: Vec<ScriptedReplica>,
-    /// How often each fault has begun.
-    pub faults: BTreeMap<&'static str, u32>,
+    /// Number of injected faults, by kind.
+    pub fault_counts: BTreeMap<&'static str, u32>,
     pub violations: Vec<String>,
-    stores: Vec<Place>,
-    fronts: Vec<Place>,
-    /// Two for each store machine: from its peers, and from gateways.
-    into_stores: Vec<[Forwarder; 2]>,
-    into_replicas: Vec<Forwarder>,
-    random: StdRng,
-    starts: StdRng,
-    /// Binary of the build that runs at first, when machines are upgraded meanwhile.
-    older: Option<PathBuf>,
-    upgrades: StdRng,
-    /// When the replica that started last did so, in ms of Unix time.
-    newest_start_ms: u64,
-    endings: Vec<(Instant, Ending)>,
-    /// When the last fault of a store machine ends.
-    stores_disturbed: Instant,
-    may_disturb_stores_from: Instant,
+    stores: Vec<Node>,
+    gateways: Vec<Node>,
+    /// Two per store: for connections from peers and from gateways.
+    store_forwarders: Vec<[Forwarder; 2]>,
+    replica_forwarders: Vec<Forwarder>,
+    rng: StdRng,
+    restart_rng: StdRng,
+    /// Binary of the older build in an upgrade run.
+    older_binary: Option<PathBuf>,
+    upgrade_rng: StdRng,
+    /// Latest start time of a replica, in Unix milliseconds.
+    latest_start_ms: u64,
+    pending_recoveries: Vec<(Instant, Recovery)>,
+    /// End of the last store fault.
+    last_store_fault_end: Instant,
+    /// Time before which no store fault is injected.
+    no_store_faults_before: Instant,
 }
 
-/// Address of a gateway machine.
-fn front_ip(number: usize) -> &'static str {
-    let last = u8::try_from(21 + number).expect("as many as there are addresses");
-    Ipv4Addr::new(127, 0, 0, last).to_string().leak()
+/// Returns the address of a gateway.
+fn gateway_ip(number: usize) -> &'static str {
+    let last_octet = u8::try_from(21 + number).expect("the gateway number fits the address range");
+    Ipv4Addr::new(127, 0, 0, last_octet).to_string().leak()
 }
 
 impl Soak {
-    /// Starts all machines, with the binary of an older build if there is one.
-    pub fn start(seed: u64, fronts: usize, older: Option<PathBuf>) -> Self {
-        let machines = Machines::new();
-        let first = older.clone().unwrap_or_else(|| THIS_BUILD.into());
-        let internal = machines.ports.internal;
-        let at = |ip: &str, port: u16| SocketAddr::new(ip.parse().expect("an address"), port);
-        let into_stores = STORES.iter().zip(BOUND).map(|(ip, bound)| {
-            [internal, internal + 1].map(|port| Forwarder::start(at(ip, port), at(bound, port)))
+    /// Starts all nodes, with the older binary if one is given.
+    pub fn start(seed: u64, gateway_count: usize, older_binary: Option<PathBuf>) -> Self {
+        let cluster = Cluster::new();
+        let initial_binary = older_binary.clone().unwrap_or_else(|| BUILD_UNDER_TEST.into());
+        let internal = cluster.ports.internal;
+        let socket = |ip: &str, port: u16| SocketAddr::new(ip.parse().expect("an address"), port);
+        let store_forwarders = STORE_IPS.iter().zip(STORE_BIND_IPS).map(|(ip, bind_ip)| {
+            [internal, internal + 1]
+                .map(|port| Forwarder::start(socket(ip, port), socket(bind_ip, port)))
         });
-        let into_stores = into_stores.collect();
-        let mut into_replicas = Vec::new();
+        let store_forwarders = store_forwarders.collect();
+        let mut replica_forwarders = Vec::new();
         let mut replicas = Vec::new();
         for (name, service, zone) in REPLICAS {
-            let mut replica = if service == "models" { model(name) } else { tool(name) };
-            let forwarder = Forwarder::start(at("127.0.0.1", 0), replica.address);
+            let mut replica =
+                if service == "models" { start_model(name) } else { start_tool(name) };
+            let forwarder = Forwarder::start(socket("127.0.0.1", 0), replica.address);
             replica.address = forwarder.address;
-            machines.list.show_in(zone, &replica, service, "ready");
-            machines.list.change(&replica, "born", json!(FIRST_START_MS));
-            into_replicas.push(forwarder);
+            cluster.platform_list.show_in(zone, &replica, service, "ready");
+            cluster.platform_list.change(&replica, "born", json!(FIRST_START_MS));
+            replica_forwarders.push(forwarder);
             replicas.push(replica);
         }
-        // Another writer's entry, which names no replica. An older build may read no list that has one.
-        if older.is_none() {
+        // Malformed entry of another writer; an older build may reject the whole list.
+        if older_binary.is_none() {
             let entry = json!({ "id": 7, "service": "models", "slots": "4" });
-            machines.list.instances.lock().push(entry);
+            cluster.platform_list.instances.lock().push(entry);
         }
-        let place = |ip, bound| Place {
+        let start_node = |ip, bind_ip| Node {
             ip,
-            bound,
-            binary: first.clone(),
-            process: Some(machines.start_build(&first, ip, bound, true)),
+            bind_ip,
+            binary: initial_binary.clone(),
+            process: Some(cluster.start_with_binary(&initial_binary, ip, bind_ip, true)),
             log_bytes: 0,
         };
-        let stores = STORES.into_iter().zip(BOUND).map(|(ip, bound)| place(ip, bound)).collect();
-        let fronts = (0..fronts).map(front_ip).map(|ip| place(ip, ip)).collect();
+        let stores = STORE_IPS
+            .into_iter()
+            .zip(STORE_BIND_IPS)
+            .map(|(ip, bind_ip)| start_node(ip, bind_ip))
+            .collect();
+        let gateways = (0..gateway_count).map(gateway_ip).map(|ip| start_node(ip, ip)).collect();
         Self {
-            machines,
+            cluster,
             replicas,
-            faults: BTreeMap::new(),
+            fault_counts: BTreeMap::new(),
             violations: Vec::new(),
             stores,
-            fronts,
-            into_stores,
-            into_replicas,
-            random: StdRng::seed_from_u64(seed),
-            starts: StdRng::seed_from_u64(seed ^ STARTS_SEED),
-            older,
-            upgrades: StdRng::seed_from_u64(seed ^ UPGRADES_SEED),
-            newest_start_ms: FIRST_START_MS,
-            endings: Vec::new(),
-            stores_disturbed: Instant::now(),
-            may_disturb_stores_from: Instant::now(),
+            gateways,
+            store_forwarders,
+            replica_forwarders,
+            rng: StdRng::seed_from_u64(seed),
+            restart_rng: StdRng::seed_from_u64(seed ^ RESTART_SEED),
+            older_binary,
+            upgrade_rng: StdRng::seed_from_u64(seed ^ UPGRADE_SEED),
+            latest_start_ms: FIRST_START_MS,
+            pending_recoveries: Vec::new(),
+            last_store_fault_end: Instant::now(),
+            no_store_faults_before: Instant::now(),
         }
     }
 
     pub fn controls(&self) -> Vec<SocketAddr> {
         let control = |ip: &&str| {
-            SocketAddr::new(ip.parse().expect("an address"), self.machines.ports.control)
+            SocketAddr::new(ip.parse().expect("an address"), self.cluster.ports.control)
         };
-        BOUND.iter().map(control).collect()
+        STORE_BIND_IPS.iter().map(control).collect()
     }
 
-    pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.fronts.iter().map(|front| self.machines.http(front.ip)).collect()
+    pub fn gateways(&self) -> Vec<SocketAddr> {
+        self.gateways.iter().map(|gateway| self.cluster.http(gateway.ip)).collect()
     }
 
-    pub fn millis(&mut self, from: u64, to: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(from..to))
+    pub fn random_millis(&mut self, from: u64, to: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(from..to))
     }
 
-    /// Begins a series of faults, whatever is still under way of the last ones.
-    pub fn disturb(&mut self) {
-        for _ in 0..self.random.random_range(1..=LONGEST_SERIES) {
-            let fault = self.begin_fault();
-            *self.faults.entry(fault).or_default() += 1;
-            let pause = self.millis(0, 120);
+    /// Injects a round of faults, which may overlap with those of earlier rounds.
+    pub fn inject_faults(&mut self) {
+        for _ in 0..self.rng.random_range(1..=MAX_FAULTS_PER_ROUND) {
+            let kind = self.inject_fault();
+            *self.fault_counts.entry(kind).or_default() += 1;
+            let pause = self.random_millis(0, 120);
             self.run_for(pause);
         }
-        if self.starts.random_bool(RESTART_SHARE) {
+        if self.restart_rng.random_bool(RESTART_PROBABILITY) {
             self.restart_replica();
         }
     }
 
-    /// A replica loses its connections, and is listed with a later start.
+    /// Simulates a replica restart: closes its connections and lists a later start time.
     fn restart_replica(&mut self) {
-        *self.faults.entry("replica started again").or_default() += 1;
-        let index = self.starts.random_range(0..self.replicas.len());
-        self.newest_start_ms += 1;
-        self.into_replicas[index].break_connections();
-        let start = json!(self.newest_start_ms);
-        self.machines.list.change(&self.replicas[index], "born", start);
+        *self.fault_counts.entry("replica started again").or_default() += 1;
+        let index = self.restart_rng.random_range(0..self.replicas.len());
+        self.latest_start_ms += 1;
+        self.replica_forwarders[index].break_connections();
+        let start = json!(self.latest_start_ms);
+        self.cluster.platform_list.change(&self.replicas[index], "born", start);
     }
 
-    /// Lets time pass, and ends the faults whose time has come.
+    /// Sleeps for `span` and runs due recoveries meanwhile.
     pub fn run_for(&mut self, span: Duration) {
         let until = Instant::now() + span;
         loop {
-            self.end_due(Instant::now());
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            self.run_due_recoveries(Instant::now());
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
-            thread::sleep(left.min(LOOK_AGAIN));
+            thread::sleep(remaining.min(EXIT_POLL_INTERVAL));
         }
     }
 
-    /// Ends every fault, and leaves all processes running.
-    pub fn calm(&mut self) {
-        self.into_stores.iter().flatten().for_each(Forwarder::calm);
-        self.into_replicas.iter().for_each(Forwarder::calm);
-        let endings: Vec<Ending> = self.endings.drain(..).map(|(_, ending)| ending).collect();
+    /// Ends all faults and restarts all processes.
+    pub fn clear_faults(&mut self) {
+        self.store_forwarders.iter().flatten().for_each(Forwarder::clear_faults);
+        self.replica_forwarders.iter().for_each(Forwarder::clear_faults);
+        let pending_recoveries: Vec<Recovery> =
+            self.pending_recoveries.drain(..).map(|(_, recovery)| recovery).collect();
         let now = Instant::now();
-        // Whoever is paused must go on before it can stop.
-        let (paused, others): (Vec<_>, Vec<_>) =
-            endings.into_iter().partition(|ending| matches!(ending, Ending::Continue(_)));
-        paused.into_iter().for_each(|ending| self.end(ending, now));
-        others.into_iter().for_each(|ending| self.end(ending, now));
-        while !self.endings.is_empty() {
-            self.run_for(LOOK_AGAIN);
+        // Paused processes must resume before they can stop.
+        let (paused, others): (Vec<_>, Vec<_>) = pending_recoveries
+            .into_iter()
+            .partition(|recovery| matches!(recovery, Recovery::Resume(_)));
+        paused.into_iter().for_each(|recovery| self.recover(recovery, now));
+        others.into_iter().for_each(|recovery| self.recover(recovery, now));
+        while !self.pending_recoveries.is_empty() {
+            self.run_for(EXIT_POLL_INTERVAL);
         }
     }
 
-    fn end_due(&mut self, now: Instant) {
-        let due: Vec<_> = self.endings.extract_if(.., |(at, _)| *at <= now).collect();
-        due.into_iter().for_each(|(_, ending)| self.end(ending, now));
+    fn run_due_recoveries(&mut self, now: Instant) {
+        let due_recoveries: Vec<_> =
+            self.pending_recoveries.extract_if(.., |(at, _)| *at <= now).collect();
+        due_recoveries.into_iter().for_each(|(_, recovery)| self.recover(recovery, now));
     }
 
-    fn end(&mut self, ending: Ending, now: Instant) {
-        match ending {
-            Ending::Start(target) => self.start_process(target),
-            Ending::Continue(target) => self.signal(target, Signal::CONT),
-            Ending::Calm(index) => self.into_stores[index].iter().for_each(Forwarder::calm),
-            Ending::Stop(target, number) => self.follow_stopped(target, number, now),
+    fn recover(&mut self, recovery: Recovery, now: Instant) {
+        match recovery {
+            Recovery::Start(target) => self.start_process(target),
+            Recovery::Resume(target) => self.signal(target, Signal::CONT),
+            Recovery::ClearLinkFaults(index) => {
+                self.store_forwarders[index].iter().for_each(Forwarder::clear_faults)
+            }
+            Recovery::RestartAfterExit(target, pid) => self.restart_after_exit(target, pid, now),
         }
     }
 
-    fn place(&mut self, target: Target) -> &mut Place {
+    fn node_mut(&mut self, target: Target) -> &mut Node {
         match target {
             Target::Store(index) => &mut self.stores[index],
-            Target::Front(index) => &mut self.fronts[index],
+            Target::Gateway(index) => &mut self.gateways[index],
         }
     }
 
     fn start_process(&mut self, target: Target) {
-        let place = self.place(target);
-        if place.process.is_some() {
+        let node = self.node_mut(target);
+        if node.process.is_some() {
             return;
         }
-        let (ip, bound) = (place.ip, place.bound);
+        let (ip, bind_ip) = (node.ip, node.bind_ip);
         let log_bytes = self.log_bytes(ip);
-        let binary = self.draw_binary();
-        let process = self.machines.start_build(&binary, ip, bound, false);
-        let place = self.place(target);
-        place.binary = binary;
-        place.process = Some(process);
-        place.log_bytes = log_bytes;
+        let binary = self.pick_binary();
+        let process = self.cluster.start_with_binary(&binary, ip, bind_ip, false);
+        let node = self.node_mut(target);
+        node.binary = binary;
+        node.process = Some(process);
+        node.log_bytes = log_bytes;
     }
 
-    /// The build of the next process.
-    fn draw_binary(&mut self) -> PathBuf {
-        match &self.older {
-            Some(older) if !self.upgrades.random_bool(UPGRADE_SHARE) => older.clone(),
-            _ => THIS_BUILD.into(),
+    /// Picks the build of the next process.
+    fn pick_binary(&mut self) -> PathBuf {
+        match &self.older_binary {
+            Some(older_binary) if !self.upgrade_rng.random_bool(UPGRADE_PROBABILITY) => {
+                older_binary.clone()
+            }
+            _ => BUILD_UNDER_TEST.into(),
         }
     }
 
-    /// Replaces the machines that still run the older build, one after the other.
+    /// Upgrades the nodes that still run the older build, one at a time.
     pub fn finish_upgrade(&mut self) {
-        if self.older.take().is_none() {
+        if self.older_binary.take().is_none() {
             return;
         }
-        let fronts = (0..self.fronts.len()).map(Target::Front);
-        let targets: Vec<Target> = fronts.chain((0..STORES.len()).map(Target::Store)).collect();
+        let gateways = (0..self.gateways.len()).map(Target::Gateway);
+        let targets: Vec<Target> =
+            gateways.chain((0..STORE_IPS.len()).map(Target::Store)).collect();
         for target in targets {
-            if self.place(target).binary != Path::new(THIS_BUILD) {
-                *self.faults.entry("upgraded at the end").or_default() += 1;
+            if self.node_mut(target).binary != Path::new(BUILD_UNDER_TEST) {
+                *self.fault_counts.entry("upgraded at the end").or_default() += 1;
                 self.stop(target);
                 self.run_for(UPGRADE_PAUSE);
             }
@@ -290,81 +304,86 @@
     }
 
     fn log_bytes(&self, ip: &str) -> u64 {
-        let log = self.machines.folder.path().join(format!("{ip}.log"));
-        fs::metadata(log).map_or(0, |known| known.len())
+        let log = self.cluster.folder.path().join(format!("{ip}.log"));
+        fs::metadata(log).map_or(0, |metadata| metadata.len())
     }
 
     fn signal(&mut self, target: Target, signal: Signal) {
-        if let Some(process) = &self.place(target).process {
+        if let Some(process) = &self.node_mut(target).process {
             process.signal(signal);
         }
     }
 
     fn kill(&mut self, target: Target) {
-        self.place(target).process = None;
-        let down = self.millis(0, 900);
-        self.endings.push((Instant::now() + down, Ending::Start(target)));
+        self.node_mut(target).process = None;
+        let downtime = self.random_millis(0, 900);
+        self.pending_recoveries.push((Instant::now() + downtime, Recovery::Start(target)));
     }
 
-    /// Looks whether a process that was told to stop has ended, and starts the next one.
-    fn follow_stopped(&mut self, target: Target, number: u32, now: Instant) {
-        let process = self.place(target).process.as_mut();
-        // One that was killed meanwhile, or seen to end, is followed by a process of its own.
-        let Some(process) = process.filter(|process| process.child.id() == number) else {
+    /// Restarts a node if its stopping process has exited; otherwise checks again later.
+    fn restart_after_exit(&mut self, target: Target, pid: u32, now: Instant) {
+        let process = self.node_mut(target).process.as_mut();
+        // The process may have been killed or restarted in the meantime.
+        let Some(process) = process.filter(|process| process.child.id() == pid) else {
             return;
         };
         let ip = process.ip;
         match process.child.try_wait() {
-            Ok(None) => self.endings.push((now + LOOK_AGAIN, Ending::Stop(target, number))),
+            Ok(None) => self
+                .pending_recoveries
+                .push((now + EXIT_POLL_INTERVAL, Recovery::RestartAfterExit(target, pid))),
             Ok(Some(status)) => {
-                let has_begun = self.log_bytes(ip) > self.place(target).log_bytes;
-                self.place(target).process = None;
+                let has_logged = self.log_bytes(ip) > self.node_mut(target).log_bytes;
+                self.node_mut(target).process = None;
                 self.start_process(target);
-                // Nothing catches a signal in the first moment of a process: it has written no line
-                // then, and taken nothing. Of two that wait for it, SIGHUP comes first.
-                let came_too_early =
-                    matches!(status.signal(), Some(SIGTERM | SIGHUP)) && !has_begun;
-                if !status.success() && !came_too_early {
-                    let violation = format!("{ip} ended a planned stop with {status}");
+                // A signal before the handlers are registered kills the process, which has not
+                // logged or accepted anything by then. A pending SIGHUP precedes SIGTERM.
+                let was_before_handlers =
+                    matches!(status.signal(), Some(SIGTERM | SIGHUP)) && !has_logged;
+                if !status.success() && !was_before_handlers {
+                    let violation = format!("{ip} exited from a graceful stop with {status}");
                     self.violations.push(violation);
                 }
             }
-            Err(error) => self.violations.push(format!("{ip} cannot be waited for: {error}")),
+            Err(error) => {
+                self.violations.push(format!("cannot wait for the process of {ip}: {error}"))
+            }
         }
     }
 
-    fn pause(&mut self, target: Target, lasting: Duration) {
+    fn pause(&mut self, target: Target, duration: Duration) {
         self.signal(target, Signal::STOP);
-        self.endings.push((Instant::now() + lasting, Ending::Continue(target)));
+        self.pending_recoveries.push((Instant::now() + duration, Recovery::Resume(target)));
     }
 
-    /// A planned stop, with signals that change nothing about it.
+    /// Stops a node gracefully, sometimes with redundant signals.
     fn stop(&mut self, target: Target) {
-        let Some(number) = self.place(target).process.as_ref().map(|process| process.child.id())
+        let Some(pid) = self.node_mut(target).process.as_ref().map(|process| process.child.id())
         else {
             return;
         };
         self.signal(target, Signal::TERM);
         for signal in [Signal::HUP, Signal::TERM] {
-            if self.random.random_bool(0.3) {
+            if self.rng.random_bool(0.3) {
                 self.signal(target, signal);
             }
         }
-        self.endings.push((Instant::now() + LOOK_AGAIN, Ending::Stop(target, number)));
+        self.pending_recoveries
+            .push((Instant::now() + EXIT_POLL_INTERVAL, Recovery::RestartAfterExit(target, pid)));
     }
 
-    /// A write that was under way when the process died may have left zeros.
-    fn tear_log(&mut self, index: usize) {
-        let folder = self.machines.data_folder(STORES[index]);
+    /// Appends zeros to the newest log file, as left by a write interrupted by a crash.
+    fn append_torn_write(&mut self, index: usize) {
+        let folder = self.cluster.data_folder(STORE_IPS[index]);
         let Ok(files) = fs::read_dir(folder) else {
             return;
         };
-        let names = files.flatten().map(|file| file.path());
+        let paths = files.flatten().map(|file| file.path());
         let is_log = |path: &std::path::PathBuf| {
             path.file_name().is_some_and(|name| name.to_string_lossy().starts_with("log-"))
         };
-        if let Some(newest) = names.filter(is_log).max() {
-            let zeros = vec![0; self.random.random_range(1..64)];
+        if let Some(newest) = paths.filter(is_log).max() {
+            let zeros = vec![0; self.rng.random_range(1..64)];
             let file = fs::File::options().append(true).open(newest);
             let _ = file.and_then(|mut file| file.write_all(&zeros));
         }
@@ -374,54 +393,55 @@
         for index in indices {
             let was_up = self.stores[*index].process.is_some();
             self.kill(Target::Store(*index));
-            if was_up && self.random.random_bool(0.5) {
-                self.tear_log(*index);
+            if was_up && self.rng.random_bool(0.5) {
+                self.append_torn_write(*index);
             }
         }
     }
 
-    fn lose_disk(&mut self, index: usize) {
+    fn wipe_disk(&mut self, index: usize) {
         self.kill(Target::Store(index));
-        let folder = self.machines.data_folder(STORES[index]);
-        fs::remove_dir_all(folder).expect("a lost disk");
-        self.may_disturb_stores_from = Instant::now() + REPAIR;
+        let folder = self.cluster.data_folder(STORE_IPS[index]);
+        fs::remove_dir_all(folder).expect("the data folder is removed");
+        self.no_store_faults_before = Instant::now() + REPAIR_TIME;
     }
 
-    /// Whether all stores run, and have for long enough to bear the loss of a disk.
+    /// Returns whether all stores have been running long enough to tolerate a disk loss.
     fn are_stores_repaired(&self) -> bool {
-        let is_of_store = |ending: &Ending| {
+        let affects_store = |recovery: &Recovery| {
             matches!(
-                ending,
-                Ending::Start(Target::Store(_))
-                    | Ending::Continue(Target::Store(_))
-                    | Ending::Stop(Target::Store(_), _)
-                    | Ending::Calm(_)
+                recovery,
+                Recovery::Start(Target::Store(_))
+                    | Recovery::Resume(Target::Store(_))
+                    | Recovery::RestartAfterExit(Target::Store(_), _)
+                    | Recovery::ClearLinkFaults(_)
             )
         };
-        let is_pending = self.endings.iter().any(|(_, ending)| is_of_store(ending));
+        let is_pending =
+            self.pending_recoveries.iter().any(|(_, recovery)| affects_store(recovery));
         let all_run = self.stores.iter().all(|store| store.process.is_some());
-        all_run && !is_pending && self.stores_disturbed.elapsed() >= REPAIR
+        all_run && !is_pending && self.last_store_fault_end.elapsed() >= REPAIR_TIME
     }
 
-    fn begin_fault(&mut self) -> &'static str {
-        let is_store_fault = self.random.random_bool(0.5);
-        if !is_store_fault || Instant::now() < self.may_disturb_stores_from {
-            return self.disturb_others();
+    fn inject_fault(&mut self) -> &'static str {
+        let is_store_fault = self.rng.random_bool(0.5);
+        if !is_store_fault || Instant::now() < self.no_store_faults_before {
+            return self.inject_other_fault();
         }
-        let index = self.random.random_range(0..STORES.len());
-        if self.are_stores_repaired() && self.random.random_bool(0.3) {
-            self.stores_disturbed = Instant::now();
-            self.lose_disk(index);
+        let index = self.rng.random_range(0..STORE_IPS.len());
+        if self.are_stores_repaired() && self.rng.random_bool(0.3) {
+            self.last_store_fault_end = Instant::now();
+            self.wipe_disk(index);
             return "disk lost";
         }
-        let lasting = self.millis(100, 2_000);
-        self.stores_disturbed = Instant::now() + lasting;
-        self.disturb_store(index, lasting)
+        let duration = self.random_millis(100, 2_000);
+        self.last_store_fault_end = Instant::now() + duration;
+        self.inject_store_fault(index, duration)
     }
 
-    fn disturb_store(&mut self, index: usize, lasting: Duration) -> &'static str {
+    fn inject_store_fault(&mut self, index: usize, duration: Duration) -> &'static str {
         let target = Target::Store(index);
-        match self.random.random_range(0..9) {
+        match self.rng.random_range(0..9) {
             0 => {
                 self.kill_stores(&[index]);
                 "store killed"
@@ -431,30 +451,33 @@
                 "all stores killed"
             }
             2 => {
-                self.pause(target, lasting);
+                self.pause(target, duration);
                 "store paused"
             }
             3 => {
-                let (inward, outward) =
-                    [(true, false), (false, true), (true, true)][self.random.random_range(0..3)];
-                self.into_stores[index].iter().for_each(|forwarder| {
-                    forwarder.silence(inward, outward, lasting);
+                let (to_target, from_target) =
+                    [(true, false), (false, true), (true, true)][self.rng.random_range(0..3)];
+                self.store_forwarders[index].iter().for_each(|forwarder| {
+                    forwarder.stall(to_target, from_target, duration);
                 });
                 "store silenced"
             }
             4 => {
-                let delay = self.millis(1, 60);
-                self.into_stores[index].iter().for_each(|forwarder| forwarder.delay(delay));
-                self.endings.push((Instant::now() + lasting / 2, Ending::Calm(index)));
+                let delay = self.random_millis(1, 60);
+                self.store_forwarders[index]
+                    .iter()
+                    .for_each(|forwarder| forwarder.set_delay(delay));
+                self.pending_recoveries
+                    .push((Instant::now() + duration / 2, Recovery::ClearLinkFaults(index)));
                 "store delayed"
             }
             5 => {
-                self.into_stores[index].iter().for_each(Forwarder::break_connections);
+                self.store_forwarders[index].iter().for_each(Forwarder::break_connections);
                 "store connections broken"
             }
-            6 if self.random.random_bool(0.4) => {
-                // Long enough that the next thing that happens to them may be a lost disk.
-                self.may_disturb_stores_from = Instant::now() + REPAIR + lasting;
+            6 if self.rng.random_bool(0.4) => {
+                // Pauses store faults long enough that a disk loss may come next.
+                self.no_store_faults_before = Instant::now() + REPAIR_TIME + duration;
                 "stores left alone"
             }
             6 | 7 => {
@@ -468,42 +491,42 @@
         }
     }
 
-    fn disturb_others(&mut self) -> &'static str {
-        let front = Target::Front(self.random.random_range(0..self.fronts.len()));
-        let replica = self.random.random_range(0..self.replicas.len());
-        match self.random.random_range(0..7) {
+    fn inject_other_fault(&mut self) -> &'static str {
+        let gateway = Target::Gateway(self.rng.random_range(0..self.gateways.len()));
+        let replica = self.rng.random_range(0..self.replicas.len());
+        match self.rng.random_range(0..7) {
             0 => {
-                self.kill(front);
+                self.kill(gateway);
                 "front killed"
             }
             1 => {
-                let lasting = self.millis(50, 1_000);
-                self.pause(front, lasting);
+                let duration = self.random_millis(50, 1_000);
+                self.pause(gateway, duration);
                 "front paused"
             }
             2 => {
-                self.stop(front);
+                self.stop(gateway);
                 "front stopped"
             }
             3 => {
-                self.signal(front, Signal::HUP);
+                self.signal(gateway, Signal::HUP);
                 "front hung up on"
             }
             4 => {
-                let many = self.random.random_range(0..=self.fronts.len() / 4);
-                for _ in 0..many {
-                    let index = self.random.random_range(0..self.fronts.len());
-                    self.kill(Target::Front(index));
+                let kill_count = self.rng.random_range(0..=self.gateways.len() / 4);
+                for _ in 0..kill_count {
+                    let index = self.rng.random_range(0..self.gateways.len());
+                    self.kill(Target::Gateway(index));
                 }
                 "many fronts killed"
             }
             5 => {
-                self.into_replicas[replica].break_connections();
+                self.replica_forwarders[replica].break_connections();
                 "replica connections broken"
             }
             _ => {
-                let lasting = self.millis(100, 1_500);
-                self.into_replicas[replica].silence(true, true, lasting);
+                let duration = self.random_millis(100, 1_500);
+                self.replica_forwarders[replica].stall(true, true, duration);
                 "replica silenced"
             }
         }
--- a/crates/calicohoist/tests/soak/slow_reader.rs
+++ b/crates/calicohoist/tests/soak/slow_reader.rs
@@ -1,4 +1,4 @@
-//! Callers that read large answers slowly, and some only in part.
+//! Callers that read large answers slowly or disconnect before the end.
 
 use std::io::{Read, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -13,65 +13,70 @@
 use crate::Shared;
 use crate::support::request_head;
 
-/// Marks requests for large answers.
-const MARK: &str = "large";
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Bytes between two pauses of the reader.
-const PIECE: usize = 64 << 10;
+/// Id prefix of requests for large answers.
+const LARGE_PREFIX: &str = "large";
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
+/// Maximum number of bytes per read; the reader pauses after each.
+const READ_BYTES: usize = 64 << 10;
 
-/// The answer to a request for a large one: its identity, over and over; `None` for any other.
+/// Returns the answer to a large request, its repeated id; `None` for other requests.
 pub fn large_answer(id: &str) -> Option<String> {
-    let size = id.strip_prefix(MARK)?.split('-').nth(1)?.parse::<usize>().ok()?;
+    let size = id.strip_prefix(LARGE_PREFIX)?.split('-').nth(1)?.parse::<usize>().ok()?;
     Some(id.repeat(size / id.len()))
 }
 
-/// Asks for large answers, one after the other.
+/// Requests large answers sequentially.
 pub fn read_slowly(
     number: usize,
-    fronts: &[SocketAddr],
-    mut random: StdRng,
+    gateways: &[SocketAddr],
+    mut rng: StdRng,
     records: &Shared,
-    is_over: &Arc<AtomicBool>,
+    stop_flag: &Arc<AtomicBool>,
 ) {
     let mut count = 0;
-    while !is_over.load(Ordering::Relaxed) {
+    while !stop_flag.load(Ordering::Relaxed) {
         count += 1;
-        let size = random.random_range(100_000..3_000_000);
-        let id = format!("{MARK}-{size}-{number}-{count}");
-        records.lock().once.insert(id.clone());
-        let front = fronts[random.random_range(0..fronts.len())];
-        let gives_up = random.random_bool(0.2);
-        let pause = Duration::from_millis(random.random_range(0..20));
-        match exchange(front, &id, pause, gives_up) {
-            Some(answer) => judge(&id, &answer, records),
+        let size = rng.random_range(100_000..3_000_000);
+        let id = format!("{LARGE_PREFIX}-{size}-{number}-{count}");
+        records.lock().at_most_once.insert(id.clone());
+        let gateway = gateways[rng.random_range(0..gateways.len())];
+        let disconnects_early = rng.random_bool(0.2);
+        let pause = Duration::from_millis(rng.random_range(0..20));
+        match exchange(gateway, &id, pause, disconnects_early) {
+            Some(answer) => check_response(&id, &answer, records),
             None => thread::sleep(Duration::from_millis(50)),
         }
     }
 }
 
-/// What came until the end, or until the caller left.
-fn exchange(front: SocketAddr, id: &str, pause: Duration, gives_up: bool) -> Option<Vec<u8>> {
-    let mut stream = TcpStream::connect_timeout(&front, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+/// Sends a request; returns the response bytes, or `None` on failure or early disconnect.
+fn exchange(
+    gateway: SocketAddr,
+    id: &str,
+    pause: Duration,
+    disconnects_early: bool,
+) -> Option<Vec<u8>> {
+    let mut stream = TcpStream::connect_timeout(&gateway, Duration::from_secs(1)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let path = "/unsafe/large";
     let head = request_head("GET", path, id, 0, &["Connection: close"]);
     stream.write_all(head.as_bytes()).ok()?;
     let mut answer = Vec::new();
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; READ_BYTES];
     loop {
-        match stream.read(&mut piece).ok()? {
+        match stream.read(&mut buffer).ok()? {
             0 => return Some(answer),
-            length => answer.extend_from_slice(&piece[..length]),
+            length => answer.extend_from_slice(&buffer[..length]),
         }
-        if gives_up && answer.len() > PIECE {
+        if disconnects_early && answer.len() > READ_BYTES {
             return None;
         }
         thread::sleep(pause);
     }
 }
 
-/// A whole answer is the request's own, and a refused request has not run.
-fn judge(id: &str, answer: &[u8], records: &Shared) {
+/// Records a rejection and checks that a complete answer belongs to its request.
+fn check_response(id: &str, answer: &[u8], records: &Shared) {
     let text = String::from_utf8_lossy(answer);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return;
@@ -79,15 +84,17 @@
     let mut records = records.lock();
     let status = head.split(' ').nth(1).unwrap_or_default();
     if matches!(status, "408" | "429" | "503") {
-        records.refused.insert(id.to_owned());
+        records.rejected.insert(id.to_owned());
     }
     if status != "200" {
         return;
     }
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
-    let is_whole = length.and_then(|length| length.parse().ok()) == Some(body.len());
-    if is_whole && large_answer(id).as_deref() != Some(body) {
-        records.violations.push(format!("{id} got {} other bytes", body.len()));
+    let is_complete = length.and_then(|length| length.parse().ok()) == Some(body.len());
+    if is_complete && large_answer(id).as_deref() != Some(body) {
+        records
+            .violations
+            .push(format!("{id} received {} bytes that are not its answer", body.len()));
     }
-    records.served += u64::from(is_whole);
+    records.served += u64::from(is_complete);
 }
--- a/crates/calicohoist/tests/support/mod.rs
+++ b/crates/calicohoist/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What every command line of the repository must do.
+//! Assertions shared by the command line tests of all binaries.
 
 use std::process::{Command, Output};
 
@@ -14,7 +14,7 @@
     text
 }
 
-/// `--help` names every subcommand, and every subcommand has a help of its own.
+/// Asserts that `--help` lists every subcommand and that each subcommand has a help text.
 pub fn assert_everything_has_help(program: &str, subcommands: &[&str]) {
     let text = assert_help(program, &["--help"]);
     for subcommand in subcommands {
@@ -23,11 +23,11 @@
     }
 }
 
-/// Shells get completion.
+/// Asserts that completion scripts are generated for all supported shells.
 pub fn assert_completion(program: &str) {
-    for style in ["bash", "zsh", "fish"] {
-        let output = run(program, &[&format!("--bpaf-complete-style-{style}")]);
-        assert!(output.status.success(), "{style}: {output:?}");
-        assert!(!output.stdout.is_empty(), "{style}");
+    for shell in ["bash", "zsh", "fish"] {
+        let output = run(program, &[&format!("--bpaf-complete-style-{shell}")]);
+        assert!(output.status.success(), "{shell}: {output:?}");
+        assert!(!output.stdout.is_empty(), "{shell}");
     }
 }
