--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -31,19 +31,19 @@
     /// Duration added per decoding sequence.
     pub per_decode: Duration,
     /// Duration added per thousand context tokens of the batch.
-    pub per_thousand_history: Duration,
+    pub per_thousand_context_tokens: Duration,
     /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u64,
     /// Maximum number of sequences in the batch.
     pub max_batch: usize,
     /// Capacity of the prefix cache, in blocks.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// Delay until a cache event becomes visible.
     pub event_delay: Duration,
     /// Probability that a cache event is lost.
-    pub event_loss: f64,
+    pub event_loss_rate: f64,
     /// Staleness of load reports.
-    pub load_lag: Duration,
+    pub load_report_delay: Duration,
     /// Transfer rate of cache exports and imports, in blocks per second.
     pub export_blocks_per_second: u64,
 }
@@ -54,13 +54,13 @@
             step_base: Duration::from_millis(8),
             per_prefill_token: Duration::from_micros(60),
             per_decode: Duration::from_micros(400),
-            per_thousand_history: Duration::from_micros(150),
+            per_thousand_context_tokens: Duration::from_micros(150),
             prefill_chunk: 512,
             max_batch: 16,
-            blocks: 4_096,
+            cache_blocks: 4_096,
             event_delay: Duration::from_millis(150),
-            event_loss: 0.02,
-            load_lag: Duration::from_millis(300),
+            event_loss_rate: 0.02,
+            load_report_delay: Duration::from_millis(300),
             export_blocks_per_second: 20_000,
         }
     }
@@ -163,7 +163,7 @@
     pub fn new(name: impl Into<String>, profile: EngineProfile, model: ModelId, seed: u64) -> Self {
         Self {
             name: name.into(),
-            cache: BlockCache::new(profile.blocks),
+            cache: BlockCache::new(profile.cache_blocks),
             profile,
             model,
             loading: None,
@@ -297,7 +297,8 @@
         let profile = &self.profile;
         let prefill = profile.per_prefill_token.mul_f64(prefill_tokens as f64);
         let decode = profile.per_decode.mul_f64(f64::from(decoding));
-        let attention = profile.per_thousand_history.mul_f64(context_tokens as f64 / 1_000.0);
+        let attention =
+            profile.per_thousand_context_tokens.mul_f64(context_tokens as f64 / 1_000.0);
         profile.step_base + prefill + decode + attention
     }
 
@@ -382,7 +383,7 @@
     fn publish_changes(&mut self, now: Moment) {
         for (program, tokens) in self.cache.take_changes() {
             self.next_event += 1;
-            if self.random.random_bool(self.profile.event_loss) {
+            if self.random.random_bool(self.profile.event_loss_rate) {
                 continue;
             }
             let event = CacheEvent { number: self.next_event, program, tokens };
@@ -409,13 +410,14 @@
             leaving: self.leaving,
         };
         self.loads.push_back((now, report));
-        let visible_at = |(at, _): &(Moment, LoadReport)| *at + self.profile.load_lag <= now;
+        let visible_at =
+            |(at, _): &(Moment, LoadReport)| *at + self.profile.load_report_delay <= now;
         while self.loads.len() > 1 && self.loads.get(1).is_some_and(visible_at) {
             self.loads.pop_front();
         }
     }
 
-    /// Returns the load report delayed by `load_lag`; only `leaving` is current.
+    /// Returns the load report delayed by `load_report_delay`; only `leaving` is current.
     pub fn load(&mut self, now: Moment) -> LoadReport {
         self.record_load(now);
         let visible = self.loads.front().map(|(_, report)| report.clone()).unwrap_or_default();
--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the number of cached tokens of each program.
-    pub fn holdings(&self) -> Vec<(ProgramId, u64)> {
+    pub fn cached_programs(&self) -> Vec<(ProgramId, u64)> {
         self.handler.model.lock().listing()
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Suspends or resumes generation; a hung engine keeps its connections open.
-    pub fn hang(&self, hung: bool) {
+    pub fn set_hung(&self, hung: bool) {
         self.handler.hung.store(hung, Ordering::SeqCst);
     }
 }
--- a/crates/emulator/src/service.rs
+++ b/crates/emulator/src/service.rs
@@ -136,7 +136,7 @@
     }
 
     /// Suspends or resumes replies; a hung replica still executes jobs.
-    pub fn hang(&self, hung: bool) {
+    pub fn set_hung(&self, hung: bool) {
         self.handler.hung.store(hung, Ordering::SeqCst);
     }
 }
