--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -425,7 +425,7 @@
     }
 
     /// Returns the number of cached tokens of each program.
-    pub fn listing(&self) -> Vec<(ProgramId, u64)> {
+    pub fn cached_programs(&self) -> Vec<(ProgramId, u64)> {
         self.cache.tokens_by_program()
     }
 
--- a/crates/emulator/src/engine/server.rs
+++ b/crates/emulator/src/engine/server.rs
@@ -106,7 +106,7 @@
 
     /// Returns the number of cached tokens of each program.
     pub fn cached_programs(&self) -> Vec<(ProgramId, u64)> {
-        self.handler.model.lock().listing()
+        self.handler.model.lock().cached_programs()
     }
 
     /// Stops accepting new requests.
@@ -251,7 +251,7 @@
     }
 
     fn list_cache(&self, exchange: Exchange) {
-        let cached = self.model.lock().listing().into_iter();
+        let cached = self.model.lock().cached_programs().into_iter();
         let programs = cached.map(|(program, tokens)| CachedProgram { program, tokens }).collect();
         exchange.reply_json(200, &[], &CacheListing { programs });
     }
--- a/crates/lab/src/sim/backends.rs
+++ b/crates/lab/src/sim/backends.rs
@@ -119,7 +119,7 @@
 
     /// Programs it holds memory of.
     pub fn holdings(&self) -> Vec<(ProgramId, u64)> {
-        self.model.as_ref().map(EngineModel::listing).unwrap_or_default()
+        self.model.as_ref().map(EngineModel::cached_programs).unwrap_or_default()
     }
 
     /// Takes no new work from now on.
