--- a/crates/calicohoist/tests/command_line.rs
+++ b/crates/calicohoist/tests/command_line.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn help_lists_every_subcommand() {
-    support::assert_everything_has_help(PROGRAM, &SUBCOMMANDS);
+    support::assert_help_lists_subcommands(PROGRAM, &SUBCOMMANDS);
 }
 
 #[test]
--- a/crates/calicohoist/tests/support/mod.rs
+++ b/crates/calicohoist/tests/support/mod.rs
@@ -15,7 +15,7 @@
 }
 
 /// Asserts that `--help` lists every subcommand and that each subcommand has a help text.
-pub fn assert_everything_has_help(program: &str, subcommands: &[&str]) {
+pub fn assert_help_lists_subcommands(program: &str, subcommands: &[&str]) {
     let text = assert_help(program, &["--help"]);
     for subcommand in subcommands {
         assert!(text.contains(subcommand), "{subcommand} is missing in {text}");
--- a/crates/lab/tests/command_line.rs
+++ b/crates/lab/tests/command_line.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn every_subcommand_is_named_and_has_help() {
-    support::assert_everything_has_help(PROGRAM, &SUBCOMMANDS);
+    support::assert_help_lists_subcommands(PROGRAM, &SUBCOMMANDS);
 }
 
 #[test]
