--- a/crates/calicohoist/src/roles.rs
+++ b/crates/calicohoist/src/roles.rs
@@ -22,10 +22,10 @@
 /// Builds the driver settings of a store node.
 pub fn store_settings(settings: &Settings, section: &StoreSection) -> StoreSettings {
     let raft = RaftSettings {
-        heartbeat: section.heartbeat,
-        election_min: section.election,
-        election_max: section.election * 2,
-        clock_drift: section.election / 10,
+        heartbeat: section.heartbeat_interval,
+        election_min: section.min_election_timeout,
+        election_max: section.min_election_timeout * 2,
+        clock_drift: section.min_election_timeout / 10,
         ..RaftSettings::default()
     };
     StoreSettings {
--- a/crates/calicohoist/src/settings/mod.rs
+++ b/crates/calicohoist/src/settings/mod.rs
@@ -44,9 +44,9 @@
     /// Listen address of `/healthz`, `/readyz` and `/metrics`.
     pub health: Option<SocketAddr>,
     /// Heartbeat interval.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Minimum election timeout.
-    pub election: Duration,
+    pub min_election_timeout: Duration,
     /// Number of log entries between two snapshots of a group.
     pub entries_per_snapshot: u64,
 }
@@ -204,8 +204,8 @@
         machine: machine?,
         data_folder: data_folder?,
         health,
-        heartbeat: Duration::from_millis(heartbeat),
-        election: Duration::from_millis(election),
+        heartbeat_interval: Duration::from_millis(heartbeat),
+        min_election_timeout: Duration::from_millis(election),
         entries_per_snapshot: entries,
     })
 }
--- a/crates/lab/src/fleet/embedded.rs
+++ b/crates/lab/src/fleet/embedded.rs
@@ -130,8 +130,8 @@
             machine,
             data_folder: data.join(&name),
             health: None,
-            heartbeat: Duration::from_millis(60),
-            election: Duration::from_millis(400),
+            heartbeat_interval: Duration::from_millis(60),
+            min_election_timeout: Duration::from_millis(400),
             entries_per_snapshot: 20_000,
         };
         let settings = settings(&name, zone, &machines, Some(section.clone()), None);
