--- a/crates/calicohoist/tests/drains.rs
+++ b/crates/calicohoist/tests/drains.rs
@@ -4,11 +4,11 @@
 #[path = "../../../platform/tests/support/mod.rs"]
 mod support;
 
-mod machines;
+mod cluster;
 
 use std::fs;
 
-use machines::{Cluster, GATEWAY_IPS, Process, STORE_IPS};
+use cluster::{Cluster, GATEWAY_IPS, Process, STORE_IPS};
 use support::{ScriptedReplica, configuration, wait_until};
 
 fn start_model(name: &str) -> ScriptedReplica {
--- a/crates/calicohoist/tests/soak/faults.rs
+++ b/crates/calicohoist/tests/soak/faults.rs
@@ -15,8 +15,8 @@
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-use crate::machines::forwarder::Forwarder;
-use crate::machines::{BUILD_UNDER_TEST, Cluster, Process, STORE_BIND_IPS, STORE_IPS};
+use crate::cluster::forwarder::Forwarder;
+use crate::cluster::{BUILD_UNDER_TEST, Cluster, Process, STORE_BIND_IPS, STORE_IPS};
 use crate::support::ScriptedReplica;
 use crate::{start_model, start_tool};
 
--- a/crates/calicohoist/tests/soak/main.rs
+++ b/crates/calicohoist/tests/soak/main.rs
@@ -14,8 +14,8 @@
 #[path = "../../../../platform/tests/support/mod.rs"]
 mod support;
 
-#[path = "../machines/mod.rs"]
-mod machines;
+#[path = "../cluster/mod.rs"]
+mod cluster;
 
 mod caller;
 mod drains;
