--- a/crates/calicohoist/src/settings/mod.rs
+++ b/crates/calicohoist/src/settings/mod.rs
@@ -159,16 +159,11 @@
             let is_duplicate = machines.values().any(|known| *known == address);
             if is_duplicate {
                 let field = section.field("address");
-                reader.add_finding(
-                    &field,
-                    section.span(),
-                    "is used twice",
-                    "an address of its own",
-                );
+                reader.add_finding(&field, section.span(), "is used twice", "a unique address");
             }
             if machines.insert(number, address).is_some() {
                 let field = section.field("number");
-                reader.add_finding(&field, section.span(), "is used twice", "a number of its own");
+                reader.add_finding(&field, section.span(), "is used twice", "a unique number");
             }
         }
         reader.report_unknown_fields(section);
--- a/crates/calicohoist/src/settings/reader.rs
+++ b/crates/calicohoist/src/settings/reader.rs
@@ -68,7 +68,7 @@
         });
     }
 
-    /// Returns the one-based line and column of a offset offset.
+    /// Returns the one-based line and column of a byte offset.
     fn position(&self, offset: usize) -> (usize, usize) {
         let before = &self.text[..offset.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
--- a/crates/calicohoist/tests/cluster/mod.rs
+++ b/crates/calicohoist/tests/cluster/mod.rs
@@ -175,7 +175,12 @@
     }
 
     /// Sends an operator request to each store until one replies with 200; returns its IP.
-    pub fn operator(&self, method: &str, path: &str, body: &str) -> Option<(Reply, &'static str)> {
+    pub fn operator_request(
+        &self,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<(Reply, &'static str)> {
         STORE_IPS.iter().find_map(|ip| {
             let mut stream = std::net::TcpStream::connect(self.control(ip)).ok()?;
             let request = format!(
@@ -191,9 +196,11 @@
 
     pub fn leader(&self) -> &'static str {
         let mut leader = None;
-        wait_until("a leader is elected", || self.operator("GET", "/-/config", "").is_some());
+        wait_until("a leader is elected", || {
+            self.operator_request("GET", "/-/config", "").is_some()
+        });
         while leader.is_none() {
-            leader = self.operator("GET", "/-/config", "").map(|(_, ip)| ip);
+            leader = self.operator_request("GET", "/-/config", "").map(|(_, ip)| ip);
         }
         leader.unwrap_or(STORE_IPS[0])
     }
--- a/crates/calicohoist/tests/drains.rs
+++ b/crates/calicohoist/tests/drains.rs
@@ -23,7 +23,7 @@
 fn set_drain(cluster: &Cluster, method: &str, zone: &str) {
     let path = format!("/-/evacuations/{zone}");
     wait_until("the drain command is acknowledged", || {
-        cluster.operator(method, &path, "").is_some()
+        cluster.operator_request(method, &path, "").is_some()
     });
 }
 
@@ -46,7 +46,7 @@
     let mut stores: Vec<Process> = STORE_IPS.iter().map(|ip| cluster.start(ip, true)).collect();
     let body = configuration(5).to_string();
     wait_until("the configuration is accepted", || {
-        cluster.operator("PUT", "/-/config", &body).is_some()
+        cluster.operator_request("PUT", "/-/config", &body).is_some()
     });
     set_drain(&cluster, "POST", "hall");
 
--- a/crates/calicohoist/tests/processes.rs
+++ b/crates/calicohoist/tests/processes.rs
@@ -29,7 +29,7 @@
     let mut gateways: Vec<Process> = GATEWAY_IPS.iter().map(|ip| cluster.start(ip, true)).collect();
     let body = configuration(5).to_string();
     wait_until("the configuration is accepted", || {
-        cluster.operator("PUT", "/-/config", &body).is_some()
+        cluster.operator_request("PUT", "/-/config", &body).is_some()
     });
     wait_until("the gateways are ready", || GATEWAY_IPS.iter().all(|ip| cluster.is_ready(ip)));
 
@@ -60,10 +60,10 @@
 
     let mut read = None;
     wait_until("the configuration is read back", || {
-        cluster.operator("GET", "/-/config", "").is_some()
+        cluster.operator_request("GET", "/-/config", "").is_some()
     });
     while read.is_none() {
-        read = cluster.operator("GET", "/-/config", "").map(|(reply, _)| reply.text());
+        read = cluster.operator_request("GET", "/-/config", "").map(|(reply, _)| reply.text());
     }
     assert_eq!(read.as_deref(), Some(body.as_str()));
 
--- a/crates/emulator/src/engine/cache.rs
+++ b/crates/emulator/src/engine/cache.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Evicts the least recently used_blocks unpinned block if the cache is full.
+    /// Evicts the least recently used unpinned block if the cache is full.
     ///
     /// Returns `false` when the cache is full and every block is pinned.
     fn evict_if_full(&mut self) -> bool {
--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Stores blocks exported by another engine; returns the number stored_blocks.
+    /// Stores blocks exported by another engine; returns the number stored.
     pub fn import(&mut self, now: Moment, exported: &ExportedCache) -> usize {
         let stored_blocks = self.cache.store(now, &exported.program, &exported.blocks);
         self.cache.unpin(&exported.blocks[..stored_blocks]);
--- a/crates/emulator/src/service.rs
+++ b/crates/emulator/src/service.rs
@@ -130,7 +130,7 @@
         self.http.address()
     }
 
-    /// Every key it executed so far.
+    /// Returns the records of all executed keys.
     pub fn records(&self) -> Vec<ServiceRecord> {
         self.handler.model.lock().records().cloned().collect()
     }
