--- a/crates/lab/src/check/calls.rs
+++ b/crates/lab/src/check/calls.rs
@@ -1,4 +1,4 @@
-//! Promises about calls and programs.
+//! Invariants of calls and programs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,15 +11,15 @@
 use super::transcript::Transcripts;
 use crate::history::{Asked, CallTry, History, TryEnd};
 
-/// When the calls of one place began and ended at back ends.
+/// Earliest start and end of the executions of one call.
 #[derive(Clone, Copy, Default)]
 struct Execution {
     first_start: Option<Moment>,
     first_end: Option<Moment>,
 }
 
-/// The program and place in a service's key, `PROGRAM/SEQUENCE/KEY`.
-fn place_of(record: &ServiceRecord) -> Option<(String, u64)> {
+/// Returns the program and the sequence number in a service key, `PROGRAM/SEQUENCE/KEY`.
+fn call_id_of(record: &ServiceRecord) -> Option<(String, u64)> {
     let mut parts = record.key.split('/');
     let program = parts.next()?.to_owned();
     Some((program, parts.next()?.parse().ok()?))
@@ -29,31 +29,32 @@
     let mut executions: BTreeMap<(String, u64), Execution> = BTreeMap::new();
     for record in &history.engine_records {
         let call = &record.attempt.call;
-        let place = (call.program.to_string(), call.sequence);
-        let execution = executions.entry(place).or_default();
+        let call_id = (call.program.to_string(), call.sequence);
+        let execution = executions.entry(call_id).or_default();
         execution.first_start = earliest(execution.first_start, Some(record.arrived));
         execution.first_end = earliest(execution.first_end, record.finished);
     }
     for record in &history.service_records {
-        if let Some(place) = place_of(record) {
-            let execution = executions.entry(place).or_default();
+        if let Some(call_id) = call_id_of(record) {
+            let execution = executions.entry(call_id).or_default();
             execution.first_start = earliest(execution.first_start, Some(record.first));
             execution.first_end = earliest(execution.first_end, Some(record.first));
         }
     }
     let mut verdict = Verdict::default();
     let mut previous: Option<(&(String, u64), &Execution)> = None;
-    for (place, execution) in &executions {
-        if let Some((before, earlier)) = previous
-            && before.0 == place.0
+    for (call_id, execution) in &executions {
+        if let Some((previous_id, previous_execution)) = previous
+            && previous_id.0 == call_id.0
         {
-            let holds = match (earlier.first_end, execution.first_start) {
+            let holds = match (previous_execution.first_end, execution.first_start) {
                 (Some(end), Some(start)) => end <= start,
                 _ => false,
             };
-            verdict.look(holds, || format!("{place:?} began before {before:?} had ended"));
+            verdict
+                .record(holds, || format!("{call_id:?} started before {previous_id:?} had ended"));
         }
-        previous = Some((place, execution));
+        previous = Some((call_id, execution));
     }
     verdict
 }
@@ -69,9 +70,12 @@
     let mut verdict = Verdict::default();
     for record in &history.engine_records {
         let call = &record.attempt.call;
-        let holds = transcripts.was_asked(call.program.as_str(), call.sequence, &record.prompt);
-        verdict.look(holds, || {
-            format!("{} ran with another history than its caller's", record.attempt)
+        let holds = transcripts.was_requested(call.program.as_str(), call.sequence, &record.prompt);
+        verdict.record(holds, || {
+            format!(
+                "{} ran with a prompt that does not match the requests of its caller",
+                record.attempt
+            )
         });
     }
     verdict
@@ -93,7 +97,9 @@
     for program in history.programs.iter().filter(|program| program.id == program.root) {
         let used = spent.get(program.id.as_str()).copied().unwrap_or_default();
         let holds = used <= program.budget;
-        verdict.look(holds, || format!("{} used {used} of {}", program.id, program.budget));
+        verdict.record(holds, || {
+            format!("{} used {used} tokens of a budget of {}", program.id, program.budget)
+        });
     }
     verdict
 }
@@ -113,8 +119,8 @@
                 answer_text(&ModelId::new(model), &prompt, limit)
             }
         };
-        verdict.look(expected == *text, || {
-            format!("{}/{} got {text:?} instead of {expected:?}", call.program, call.sequence)
+        verdict.record(expected == *text, || {
+            format!("{}/{} received {text:?} instead of {expected:?}", call.program, call.sequence)
         });
     }
     verdict
@@ -125,10 +131,13 @@
     for refused in history.tries.iter().filter(|call| is_not_run(call)) {
         let executed = match &refused.asked {
             Asked::Service { .. } => service_executed(history, refused),
-            Asked::Model { .. } => engine_executed_unexplained(history, refused),
+            Asked::Model { .. } => engine_executed_without_cause(history, refused),
         };
-        verdict.look(!executed, || {
-            format!("{}/{} was refused as not run, and ran", refused.program, refused.sequence)
+        verdict.record(!executed, || {
+            format!(
+                "{}/{} was refused as not run, but was executed",
+                refused.program, refused.sequence
+            )
         });
     }
     verdict
@@ -145,9 +154,9 @@
     history.service_records.iter().any(|record| record.key == key)
 }
 
-/// An execution counts against a refusal unless another try of the same call,
-/// which was not refused, had been sent before it.
-fn engine_executed_unexplained(history: &History, refused: &CallTry) -> bool {
+/// Returns whether an engine executed the call before any request for it that was not refused had
+/// been sent.
+fn engine_executed_without_cause(history: &History, refused: &CallTry) -> bool {
     let is_same =
         |call: &CallTry| call.program == refused.program && call.sequence == refused.sequence;
     let accepted = history.tries.iter().filter(|call| is_same(call) && !is_not_run(call));
@@ -161,14 +170,17 @@
 }
 
 pub(super) fn at_most_once(history: &History) -> Verdict {
-    let once = history.tries.iter().filter(|call| !call.repeatable);
-    let keys: BTreeSet<String> =
-        once.map(|call| format!("{}/{}/{}", call.program, call.sequence, call.key)).collect();
+    let non_repeatable = history.tries.iter().filter(|call| !call.repeatable);
+    let keys: BTreeSet<String> = non_repeatable
+        .map(|call| format!("{}/{}/{}", call.program, call.sequence, call.key))
+        .collect();
     let mut verdict = Verdict::default();
     for key in keys {
         let of_key = history.service_records.iter().filter(|record| record.key == key);
         let executions: u32 = of_key.map(|record| record.executions).sum();
-        verdict.look(executions <= 1, || format!("{key} was executed {executions} times"));
+        verdict.record(executions <= 1, || {
+            format!("non-repeatable call {key} was executed {executions} times")
+        });
     }
     verdict
 }
--- a/crates/lab/src/check/fleet.rs
+++ b/crates/lab/src/check/fleet.rs
@@ -1,4 +1,4 @@
-//! Promises about engines, gateways and the configuration.
+//! Invariants of engines, gateways and the configuration.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,26 +6,28 @@
 use super::Verdict;
 use crate::history::{History, TryEnd};
 
-/// A leaving back end may get new work for this long: the platform's lag, one
-/// reading of its list, and one probe.
+/// Time after a drain during which an engine may still receive new work: covers the delay of the
+/// platform, one read of its list and one probe.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(4);
 
 pub(super) fn cache_release(history: &History) -> Verdict {
     let ended = history.programs.iter().filter(|program| program.ended.is_some());
     let ended: BTreeSet<&str> = ended.map(|program| program.id.as_str()).collect();
-    let ran: BTreeSet<(&str, &str)> = history
+    let executed: BTreeSet<(&str, &str)> = history
         .engine_records
         .iter()
         .map(|record| (record.program.as_str(), record.engine.as_str()))
         .filter(|(program, _)| ended.contains(program))
         .collect();
     let mut verdict = Verdict::default();
-    for (program, engine) in ran {
+    for (program, engine) in executed {
         let held = history
             .holdings
             .iter()
             .find(|holding| holding.program == program && holding.engine == engine);
-        verdict.look(held.is_none(), || format!("{engine} still holds memory of {program}"));
+        verdict.record(held.is_none(), || {
+            format!("{engine} still holds cache of the ended program {program}")
+        });
     }
     verdict
 }
@@ -40,8 +42,8 @@
             .filter(|record| record.arrived > deadline)
             .map(|record| record.attempt.to_string())
             .collect();
-        verdict.look(late.is_empty(), || {
-            format!("{} got {late:?} after it was taken out of service", drain.engine)
+        verdict.record(late.is_empty(), || {
+            format!("{} received attempts {late:?} after its drain grace period", drain.engine)
         });
     }
     verdict
@@ -50,11 +52,13 @@
 pub(super) fn graceful_shutdown(history: &History) -> Verdict {
     let mut verdict = Verdict::default();
     for stop in &history.stops {
-        verdict.look(stop.complete, || format!("gateway {} stopped by force", stop.gateway));
+        verdict.record(stop.complete, || {
+            format!("gateway {} stopped with unfinished calls", stop.gateway)
+        });
         let at_gateway = history.tries.iter().filter(|call| call.gateway == stop.gateway);
         for call in at_gateway.filter(|call| call.sent < stop.began && call.ended > stop.began) {
-            verdict.look(call.end != TryEnd::Cut, || {
-                format!("{}/{} was cut by a planned stop", call.program, call.sequence)
+            verdict.record(call.end != TryEnd::Cut, || {
+                format!("{}/{} was interrupted by a graceful shutdown", call.program, call.sequence)
             });
         }
     }
@@ -64,16 +68,16 @@
 pub(super) fn config_convergence(history: &History) -> Verdict {
     let mut verdict = Verdict::default();
     for probe in &history.probes {
-        verdict.look(probe.held, || {
+        verdict.record(probe.held, || {
             format!(
-                "revision {} was in force, and gateway {} did not act on it",
+                "revision {} was in force, but gateway {} did not apply it",
                 probe.revision, probe.gateway
             )
         });
     }
-    for winners in &history.races {
-        verdict.look(*winners == 1, || {
-            format!("{winners} of two changes with the same version were accepted")
+    for accepted in &history.races {
+        verdict.record(*accepted == 1, || {
+            format!("{accepted} of two changes based on the same version were accepted")
         });
     }
     verdict
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! The ten invariants, judged from what callers, services and engines recorded.
+//! Invariant checks over the records of callers, engines and services.
 //!
-//! Nothing here knows what the scheduler believes. An invariant that a run does
-//! not exercise says `checked: 0`.
+//! The checks use no state of the scheduler. An invariant that a run does not exercise reports
+//! `checked: 0`.
 
 mod calls;
 mod fleet;
@@ -12,24 +12,24 @@
 use crate::history::History;
 use transcript::Transcripts;
 
-/// How often an invariant was looked at, and how often it did not hold.
+/// Result of checking an invariant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Looks.
+    /// Number of checks.
     pub checked: u64,
-    /// Violations.
+    /// Number of violations.
     pub violations: u64,
-    /// The first few violations in words.
+    /// Descriptions of the first violations.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub examples: Vec<String>,
 }
 
-/// Violations described in words.
+/// Maximum number of described violations.
 const MAX_EXAMPLES: usize = 5;
 
 impl Verdict {
-    /// Notes one look; `problem` describes a violation.
-    pub(crate) fn look(&mut self, holds: bool, problem: impl FnOnce() -> String) {
+    /// Records one check; `problem` describes the violation if it failed.
+    pub(crate) fn record(&mut self, holds: bool, problem: impl FnOnce() -> String) {
         self.checked += 1;
         if !holds {
             self.violations += 1;
@@ -40,33 +40,33 @@
     }
 }
 
-/// One verdict for each promise.
+/// One verdict per invariant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Invariants {
-    /// The calls of one program run in the order it issued them.
+    /// The calls of a program run in the order in which it issued them.
     pub call_order: Verdict,
-    /// A history is never lost and never mixed.
+    /// Prompts contain the complete history of their own program and nothing else.
     pub history_integrity: Verdict,
-    /// A program never spends beyond its budget.
+    /// A program tree never exceeds its token budget.
     pub budget_limit: Verdict,
-    /// No engine memory stays held for ended programs.
+    /// Engines hold no cache of ended programs.
     pub cache_release: Verdict,
-    /// Every caller receives the whole answer to its own request.
+    /// Every completed answer is the full, correct answer to its request.
     pub response_integrity: Verdict,
-    /// What was refused as not run was not run.
+    /// A call refused as not run was not executed.
     pub refused_not_executed: Verdict,
-    /// What is not repeatable runs at most once.
+    /// A non-repeatable call is executed at most once.
     pub at_most_once: Verdict,
-    /// A leaving back end gets no new work after a few seconds.
+    /// A draining or leaving engine receives no new work after a grace period.
     pub backend_drain: Verdict,
-    /// A planned stop cuts nothing.
+    /// A graceful shutdown interrupts no requests.
     pub graceful_shutdown: Verdict,
-    /// What is in force holds everywhere.
+    /// Gateways apply every configuration that is reported as in force.
     pub config_convergence: Verdict,
 }
 
 impl Invariants {
-    /// The verdicts by name.
+    /// Returns the verdicts with their names.
     pub fn named(&self) -> [(&'static str, &Verdict); 10] {
         [
             ("call_order", &self.call_order),
@@ -82,13 +82,13 @@
         ]
     }
 
-    /// Violations of all promises.
+    /// Returns the total number of violations.
     pub fn violations(&self) -> u64 {
         self.named().iter().map(|(_, verdict)| verdict.violations).sum()
     }
 }
 
-/// Judges a run.
+/// Checks all invariants of a run.
 pub fn check(history: &History) -> Invariants {
     let transcripts = Transcripts::new(history);
     Invariants {
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,162 +1,162 @@
-//! What callers, engines and services recorded during a run.
+//! Records of callers, engines and services during a run.
 
 use calicohoist_emulator::{EngineRecord, ServiceRecord};
 use calicohoist_types::{ChatMessage, Moment, Outcome, Usage};
 use serde::{Deserialize, Serialize};
 
-/// What a call asked for.
+/// Input of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Asked {
-    /// Generation.
+    /// A generation by a model.
     Model {
         /// The model.
         model: String,
         /// Messages added to the conversation.
         messages: Vec<ChatMessage>,
     },
-    /// A tool service.
+    /// A call of a tool service.
     Service {
         /// The service.
         service: String,
-        /// Its input.
+        /// The input.
         input: String,
     },
 }
 
-/// How one try of a caller ended, as the caller saw it.
+/// Result of a request, as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TryEnd {
-    /// A whole answer.
+    /// A complete answer.
     Answered {
-        /// Its text.
+        /// The text.
         text: String,
         /// Why generation ended.
         finish_reason: String,
-        /// Tokens, as reported.
+        /// Token usage reported to the caller.
         usage: Usage,
     },
-    /// A typed refusal or error.
+    /// An error response.
     Refused {
-        /// What it said of the request.
+        /// Whether the call may have run.
         outcome: Outcome,
-        /// Its code.
+        /// The error code.
         code: String,
     },
-    /// The connection ended before the answer did.
+    /// The connection closed before the answer was complete.
     Cut,
-    /// No connection came about.
+    /// No connection could be established.
     NotConnected,
-    /// The caller itself hung up, to resume elsewhere.
+    /// The caller closed the connection.
     HungUp,
 }
 
-/// One try of a call.
+/// One request of a caller for a call; retries are recorded separately.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallTry {
     /// The program.
     pub program: String,
-    /// Place in the program.
+    /// Sequence number of the call in its program.
     pub sequence: u64,
-    /// The caller's key.
+    /// Idempotency key.
     pub key: String,
-    /// What it asked for.
+    /// Input of the call.
     pub asked: Asked,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Index of the gateway.
     pub gateway: usize,
-    /// When it was sent.
+    /// Time of sending.
     pub sent: Moment,
-    /// When it ended.
+    /// Time of the result.
     pub ended: Moment,
-    /// How it ended.
+    /// The result.
     pub end: TryEnd,
 }
 
-/// One program as its caller saw it.
+/// One program, as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramTrace {
-    /// Its name.
+    /// Id of the program.
     pub id: String,
-    /// The root of its tree.
+    /// Id of the root of its program tree.
     pub root: String,
-    /// Tokens of the whole tree; 0 for sub-agents.
+    /// Token budget of the program tree; 0 for sub-agents.
     pub budget: u64,
-    /// When its first call was sent.
+    /// Start time.
     pub started: Moment,
-    /// When its caller was told that it ended.
+    /// Time at which its end was confirmed to the caller.
     pub ended: Option<Moment>,
-    /// Whether all its calls were answered.
+    /// Whether all calls were answered and the program ended.
     pub completed: bool,
 }
 
-/// A back end that was taken out of service.
+/// A drain or an announced removal of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainEvent {
     /// The engine.
     pub engine: String,
-    /// When.
+    /// Time of the drain or announcement.
     pub at: Moment,
 }
 
-/// A planned stop of a gateway.
+/// A graceful shutdown of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopEvent {
     /// Index of the gateway.
     pub gateway: usize,
-    /// When it was asked to stop.
+    /// Time of the request to stop.
     pub began: Moment,
-    /// When it had stopped.
+    /// Time at which it had stopped.
     pub ended: Moment,
-    /// Whether it says that nothing was cut.
+    /// Whether the gateway finished all its calls.
     pub complete: bool,
 }
 
-/// One look at whether a change of the configuration holds at a gateway.
+/// A probe whether a gateway applies a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigProbe {
     /// Revision of the change.
     pub revision: u64,
     /// Index of the gateway.
     pub gateway: usize,
-    /// When the change was accepted.
+    /// Time at which the change was accepted.
     pub accepted: Moment,
-    /// When it was reported in force.
+    /// Time at which the change was reported as in force.
     pub in_force: Moment,
-    /// Whether the gateway behaved by the change.
+    /// Whether the gateway applied the change.
     pub held: bool,
 }
 
-/// Memory an engine still held when the run was over.
+/// Cache of a program that an engine held at the end of the run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The engine.
     pub engine: String,
     /// The program.
     pub program: String,
-    /// Tokens.
+    /// Number of cached tokens.
     pub tokens: u64,
 }
 
-/// Everything that was recorded.
+/// All records of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     /// Programs.
     pub programs: Vec<ProgramTrace>,
-    /// Tries of calls.
+    /// Requests for calls, including retries.
     pub tries: Vec<CallTry>,
-    /// Requests that engines took.
+    /// Attempts executed by engines.
     pub engine_records: Vec<EngineRecord>,
-    /// Keys that services executed.
+    /// Jobs executed by services.
     pub service_records: Vec<ServiceRecord>,
-    /// Memory held at the end.
+    /// Engine cache held at the end of the run.
     pub holdings: Vec<Holding>,
-    /// Back ends taken out of service.
+    /// Drained or removed engines.
     pub drains: Vec<DrainEvent>,
-    /// Planned stops.
+    /// Graceful shutdowns of gateways.
     pub stops: Vec<StopEvent>,
-    /// Looks at the configuration.
+    /// Configuration probes.
     pub probes: Vec<ConfigProbe>,
-    /// Winners of each race of two operators that named the same version.
+    /// Number of accepted writes of each pair of conflicting writes.
     pub races: Vec<u32>,
 }
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/account.rs
@@ -1,8 +1,7 @@
-//! What messages and steps cost each part of a simulated fleet.
+//! Traffic and processing time of each node of a simulated fleet.
 //!
-//! Bytes are those of the encoded frame as it would travel, without TCP and IP.
-//! Busy time is real time spent in the product's own state machines and in the
-//! encoding of what they send; sockets and the kernel are not in it.
+//! Bytes are the sizes of encoded frames without TCP and IP headers. Busy time is wall-clock time
+//! spent in the state machines and in encoding; it excludes sockets and the kernel.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,37 +10,37 @@
 
 use super::frame::{Actor, Frame};
 
-/// Stands for the variant of the frame's enumeration, which takes one byte.
-const VARIANT: u8 = 0;
-/// Bytes of length and checksum before each frame.
+/// Placeholder for the one-byte enum tag of an encoded frame.
+const ENUM_TAG: u8 = 0;
+/// Size of the length and checksum fields before each frame.
 const FRAME_HEADER: u64 = 8;
 
-/// Costs of one part.
+/// Traffic and processing time of one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Frames sent and received.
+    /// Number of frames sent and received.
     pub messages: u64,
-    /// Bytes sent and received.
+    /// Number of bytes sent and received.
     pub bytes: u64,
-    /// Time spent.
+    /// Wall-clock time spent processing.
     pub busy: Duration,
 }
 
-/// Costs of all parts.
+/// Costs recorded per node.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     costs: BTreeMap<Actor, Cost>,
-    /// Time of the simulated network within the present step.
-    network: Duration,
+    /// Time spent in the simulated network during the current step, excluded from busy time.
+    network_time: Duration,
 }
 
 impl Account {
-    /// Costs of one part.
+    /// Returns the costs of one node.
     pub fn cost(&self, actor: Actor) -> Cost {
         self.costs.get(&actor).copied().unwrap_or_default()
     }
 
-    /// Costs of the store machine with the most traffic.
+    /// Returns the costs of the store machine with the most traffic.
     pub fn busiest_store(&self) -> Cost {
         let costs = self.costs.iter();
         let stores = costs.filter(|(actor, _)| matches!(actor, Actor::Store(_)));
@@ -49,19 +48,19 @@
         busiest.map(|(_, cost)| *cost).unwrap_or_default()
     }
 
-    pub(super) fn note_busy(&mut self, actor: Actor, busy: Duration) {
-        let network = std::mem::take(&mut self.network);
-        self.costs.entry(actor).or_default().busy += busy.saturating_sub(network);
+    pub(super) fn record_busy(&mut self, actor: Actor, busy: Duration) {
+        let network_time = std::mem::take(&mut self.network_time);
+        self.costs.entry(actor).or_default().busy += busy.saturating_sub(network_time);
     }
 
-    /// Time that the simulation and not the product spent.
-    pub(super) fn note_network(&mut self, time: Duration) {
-        self.network += time;
+    /// Records time spent in the simulated network.
+    pub(super) fn record_network(&mut self, time: Duration) {
+        self.network_time += time;
     }
 
-    pub(super) fn note_frame(&mut self, from: Actor, to: Actor, frame: &Frame) {
+    pub(super) fn record_frame(&mut self, from: Actor, to: Actor, frame: &Frame) {
         let begin = Instant::now();
-        let Some(bytes) = control_bytes(frame) else {
+        let Some(bytes) = control_frame_bytes(frame) else {
             return;
         };
         let encoding = begin.elapsed();
@@ -69,18 +68,18 @@
             let cost = self.costs.entry(actor).or_default();
             cost.messages += 1;
             cost.bytes += bytes;
-            // Taking a frame apart costs about what putting it together does.
+            // Decoding is assumed to take as long as encoding.
             cost.busy += encoding;
         }
     }
 }
 
-/// Bytes of a frame between the product's own processes; `None` for others.
-fn control_bytes(frame: &Frame) -> Option<u64> {
+/// Returns the encoded size of a frame between gateways and store machines, `None` for others.
+fn control_frame_bytes(frame: &Frame) -> Option<u64> {
     let encoded = match frame {
-        Frame::StorePeer { from, messages } => encode(&(VARIANT, from, messages)),
-        Frame::StoreRequest { id, request, .. } => encode(&(VARIANT, id, &**request)),
-        Frame::StoreReply { id, reply, .. } => encode(&(VARIANT, id, reply)),
+        Frame::StorePeer { from, messages } => encode(&(ENUM_TAG, from, messages)),
+        Frame::StoreRequest { id, request, .. } => encode(&(ENUM_TAG, id, &**request)),
+        Frame::StoreReply { id, reply, .. } => encode(&(ENUM_TAG, id, reply)),
         Frame::GatewayPeer { message, .. } => encode(message),
         _ => return None,
     };
--- a/crates/lab/src/sim/backends.rs
+++ b/crates/lab/src/sim/backends.rs
@@ -1,4 +1,4 @@
-//! Engines, services and the platform in virtual time.
+//! Simulated engines and service replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,26 +16,26 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::frame::{Actor, Frame, Start};
-use super::world::{Happening, World};
+use super::frame::{Actor, Frame, Generation};
+use super::world::{SimEvent, World};
 use crate::deployment::Deployment;
 
-/// The model that only probes of the configuration use.
+/// Model that only configuration probes use.
 pub const PROBE_MODEL: &str = "probe";
-/// Time of the fastest job.
-const FASTEST_JOB: Duration = Duration::from_millis(60);
+/// Minimum duration of a job.
+const MIN_JOB_DURATION: Duration = Duration::from_millis(60);
 
-/// Who listens to an attempt on an engine.
+/// A gateway that receives the output of an attempt.
 #[derive(Clone, Debug)]
 struct Subscriber {
     gateway: usize,
-    start: Start,
-    /// The attempt as the gateway calls it; another one after a resume.
-    known_as: AttemptId,
+    generation: Generation,
+    /// Attempt id used in events for this gateway; differs from the original after a resume.
+    reported_as: AttemptId,
     sent: usize,
 }
 
-/// What an engine said in an attempt.
+/// Output of an attempt and its subscribers.
 #[derive(Clone, Debug, Default)]
 struct Stream {
     text: String,
@@ -43,32 +43,32 @@
     subscribers: Vec<Subscriber>,
 }
 
-/// An engine.
-pub struct EnginePart {
+/// A simulated engine.
+pub struct SimEngine {
     pub(super) name: EngineId,
     pub(super) address: SocketAddr,
     pub(super) model_name: ModelId,
     model: Option<EngineModel>,
     profile: EngineProfile,
-    pub(super) start: Start,
+    pub(super) generation: Generation,
     pub(super) hung: bool,
     streams: BTreeMap<AttemptId, Stream>,
-    past_records: Vec<EngineRecord>,
-    step_planned: bool,
+    earlier_records: Vec<EngineRecord>,
+    step_scheduled: bool,
 }
 
-/// A service replica.
-pub struct ReplicaPart {
+/// A simulated service replica.
+pub struct SimReplica {
     pub(super) name: String,
     pub(super) address: SocketAddr,
     model: ServiceModel,
     pub(super) is_up: bool,
-    pub(super) start: Start,
+    pub(super) generation: Generation,
     pub(super) hung: bool,
 }
 
-/// Engines for the deployment's model, and one for probes.
-pub fn engines(deployment: Deployment, count: usize, random: &mut ChaCha8Rng) -> Vec<EnginePart> {
+/// Creates engines for the deployment's model and one for configuration probes.
+pub fn engines(deployment: Deployment, count: usize, random: &mut ChaCha8Rng) -> Vec<SimEngine> {
     let model_of = |index: usize| if index < count { deployment.model() } else { PROBE_MODEL };
     (0..=count)
         .map(|index| {
@@ -77,52 +77,52 @@
             let profile = EngineProfile::default();
             let seed = random.random();
             let model = EngineModel::new(name.as_str(), profile.clone(), model_name.clone(), seed);
-            EnginePart {
+            SimEngine {
                 name,
                 address: ([127, 0, 0, 1], 10_000 + index as u16).into(),
                 model_name,
                 model: Some(model),
                 profile,
-                start: 1,
+                generation: 1,
                 hung: false,
                 streams: BTreeMap::new(),
-                past_records: Vec::new(),
-                step_planned: false,
+                earlier_records: Vec::new(),
+                step_scheduled: false,
             }
         })
         .collect()
 }
 
-/// Replicas of the deployment's service.
-pub fn replicas(deployment: Deployment, count: usize, random: &mut ChaCha8Rng) -> Vec<ReplicaPart> {
+/// Creates replicas of the deployment's service.
+pub fn replicas(deployment: Deployment, count: usize, random: &mut ChaCha8Rng) -> Vec<SimReplica> {
     (0..count)
         .map(|index| {
             let name = format!("{}-{index}", deployment.service());
-            ReplicaPart {
-                model: ServiceModel::new(&name, FASTEST_JOB, random.random()),
+            SimReplica {
+                model: ServiceModel::new(&name, MIN_JOB_DURATION, random.random()),
                 name,
                 address: ([127, 0, 0, 1], 20_000 + index as u16).into(),
                 is_up: true,
-                start: 1,
+                generation: 1,
                 hung: false,
             }
         })
         .collect()
 }
 
-impl EnginePart {
-    /// Everything it was asked to do, in all its lives.
+impl SimEngine {
+    /// Returns the records of all requests, including those before restarts.
     pub fn records(&self) -> Vec<EngineRecord> {
-        let present = self.model.iter().flat_map(EngineModel::records);
-        self.past_records.iter().chain(present).cloned().collect()
+        let current = self.model.iter().flat_map(EngineModel::records);
+        self.earlier_records.iter().chain(current).cloned().collect()
     }
 
-    /// Programs it holds memory of.
+    /// Returns the programs in its cache and their tokens.
     pub fn holdings(&self) -> Vec<(ProgramId, u64)> {
         self.model.as_ref().map(EngineModel::listing).unwrap_or_default()
     }
 
-    /// Takes no new work from now on.
+    /// Stops accepting new requests.
     pub fn leave(&mut self) {
         if let Some(model) = &mut self.model {
             model.leave();
@@ -130,8 +130,8 @@
     }
 }
 
-impl ReplicaPart {
-    /// Every key it executed.
+impl SimReplica {
+    /// Returns the records of all executed keys.
     pub fn records(&self) -> Vec<ServiceRecord> {
         self.model.records().cloned().collect()
     }
@@ -141,69 +141,80 @@
     pub(super) fn engine_input(&mut self, index: usize, frame: Frame) {
         let is_up = self.engines[index].model.is_some();
         match frame {
-            Frame::EngineRun { gateway, start, order } if is_up => {
-                self.run_on_engine(index, gateway, start, &order);
+            Frame::EngineRun { gateway, generation, order } if is_up => {
+                self.run_on_engine(index, gateway, generation, &order);
             }
-            Frame::EngineRun { gateway, start, order } => {
+            Frame::EngineRun { gateway, generation, order } => {
                 let failure = BackendFailure::NotStarted;
-                self.tell_gateway(
+                self.send_engine_event(
                     index,
                     gateway,
-                    start,
+                    generation,
                     order.attempt,
                     BackendEvent::Failed(failure),
                 );
             }
             Frame::EngineCancel(attempt) => {
-                let part = &mut self.engines[index];
-                if let Some(model) = &mut part.model {
+                let engine = &mut self.engines[index];
+                if let Some(model) = &mut engine.model {
                     model.cancel(&attempt);
                 }
-                part.streams.remove(&attempt);
+                engine.streams.remove(&attempt);
             }
-            Frame::EngineRelease { gateway, start, program } => {
+            Frame::EngineRelease { gateway, generation, program } => {
                 let now = self.now;
-                let part = &mut self.engines[index];
+                let engine = &mut self.engines[index];
                 let confirmed =
-                    part.model.as_mut().map(|model| model.release(now, &program)).is_some();
-                let running = part.streams.iter().filter(|(attempt, stream)| {
+                    engine.model.as_mut().map(|model| model.release(now, &program)).is_some();
+                let running = engine.streams.iter().filter(|(attempt, stream)| {
                     attempt.call.program == program && stream.end.is_none()
                 });
-                let cut: Vec<AttemptId> = running.map(|(attempt, _)| attempt.clone()).collect();
-                for attempt in cut {
-                    self.break_stream(index, &attempt);
+                let attempts: Vec<AttemptId> =
+                    running.map(|(attempt, _)| attempt.clone()).collect();
+                for attempt in attempts {
+                    self.fail_stream(index, &attempt);
                 }
-                let frame = Frame::Released { start, engine: index, program, confirmed };
+                let frame = Frame::Released { generation, engine: index, program, confirmed };
                 self.send(Actor::Engine(index), Actor::Gateway(gateway), frame);
             }
-            Frame::EngineList { gateway, start } if is_up => {
-                let held = self.engines[index].holdings();
-                let programs = held.into_iter().map(|(program, _)| program).collect();
-                let frame = Frame::Listing { start, engine: index, programs };
+            Frame::EngineList { gateway, generation } if is_up => {
+                let cached = self.engines[index].holdings();
+                let programs = cached.into_iter().map(|(program, _)| program).collect();
+                let frame = Frame::Listing { generation, engine: index, programs };
                 self.send(Actor::Engine(index), Actor::Gateway(gateway), frame);
             }
-            Frame::EngineProbe { gateway, start } => {
+            Frame::EngineProbe { gateway, generation } => {
                 let now = self.now;
-                let part = &mut self.engines[index];
-                let report = part
+                let engine = &mut self.engines[index];
+                let report = engine
                     .model
                     .as_mut()
-                    .filter(|_| !part.hung)
+                    .filter(|_| !engine.hung)
                     .map(|model| EngineReport { leaving: model.load(now).leaving });
-                let frame = Frame::Report { start, engine: index, report };
+                let frame = Frame::Report { generation, engine: index, report };
                 self.send(Actor::Engine(index), Actor::Gateway(gateway), frame);
             }
             _ => {}
         }
     }
 
-    fn run_on_engine(&mut self, index: usize, gateway: usize, start: Start, order: &EngineOrder) {
+    fn run_on_engine(
+        &mut self,
+        index: usize,
+        gateway: usize,
+        generation: Generation,
+        order: &EngineOrder,
+    ) {
         let now = self.now;
-        let part = &mut self.engines[index];
-        let subscriber =
-            |sent: usize| Subscriber { gateway, start, known_as: order.attempt.clone(), sent };
+        let engine = &mut self.engines[index];
+        let subscriber = |sent: usize| Subscriber {
+            gateway,
+            generation,
+            reported_as: order.attempt.clone(),
+            sent,
+        };
         if let Some(earlier) = &order.resume {
-            return match part.streams.get_mut(earlier) {
+            return match engine.streams.get_mut(earlier) {
                 Some(stream) => {
                     stream.subscribers.push(subscriber(0));
                     let earlier = earlier.clone();
@@ -211,7 +222,13 @@
                 }
                 None => {
                     let failure = BackendEvent::Failed(BackendFailure::NothingToResume);
-                    self.tell_gateway(index, gateway, start, order.attempt.clone(), failure);
+                    self.send_engine_event(
+                        index,
+                        gateway,
+                        generation,
+                        order.attempt.clone(),
+                        failure,
+                    );
                 }
             };
         }
@@ -224,10 +241,16 @@
             max_tokens: order.max_tokens,
             priority: order.priority,
         };
-        let submitted = part.model.as_mut().map(|model| model.submit(now, submission));
+        let submitted = engine.model.as_mut().map(|model| model.submit(now, submission));
         if submitted != Some(Ok(())) {
             let failure = BackendEvent::Failed(BackendFailure::NotStarted);
-            return self.tell_gateway(index, gateway, start, order.attempt.clone(), failure);
+            return self.send_engine_event(
+                index,
+                gateway,
+                generation,
+                order.attempt.clone(),
+                failure,
+            );
         }
         let sent = order.continuation.len();
         let stream = Stream {
@@ -235,32 +258,32 @@
             end: None,
             subscribers: vec![subscriber(sent)],
         };
-        part.streams.insert(order.attempt.clone(), stream);
-        self.plan_step(index);
+        engine.streams.insert(order.attempt.clone(), stream);
+        self.schedule_step(index);
     }
 
-    fn plan_step(&mut self, index: usize) {
-        let part = &mut self.engines[index];
-        let end = part.model.as_ref().and_then(EngineModel::next_step_end);
-        let Some(end) = end.filter(|_| !part.step_planned && !part.hung) else {
+    fn schedule_step(&mut self, index: usize) {
+        let engine = &mut self.engines[index];
+        let end = engine.model.as_ref().and_then(EngineModel::next_step_end);
+        let Some(end) = end.filter(|_| !engine.step_scheduled && !engine.hung) else {
             return;
         };
-        part.step_planned = true;
-        let (start, at) = (part.start, end.max(self.now));
-        self.plan(at, Happening::EngineStep(index, start));
+        engine.step_scheduled = true;
+        let (generation, at) = (engine.generation, end.max(self.now));
+        self.schedule(at, SimEvent::EngineStep(index, generation));
     }
 
-    pub(super) fn engine_step(&mut self, index: usize, start: Start) {
+    pub(super) fn engine_step(&mut self, index: usize, generation: Generation) {
         let now = self.now;
-        let part = &mut self.engines[index];
-        if part.start != start {
+        let engine = &mut self.engines[index];
+        if engine.generation != generation {
             return;
         }
-        part.step_planned = false;
-        if part.hung {
+        engine.step_scheduled = false;
+        if engine.hung {
             return;
         }
-        let outputs = part.model.as_mut().map(|model| model.advance(now)).unwrap_or_default();
+        let outputs = engine.model.as_mut().map(|model| model.advance(now)).unwrap_or_default();
         let mut changed = Vec::new();
         for output in outputs {
             let attempt = match &output {
@@ -268,7 +291,7 @@
                     attempt.clone()
                 }
             };
-            if let Some(stream) = part.streams.get_mut(&attempt) {
+            if let Some(stream) = engine.streams.get_mut(&attempt) {
                 match output {
                     EngineOutput::Text { text, .. } => stream.text.push_str(&text),
                     EngineOutput::Done { finish_reason, usage, .. } => {
@@ -282,22 +305,22 @@
         for attempt in changed {
             self.publish(index, &attempt);
         }
-        self.plan_step(index);
+        self.schedule_step(index);
     }
 
-    /// Sends the listeners of an attempt what they lack.
+    /// Sends the subscribers of an attempt the output they have not received yet.
     fn publish(&mut self, index: usize, attempt: &AttemptId) {
         let Some(stream) = self.engines[index].streams.get_mut(attempt) else {
             return;
         };
         let (text, end) = (stream.text.clone(), stream.end);
         let subscribers = std::mem::take(&mut stream.subscribers);
-        let mut kept = Vec::new();
+        let mut remaining = Vec::new();
         for mut subscriber in subscribers {
-            let missing = text.get(subscriber.sent..).unwrap_or_default().to_owned();
+            let unsent = text.get(subscriber.sent..).unwrap_or_default().to_owned();
             let mut events = Vec::new();
-            if !missing.is_empty() {
-                events.push(BackendEvent::Text { offset: subscriber.sent, text: missing });
+            if !unsent.is_empty() {
+                events.push(BackendEvent::Text { offset: subscriber.sent, text: unsent });
                 subscriber.sent = text.len();
             }
             if let Some((reason, usage)) = end {
@@ -305,138 +328,145 @@
             }
             let sent = events.into_iter().all(|event| {
                 let frame = Frame::Backend {
-                    start: subscriber.start,
-                    attempt: subscriber.known_as.clone(),
+                    generation: subscriber.generation,
+                    attempt: subscriber.reported_as.clone(),
                     event,
                 };
                 self.send_ordered(Actor::Engine(index), Actor::Gateway(subscriber.gateway), frame)
             });
-            // A connection that lost something carries nothing any more.
+            // An ordered connection that lost a frame delivers nothing more.
             if sent && end.is_none() {
-                kept.push(subscriber);
+                remaining.push(subscriber);
             }
         }
         if let Some(stream) = self.engines[index].streams.get_mut(attempt) {
-            stream.subscribers = kept;
+            stream.subscribers = remaining;
         }
     }
 
-    fn break_stream(&mut self, index: usize, attempt: &AttemptId) {
+    fn fail_stream(&mut self, index: usize, attempt: &AttemptId) {
         let Some(stream) = self.engines[index].streams.remove(attempt) else {
             return;
         };
         for subscriber in stream.subscribers {
             let event = BackendEvent::Failed(BackendFailure::Broken);
-            let Subscriber { gateway, start, known_as, .. } = subscriber;
-            self.tell_gateway(index, gateway, start, known_as, event);
+            let Subscriber { gateway, generation, reported_as, .. } = subscriber;
+            self.send_engine_event(index, gateway, generation, reported_as, event);
         }
     }
 
-    fn tell_gateway(
+    fn send_engine_event(
         &mut self,
         index: usize,
         gateway: usize,
-        start: Start,
+        generation: Generation,
         attempt: AttemptId,
         event: BackendEvent,
     ) {
-        let frame = Frame::Backend { start, attempt, event };
+        let frame = Frame::Backend { generation, attempt, event };
         self.send_ordered(Actor::Engine(index), Actor::Gateway(gateway), frame);
     }
 
-    /// The engine dies with its memory.
+    /// Kills an engine; its cache is lost.
     pub(super) fn kill_engine(&mut self, index: usize) {
-        let part = &mut self.engines[index];
-        part.start += 1;
-        part.step_planned = false;
-        if let Some(model) = part.model.take() {
-            part.past_records.extend(model.records().cloned());
+        let engine = &mut self.engines[index];
+        engine.generation += 1;
+        engine.step_scheduled = false;
+        if let Some(model) = engine.model.take() {
+            engine.earlier_records.extend(model.records().cloned());
         }
-        let attempts: Vec<AttemptId> = part.streams.keys().cloned().collect();
+        let attempts: Vec<AttemptId> = engine.streams.keys().cloned().collect();
         for attempt in attempts {
-            self.break_stream(index, &attempt);
+            self.fail_stream(index, &attempt);
         }
     }
 
-    /// The engine comes back, empty.
+    /// Restarts a killed engine with an empty cache.
     pub(super) fn start_engine(&mut self, index: usize) {
         let seed = self.random.random();
-        let part = &mut self.engines[index];
-        if part.model.is_none() {
-            let name = part.name.as_str();
-            let model = EngineModel::new(name, part.profile.clone(), part.model_name.clone(), seed);
-            part.model = Some(model);
+        let engine = &mut self.engines[index];
+        if engine.model.is_none() {
+            let name = engine.name.as_str();
+            let model =
+                EngineModel::new(name, engine.profile.clone(), engine.model_name.clone(), seed);
+            engine.model = Some(model);
         }
     }
 
-    /// The engine stops generating, or goes on.
+    /// Suspends or resumes token generation of an engine.
     pub(super) fn hang_engine(&mut self, index: usize, hung: bool) {
         self.engines[index].hung = hung;
         if !hung {
-            self.plan_step(index);
+            self.schedule_step(index);
         }
     }
 
     pub(super) fn replica_input(&mut self, index: usize, frame: Frame) {
-        let Frame::ServiceRun { gateway, start, order } = frame else {
+        let Frame::ServiceRun { gateway, generation, order } = frame else {
             return;
         };
-        let part = &mut self.replicas[index];
-        if !part.is_up {
+        let replica = &mut self.replicas[index];
+        if !replica.is_up {
             let failure = BackendEvent::Failed(BackendFailure::NotStarted);
-            return self.tell_from_replica(index, gateway, start, &order, vec![failure]);
+            return self.send_replica_events(index, gateway, generation, &order, vec![failure]);
         }
         if order.only_look_up {
-            let found = part.model.look_up(order.key.as_str());
+            let found = replica.model.look_up(order.key.as_str());
             let events = match found {
-                Some(result) => answered(result.output),
+                Some(result) => completion_events(result.output),
                 None => vec![BackendEvent::Failed(BackendFailure::NotSeen)],
             };
-            return self.tell_from_replica(index, gateway, start, &order, events);
+            return self.send_replica_events(index, gateway, generation, &order, events);
         }
-        let duration = part.model.draw_duration();
-        let own_start = part.start;
-        let frame = Frame::ServiceRun { gateway, start, order };
-        self.plan_in(duration, Happening::JobDone(index, own_start, Box::new(frame)));
+        let duration = replica.model.draw_duration();
+        let replica_generation = replica.generation;
+        let frame = Frame::ServiceRun { gateway, generation, order };
+        self.schedule_in(duration, SimEvent::JobDone(index, replica_generation, Box::new(frame)));
     }
 
-    pub(super) fn job_done(&mut self, index: usize, own_start: Start, frame: Frame) {
-        let Frame::ServiceRun { gateway, start, order } = frame else {
+    pub(super) fn job_done(&mut self, index: usize, replica_generation: Generation, frame: Frame) {
+        let Frame::ServiceRun { gateway, generation, order } = frame else {
             return;
         };
         let now = self.now;
-        let part = &mut self.replicas[index];
-        if part.start != own_start {
+        let replica = &mut self.replicas[index];
+        if replica.generation != replica_generation {
             let failure = BackendEvent::Failed(BackendFailure::Broken);
-            return self.tell_from_replica(index, gateway, start, &order, vec![failure]);
+            return self.send_replica_events(index, gateway, generation, &order, vec![failure]);
         }
         let job = JobRequest {
             key: order.key.as_str().to_owned(),
             service: order.service.as_str().to_owned(),
             input: order.input.clone(),
         };
-        let result = part.model.execute(now, &job);
-        if !part.hung {
-            self.tell_from_replica(index, gateway, start, &order, answered(result.output));
+        let result = replica.model.execute(now, &job);
+        if !replica.hung {
+            self.send_replica_events(
+                index,
+                gateway,
+                generation,
+                &order,
+                completion_events(result.output),
+            );
         }
     }
 
-    fn tell_from_replica(
+    fn send_replica_events(
         &mut self,
         index: usize,
         gateway: usize,
-        start: Start,
+        generation: Generation,
         order: &ServiceOrder,
         events: Vec<BackendEvent>,
     ) {
         for event in events {
-            let frame = Frame::Backend { start, attempt: order.attempt.clone(), event };
+            let frame = Frame::Backend { generation, attempt: order.attempt.clone(), event };
             self.send_ordered(Actor::Replica(index), Actor::Gateway(gateway), frame);
         }
     }
 }
 
-fn answered(output: String) -> Vec<BackendEvent> {
+fn completion_events(output: String) -> Vec<BackendEvent> {
     vec![
         BackendEvent::Text { offset: 0, text: output },
         BackendEvent::Done { finish_reason: "stop".to_owned(), usage: Usage::default() },
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -1,8 +1,6 @@
-//! Programs as their callers run them, without threads.
-//!
-//! Each program is a small state machine: it asks, waits, repeats what may be
-//! repeated, hangs up and resumes, starts sub-agents and waits for them. Every
-//! try is recorded as its caller saw it.
+//! Simulated callers: each program is a state machine that sends calls, retries them, disconnects
+//! and resumes, and starts sub-agents and waits for them. Every request of a call is recorded with
+//! the result that its caller observed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,84 +16,84 @@
     ServiceId, TenantId,
 };
 
-use super::frame::{ClientNews, ClientRequest};
+use super::frame::{ClientEvent, ClientRequest};
 use super::operator::{OperatorTask, ProbeChange};
-use super::world::{Happening, PROGRAM_GROUPS, World};
+use super::world::{PROGRAM_GROUPS, SimEvent, World};
 use crate::caller::is_worth_another_try;
 use crate::history::{Asked, CallTry, ProgramTrace, TryEnd};
 use crate::workload::{Habit, ProgramPlan, Step};
 
-/// Pause before something is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Tries of one call before its caller gives up.
-const MAX_TRIES: u32 = 40;
-/// Calls of a sub-agent, at most.
-const AGENT_CALLS: u64 = 100;
-/// Pieces of an answer after which a caller hangs up on purpose.
-const PIECES_BEFORE_HANG_UP: u32 = 3;
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Maximum number of requests for one call.
+const MAX_CALL_REQUESTS: u32 = 40;
+/// Call limit of a sub-agent.
+const AGENT_MAX_CALLS: u64 = 100;
+/// Number of received chunks after which a caller disconnects deliberately.
+const CHUNKS_BEFORE_DISCONNECT: u32 = 3;
 
-/// What a client planned.
+/// The action of a client timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
-    /// A program goes on with its next step.
+pub enum ClientTimer {
+    /// Continues a program with its next step.
     Step(usize),
-    /// A program tries its call again.
-    Try(usize),
-    /// A request to the store is sent again.
-    Ask(u64),
-    /// An operator's task goes on.
+    /// Retries the current call of a program.
+    Retry(usize),
+    /// Sends a request to the store.
+    StoreRequest(u64),
+    /// Continues a task of an operator.
     Operator(usize),
 }
 
-/// Who waits for an answer of the store.
+/// The purpose of a request to the store and the program or task that waits for it.
 #[derive(Clone, Debug)]
-pub enum AskOwner {
-    /// A program that is being created.
+pub enum StoreRequestOwner {
+    /// Creates a program.
     Create(usize),
-    /// A program that starts its sub-agent of this number.
+    /// Creates a sub-agent of a program, by its index in the step.
     Agent(usize, usize),
-    /// A program that is being ended.
+    /// Ends a program.
     End(usize),
-    /// A program that is being cancelled.
+    /// Cancels a program.
     Cancel(usize),
-    /// An operator's task.
+    /// Belongs to a task of an operator.
     Operator(usize),
 }
 
-/// A request to the store that is repeated until it is answered.
+/// A request to the store that is retried until it is answered.
 #[derive(Clone, Debug)]
-struct Ask {
-    owner: AskOwner,
+struct PendingStoreRequest {
+    owner: StoreRequestOwner,
     request: StoreRequest,
     gateway: usize,
 }
 
-/// One try of a call that is under way.
+/// A request of a call that has not ended.
 #[derive(Clone, Debug)]
-struct OpenTry {
+struct OpenCall {
     program: usize,
     sequence: u64,
     key: String,
-    asked: Asked,
+    input: Asked,
     repeatable: bool,
     gateway: usize,
     sent: Moment,
     text: String,
-    pieces: u32,
-    hang_up: bool,
-    /// The program waits for this try; others are only recorded.
-    is_main: bool,
+    chunks: u32,
+    disconnect: bool,
+    /// Whether the program waits for this request; others are only recorded.
+    is_primary: bool,
 }
 
-/// What an open ticket is for.
+/// An open request of a client.
 #[derive(Clone, Debug)]
-enum Open {
-    Try(Box<OpenTry>),
-    Ask(u64),
+enum OpenRequest {
+    Call(Box<OpenCall>),
+    Store(u64),
     Probe(usize),
 }
 
-/// One program.
+/// State of one program.
 #[derive(Debug)]
 pub(super) struct ProgramRun {
     pub(super) id: String,
@@ -106,97 +104,97 @@
     steps: Vec<Step>,
     habit: Habit,
     gateway: usize,
-    position: usize,
+    step_index: usize,
     sequence: u64,
-    round: u32,
-    tries: u32,
+    key_version: u32,
+    requests: u32,
     started: Moment,
     pub(super) ended: Option<Moment>,
-    went_well: bool,
-    pub(super) is_over: bool,
+    succeeded: bool,
+    pub(super) is_done: bool,
     parent: Option<usize>,
-    agents_left: usize,
+    running_agents: usize,
     agent_answers: BTreeMap<usize, String>,
-    number_in_parent: usize,
+    agent_index: usize,
     last_answer: String,
-    hung_up: bool,
+    has_disconnected: bool,
 }
 
 impl ProgramRun {
-    /// A program that has not begun; its root is itself.
+    /// Creates a root program at its first step.
     fn new(id: String, tenant: String, steps: Vec<Step>, gateway: usize, started: Moment) -> Self {
         Self {
             root: id.clone(),
             id,
             tenant,
             budget: 0,
-            max_calls: AGENT_CALLS,
+            max_calls: AGENT_MAX_CALLS,
             steps,
             habit: Habit::Plain,
             gateway,
-            position: 0,
+            step_index: 0,
             sequence: 1,
-            round: 0,
-            tries: 0,
+            key_version: 0,
+            requests: 0,
             started,
             ended: None,
-            went_well: true,
-            is_over: false,
+            succeeded: true,
+            is_done: false,
             parent: None,
-            agents_left: 0,
+            running_agents: 0,
             agent_answers: BTreeMap::new(),
-            number_in_parent: 0,
+            agent_index: 0,
             last_answer: String::new(),
-            hung_up: false,
+            has_disconnected: false,
         }
     }
 }
 
-/// Everybody who calls.
+/// State of all callers and operators.
 #[derive(Debug, Default)]
 pub struct Clients {
     pub(super) programs: Vec<ProgramRun>,
     pub(super) tasks: Vec<OperatorTask>,
-    /// Times from the acceptance of a change until it was in force everywhere.
+    /// Times from the acceptance of each change until it was in force at all gateways.
     pub(super) change_times: Vec<Duration>,
-    /// Changes of the probed limit, by their task.
+    /// Changes of the probed limit by task index.
     pub(super) probe_changes: BTreeMap<usize, ProbeChange>,
-    open: BTreeMap<Ticket, (usize, Open)>,
+    open: BTreeMap<Ticket, (usize, OpenRequest)>,
     broken: std::collections::BTreeSet<Ticket>,
-    asks: BTreeMap<u64, Ask>,
+    store_requests: BTreeMap<u64, PendingStoreRequest>,
     next_ticket: Ticket,
-    next_ask: u64,
+    next_store_request: u64,
 }
 
 impl Clients {
-    /// Open requests at a gateway.
-    pub(super) fn tickets_at(&self, gateway: usize) -> Vec<Ticket> {
+    /// Returns the open requests at a gateway.
+    pub(super) fn open_requests_at(&self, gateway: usize) -> Vec<Ticket> {
         let at_gateway = self.open.iter().filter(|(_, (index, _))| *index == gateway);
         at_gateway.map(|(ticket, _)| *ticket).collect()
     }
 
-    /// Whether events of a request can reach its client.
+    /// Returns whether events of a request can reach its client.
     pub(super) fn is_open(&self, ticket: Ticket) -> bool {
         self.open.contains_key(&ticket) && !self.broken.contains(&ticket)
     }
 
-    /// Nothing more arrives on this connection; its client notices by silence.
+    /// Marks a connection as broken; its client notices only by the timeout.
     pub(super) fn break_connection(&mut self, ticket: Ticket) {
         self.broken.insert(ticket);
     }
 
-    /// Whether every program and task is over.
-    pub(super) fn are_done(&self) -> bool {
-        let programs = self.programs.iter().all(|program| program.is_over);
-        programs && self.tasks.iter().all(OperatorTask::is_over)
+    /// Returns whether all programs and tasks are complete.
+    pub(super) fn all_done(&self) -> bool {
+        let programs = self.programs.iter().all(|program| program.is_done);
+        programs && self.tasks.iter().all(OperatorTask::is_done)
     }
 
-    /// A ticket for the call of a probe.
+    /// Opens a request for the call of a probe.
     pub(super) fn open_probe(&mut self, gateway: usize, task: usize) -> Ticket {
-        self.ticket(gateway, Open::Probe(task))
+        self.open_request(gateway, OpenRequest::Probe(task))
     }
 
-    fn ticket(&mut self, gateway: usize, open: Open) -> Ticket {
+    fn open_request(&mut self, gateway: usize, open: OpenRequest) -> Ticket {
         self.next_ticket += 1;
         self.open.insert(self.next_ticket, (gateway, open));
         self.next_ticket
@@ -207,13 +205,13 @@
     GroupMap::new(PROGRAM_GROUPS)
 }
 
-/// A command for the group of `program`.
+/// Returns a request that sends `command` to the group of `program`.
 fn program_command(program: &ProgramId, command: ProgramCommand) -> StoreRequest {
     StoreRequest::Command(groups().group_of(program), Command::Program(command))
 }
 
 impl World {
-    /// Adds a program that starts as planned.
+    /// Adds a program, which starts at the time in its plan.
     pub fn add_program(&mut self, plan: ProgramPlan, max_calls: u64) {
         let index = self.clients.programs.len();
         let start = plan.start;
@@ -241,105 +239,115 @@
         };
         let request = program_command(&id, ProgramCommand::Create(new));
         let gateway = program.gateway;
-        self.ask_after(after, AskOwner::Create(index), request, gateway);
+        self.schedule_store_request(after, StoreRequestOwner::Create(index), request, gateway);
     }
 
-    /// Asks the store through a gateway, and goes on asking until it answers.
-    pub(super) fn ask_after(
+    /// Sends a request to the store through a gateway and retries it until it is answered.
+    pub(super) fn schedule_store_request(
         &mut self,
         after: Duration,
-        owner: AskOwner,
+        owner: StoreRequestOwner,
         request: StoreRequest,
         gateway: usize,
     ) {
-        self.clients.next_ask += 1;
-        let ask = self.clients.next_ask;
-        self.clients.asks.insert(ask, Ask { owner, request, gateway });
-        self.plan_in(after, Happening::ClientWake(Wake::Ask(ask)));
+        self.clients.next_store_request += 1;
+        let pending = self.clients.next_store_request;
+        self.clients
+            .store_requests
+            .insert(pending, PendingStoreRequest { owner, request, gateway });
+        self.schedule_in(after, SimEvent::ClientTimer(ClientTimer::StoreRequest(pending)));
     }
 
-    fn send_ask(&mut self, id: u64) {
-        let Some(ask) = self.clients.asks.get(&id).cloned() else {
+    fn send_store_request(&mut self, id: u64) {
+        let Some(pending) = self.clients.store_requests.get(&id).cloned() else {
             return;
         };
-        let gateway = ask.gateway % self.gateways.len();
-        let ticket = self.clients.ticket(gateway, Open::Ask(id));
-        self.send_client(gateway, ticket, ClientRequest::Ask(Box::new(ask.request)));
+        let gateway = pending.gateway % self.gateways.len();
+        let ticket = self.clients.open_request(gateway, OpenRequest::Store(id));
+        self.send_client(gateway, ticket, ClientRequest::Store(Box::new(pending.request)));
     }
 
-    pub(super) fn client_wake(&mut self, wake: Wake) {
-        match wake {
-            Wake::Step(index) => self.next_step(index),
-            Wake::Try(index) => self.try_call(index),
-            Wake::Ask(id) => self.send_ask(id),
-            Wake::Operator(task) => self.operator_wake(task),
+    pub(super) fn handle_client_timer(&mut self, timer: ClientTimer) {
+        match timer {
+            ClientTimer::Step(index) => self.next_step(index),
+            ClientTimer::Retry(index) => self.send_current_call(index),
+            ClientTimer::StoreRequest(id) => self.send_store_request(id),
+            ClientTimer::Operator(task) => self.continue_operator_task(task),
         }
     }
 
-    pub(super) fn client_news(&mut self, ticket: Ticket, news: ClientNews) {
+    pub(super) fn handle_client_event(&mut self, ticket: Ticket, event: ClientEvent) {
         let Some((gateway, open)) = self.clients.open.remove(&ticket) else {
             return;
         };
         match open {
-            Open::Ask(id) => self.ask_news(id, news),
-            Open::Try(open) => self.try_news(ticket, gateway, open, news),
-            Open::Probe(task) => self.probe_news(ticket, gateway, task, &news),
+            OpenRequest::Store(id) => self.handle_store_event(id, event),
+            OpenRequest::Call(open) => self.handle_call_event(ticket, gateway, open, event),
+            OpenRequest::Probe(task) => self.handle_probe_event(ticket, gateway, task, &event),
         }
     }
 
-    fn probe_news(&mut self, ticket: Ticket, gateway: usize, task: usize, news: &ClientNews) {
-        match news {
-            ClientNews::Event(event @ (CallerEvent::Finished(_) | CallerEvent::Failed(_))) => {
-                self.probe_answered(task, Some(event));
+    fn handle_probe_event(
+        &mut self,
+        ticket: Ticket,
+        gateway: usize,
+        task: usize,
+        event: &ClientEvent,
+    ) {
+        match event {
+            ClientEvent::FromGateway(
+                event @ (CallerEvent::Finished(_) | CallerEvent::Failed(_)),
+            ) => {
+                self.handle_probe_end(task, Some(event));
             }
-            ClientNews::Event(_) => {
-                self.clients.open.insert(ticket, (gateway, Open::Probe(task)));
+            ClientEvent::FromGateway(_) => {
+                self.clients.open.insert(ticket, (gateway, OpenRequest::Probe(task)));
             }
-            _ => self.probe_answered(task, None),
+            _ => self.handle_probe_end(task, None),
         }
     }
 
-    /// A client waited for long enough, and hangs up.
-    pub(super) fn client_timeout(&mut self, ticket: Ticket) {
+    /// Disconnects a client whose request timed out.
+    pub(super) fn handle_client_timeout(&mut self, ticket: Ticket) {
         let Some((gateway, _)) = self.clients.open.get(&ticket) else {
             return;
         };
         let gateway = *gateway;
-        self.send_client(gateway, ticket, ClientRequest::Gone);
-        self.client_news(ticket, ClientNews::TimedOut);
+        self.send_client(gateway, ticket, ClientRequest::Disconnect);
+        self.handle_client_event(ticket, ClientEvent::TimedOut);
     }
 
-    fn ask_news(&mut self, id: u64, news: ClientNews) {
-        if let ClientNews::Event(CallerEvent::Store(Some(reply))) = news {
-            if let Some(ask) = self.clients.asks.remove(&id) {
-                self.ask_answered(ask, *reply);
+    fn handle_store_event(&mut self, id: u64, event: ClientEvent) {
+        if let ClientEvent::FromGateway(CallerEvent::Store(Some(reply))) = event {
+            if let Some(pending) = self.clients.store_requests.remove(&id) {
+                self.handle_store_reply(pending, *reply);
             }
             return;
         }
-        if let Some(ask) = self.clients.asks.get_mut(&id) {
-            ask.gateway += 1;
-            self.plan_in(RETRY_PAUSE, Happening::ClientWake(Wake::Ask(id)));
+        if let Some(pending) = self.clients.store_requests.get_mut(&id) {
+            pending.gateway += 1;
+            self.schedule_in(RETRY_DELAY, SimEvent::ClientTimer(ClientTimer::StoreRequest(id)));
         }
     }
 
-    fn ask_answered(&mut self, ask: Ask, reply: StoreReply) {
+    fn handle_store_reply(&mut self, pending: PendingStoreRequest, reply: StoreReply) {
         let output = match &reply {
             StoreReply::Output(Output::Program(output)) => Some(output.clone()),
             _ => None,
         };
-        match ask.owner {
-            AskOwner::Create(index) => match output {
+        match pending.owner {
+            StoreRequestOwner::Create(index) => match output {
                 Some(ProgramOutput::Created(_)) => self.next_step(index),
-                _ => self.program_over(index, false),
+                _ => self.finish_program(index, false),
             },
-            AskOwner::Agent(parent, number) => {
+            StoreRequestOwner::Agent(parent, number) => {
                 if let Some(ProgramOutput::Created(id)) = output {
                     self.start_agent(parent, number, &id);
                 } else {
-                    self.agent_done(parent, number, None);
+                    self.finish_agent(parent, number, None);
                 }
             }
-            AskOwner::End(index) => {
+            StoreRequestOwner::End(index) => {
                 let refusal = output.as_ref();
                 let is_busy =
                     matches!(refusal, Some(ProgramOutput::Refused(ProgramError::Busy(_))));
@@ -347,48 +355,48 @@
                 if is_ended {
                     self.clients.programs[index].ended = Some(self.now);
                 }
-                if is_busy && self.clients.programs[index].went_well {
-                    // A try that its caller gave up on has not finished yet.
-                    return self.ask_after(
-                        RETRY_PAUSE,
-                        AskOwner::End(index),
-                        ask.request,
-                        ask.gateway,
+                if is_busy && self.clients.programs[index].succeeded {
+                    // An abandoned call of the program is still running.
+                    return self.schedule_store_request(
+                        RETRY_DELAY,
+                        StoreRequestOwner::End(index),
+                        pending.request,
+                        pending.gateway,
                     );
                 }
-                let went_well = self.clients.programs[index].went_well && is_ended;
-                self.program_over(index, went_well);
+                let succeeded = self.clients.programs[index].succeeded && is_ended;
+                self.finish_program(index, succeeded);
             }
-            AskOwner::Cancel(index) => {
+            StoreRequestOwner::Cancel(index) => {
                 self.clients.programs[index].ended = Some(self.now);
             }
-            AskOwner::Operator(task) => self.operator_answered(task, reply),
+            StoreRequestOwner::Operator(task) => self.handle_operator_reply(task, reply),
         }
     }
 
     fn next_step(&mut self, index: usize) {
         let program = &mut self.clients.programs[index];
-        if program.is_over {
+        if program.is_done {
             return;
         }
-        let Some(step) = program.steps.get(program.position).cloned() else {
+        let Some(step) = program.steps.get(program.step_index).cloned() else {
             return self.end_program(index);
         };
-        program.tries = 0;
-        program.round = 0;
+        program.requests = 0;
+        program.key_version = 0;
         match step {
             Step::Pause(pause) => {
-                program.position += 1;
-                self.plan_in(pause, Happening::ClientWake(Wake::Step(index)));
+                program.step_index += 1;
+                self.schedule_in(pause, SimEvent::ClientTimer(ClientTimer::Step(index)));
             }
             Step::Ask(_) | Step::Service { .. } => {
-                if program.habit == Habit::SendsTooEarly && program.position == 0 {
-                    self.send_too_early(index);
+                if program.habit == Habit::SendsTooEarly && program.step_index == 0 {
+                    self.send_early_call(index);
                 }
-                self.try_call(index);
+                self.send_current_call(index);
             }
             Step::Agents(agents) => {
-                program.agents_left = agents.len();
+                program.running_agents = agents.len();
                 for number in 0..agents.len() {
                     self.create_agent(index, number);
                 }
@@ -402,20 +410,28 @@
         let new = NewProgram {
             id: parent.clone(),
             parent: Some(parent.clone()),
-            request: RequestId::new(format!("agent-{}-{}-{number}", program.id, program.position)),
+            request: RequestId::new(format!(
+                "agent-{}-{}-{number}",
+                program.id, program.step_index
+            )),
             tenant: TenantId::new(&program.tenant),
             budget_tokens: 0,
-            max_calls: AGENT_CALLS,
+            max_calls: AGENT_MAX_CALLS,
             lifetime_millis: None,
         };
         let request = program_command(&parent, ProgramCommand::Create(new));
         let gateway = program.gateway;
-        self.ask_after(Duration::ZERO, AskOwner::Agent(index, number), request, gateway);
+        self.schedule_store_request(
+            Duration::ZERO,
+            StoreRequestOwner::Agent(index, number),
+            request,
+            gateway,
+        );
     }
 
     fn start_agent(&mut self, parent: usize, number: usize, id: &ProgramId) {
         let owner = &self.clients.programs[parent];
-        let Some(Step::Agents(agents)) = owner.steps.get(owner.position) else {
+        let Some(Step::Agents(agents)) = owner.steps.get(owner.step_index) else {
             return;
         };
         let steps = agents[number].clone();
@@ -423,7 +439,7 @@
         let agent = ProgramRun {
             root: owner.root.clone(),
             parent: Some(parent),
-            number_in_parent: number,
+            agent_index: number,
             ..ProgramRun::new(id.to_string(), tenant, steps, gateway, self.now)
         };
         let index = self.clients.programs.len();
@@ -431,30 +447,31 @@
         self.next_step(index);
     }
 
-    fn agent_done(&mut self, parent: usize, number: usize, answer: Option<String>) {
+    fn finish_agent(&mut self, parent: usize, number: usize, answer: Option<String>) {
         let program = &mut self.clients.programs[parent];
-        program.agents_left -= 1;
+        program.running_agents -= 1;
         match answer {
             Some(answer) => {
                 program.agent_answers.insert(number, answer);
             }
-            None => program.went_well = false,
+            None => program.succeeded = false,
         }
-        if program.agents_left > 0 {
+        if program.running_agents > 0 {
             return;
         }
-        program.position += 1;
-        if program.went_well {
+        program.step_index += 1;
+        if program.succeeded {
             self.next_step(parent);
         } else {
             self.end_program(parent);
         }
     }
 
-    /// The request of the present step.
-    fn asked(&self, index: usize) -> Option<(Asked, bool, bool)> {
+    /// Returns the input of the current step, whether it is repeatable, and whether it is sent
+    /// twice.
+    fn current_input(&self, index: usize) -> Option<(Asked, bool, bool)> {
         let program = &self.clients.programs[index];
-        match program.steps.get(program.position)? {
+        match program.steps.get(program.step_index)? {
             Step::Ask(messages) => {
                 let results = program.agent_answers.values();
                 let mut all: Vec<ChatMessage> =
@@ -471,73 +488,76 @@
         }
     }
 
-    fn try_call(&mut self, index: usize) {
-        let Some((asked, repeatable, twice)) = self.asked(index) else {
+    fn send_current_call(&mut self, index: usize) {
+        let Some((input, repeatable, twice)) = self.current_input(index) else {
             return;
         };
         let now = self.now;
         let program = &mut self.clients.programs[index];
-        if program.is_over || program.ended.is_some() {
+        if program.is_done || program.ended.is_some() {
             return self.end_program(index);
         }
-        program.tries += 1;
-        if program.tries > MAX_TRIES {
-            program.went_well = false;
+        program.requests += 1;
+        if program.requests > MAX_CALL_REQUESTS {
+            program.succeeded = false;
             return self.end_program(index);
         }
-        let wants_hang_up = program.habit == Habit::HangsUp && program.position.is_multiple_of(2);
-        let hang_up = wants_hang_up && !program.hung_up && matches!(asked, Asked::Model { .. });
-        let open = OpenTry {
+        let wants_disconnect =
+            program.habit == Habit::HangsUp && program.step_index.is_multiple_of(2);
+        let disconnect =
+            wants_disconnect && !program.has_disconnected && matches!(input, Asked::Model { .. });
+        let open = OpenCall {
             program: index,
             sequence: program.sequence,
-            key: format!("k{}-{}", program.sequence, program.round),
-            asked,
+            key: format!("k{}-{}", program.sequence, program.key_version),
+            input,
             repeatable,
             gateway: program.gateway,
             sent: now,
             text: String::new(),
-            pieces: 0,
-            hang_up,
-            is_main: true,
+            chunks: 0,
+            disconnect,
+            is_primary: true,
         };
-        if twice && program.tries == 1 {
-            let twin = OpenTry { gateway: open.gateway + 1, is_main: false, ..open.clone() };
-            self.send_try(twin);
+        if twice && program.requests == 1 {
+            let duplicate =
+                OpenCall { gateway: open.gateway + 1, is_primary: false, ..open.clone() };
+            self.send_call(duplicate);
         }
-        self.send_try(open);
+        self.send_call(open);
     }
 
-    /// Sends the program's second call before the first one has ended.
-    fn send_too_early(&mut self, index: usize) {
+    /// Sends the second call of a program before its first one has ended.
+    fn send_early_call(&mut self, index: usize) {
         let program = &self.clients.programs[index];
-        let later = program.steps.iter().skip(program.position + 1);
+        let later = program.steps.iter().skip(program.step_index + 1);
         let mut later = later.skip_while(|step| matches!(step, Step::Pause(_)));
         let Some(Step::Ask(messages)) = later.next() else {
             return;
         };
         let model = self.deployment.model().to_owned();
         let sequence = program.sequence + 1;
-        let early = OpenTry {
+        let early = OpenCall {
             program: index,
             sequence,
             key: format!("k{sequence}-0"),
-            asked: Asked::Model { model, messages: messages.clone() },
+            input: Asked::Model { model, messages: messages.clone() },
             repeatable: true,
             gateway: program.gateway,
             sent: self.now,
             text: String::new(),
-            pieces: 0,
-            hang_up: false,
-            is_main: false,
+            chunks: 0,
+            disconnect: false,
+            is_primary: false,
         };
-        self.send_try(early);
+        self.send_call(early);
     }
 
-    fn send_try(&mut self, mut open: OpenTry) {
+    fn send_call(&mut self, mut open: OpenCall) {
         let gateway = open.gateway % self.gateways.len();
         open.gateway = gateway;
         let program = &self.clients.programs[open.program];
-        let work = match &open.asked {
+        let work = match &open.input {
             Asked::Model { model, messages } => Work::Model {
                 model: ModelId::new(model),
                 messages: messages.clone(),
@@ -555,149 +575,154 @@
             repeatable: open.repeatable,
             work,
         };
-        let ticket = self.clients.ticket(gateway, Open::Try(Box::new(open)));
+        let ticket = self.clients.open_request(gateway, OpenRequest::Call(Box::new(open)));
         self.send_client(gateway, ticket, ClientRequest::Call(Box::new(request)));
     }
 
-    fn try_news(
+    fn handle_call_event(
         &mut self,
         ticket: Ticket,
         gateway: usize,
-        mut open: Box<OpenTry>,
-        news: ClientNews,
+        mut open: Box<OpenCall>,
+        event: ClientEvent,
     ) {
-        match news {
-            ClientNews::Event(CallerEvent::Text(text)) => {
+        match event {
+            ClientEvent::FromGateway(CallerEvent::Text(text)) => {
                 open.text.push_str(&text);
-                open.pieces += 1;
-                if open.hang_up && open.pieces >= PIECES_BEFORE_HANG_UP {
-                    return self.hang_up(ticket, gateway, *open);
+                open.chunks += 1;
+                if open.disconnect && open.chunks >= CHUNKS_BEFORE_DISCONNECT {
+                    return self.disconnect(ticket, gateway, *open);
                 }
-                self.clients.open.insert(ticket, (gateway, Open::Try(open)));
+                self.clients.open.insert(ticket, (gateway, OpenRequest::Call(open)));
             }
-            ClientNews::Event(CallerEvent::Finished(finish)) => {
+            ClientEvent::FromGateway(CallerEvent::Finished(finish)) => {
                 let Finish { finish_reason, usage, .. } = finish;
                 let text = std::mem::take(&mut open.text);
-                self.try_ended(*open, TryEnd::Answered { text, finish_reason, usage });
+                self.record_call_end(*open, TryEnd::Answered { text, finish_reason, usage });
             }
-            ClientNews::Event(CallerEvent::Failed(failure)) => {
+            ClientEvent::FromGateway(CallerEvent::Failed(failure)) => {
                 let error = ApiError::of_failure(&failure).body().error;
                 let code = error.code.unwrap_or_default();
-                self.try_ended(*open, TryEnd::Refused { outcome: failure.outcome, code });
+                self.record_call_end(*open, TryEnd::Refused { outcome: failure.outcome, code });
             }
-            ClientNews::Event(_) => {
-                self.clients.open.insert(ticket, (gateway, Open::Try(open)));
+            ClientEvent::FromGateway(_) => {
+                self.clients.open.insert(ticket, (gateway, OpenRequest::Call(open)));
             }
-            ClientNews::Cut => self.try_ended(*open, TryEnd::Cut),
-            ClientNews::TimedOut => self.try_ended(*open, TryEnd::HungUp),
-            ClientNews::NotConnected => self.try_ended(*open, TryEnd::NotConnected),
+            ClientEvent::Disconnected => self.record_call_end(*open, TryEnd::Cut),
+            ClientEvent::TimedOut => self.record_call_end(*open, TryEnd::HungUp),
+            ClientEvent::ConnectionRefused => self.record_call_end(*open, TryEnd::NotConnected),
         }
     }
 
-    /// Hangs up, and asks another gateway for the rest.
-    fn hang_up(&mut self, ticket: Ticket, gateway: usize, mut open: OpenTry) {
-        self.send_client(gateway, ticket, ClientRequest::Gone);
-        open.hang_up = false;
+    /// Disconnects and resumes the response at another gateway.
+    fn disconnect(&mut self, ticket: Ticket, gateway: usize, mut open: OpenCall) {
+        self.send_client(gateway, ticket, ClientRequest::Disconnect);
+        open.disconnect = false;
         open.gateway = (gateway + 1) % self.gateways.len();
         let program = &mut self.clients.programs[open.program];
-        program.hung_up = true;
+        program.has_disconnected = true;
         let request = ClientRequest::Attach {
             tenant: TenantId::new(&program.tenant),
             call: CallId { program: ProgramId::new(&program.id), sequence: open.sequence },
             offset: open.text.len(),
         };
         let next = open.gateway;
-        let ticket = self.clients.ticket(next, Open::Try(Box::new(open)));
+        let ticket = self.clients.open_request(next, OpenRequest::Call(Box::new(open)));
         self.send_client(next, ticket, request);
     }
 
-    fn try_ended(&mut self, open: OpenTry, end: TryEnd) {
+    fn record_call_end(&mut self, open: OpenCall, end: TryEnd) {
         let program = &self.clients.programs[open.program];
         self.history.tries.push(CallTry {
             program: program.id.clone(),
             sequence: open.sequence,
             key: open.key,
-            asked: open.asked,
+            asked: open.input,
             repeatable: open.repeatable,
             gateway: open.gateway,
             sent: open.sent,
             ended: self.now,
             end: end.clone(),
         });
-        if open.is_main {
-            self.main_try_ended(open.program, end);
+        if open.is_primary {
+            self.handle_call_end(open.program, end);
         }
     }
 
-    fn main_try_ended(&mut self, index: usize, end: TryEnd) {
+    fn handle_call_end(&mut self, index: usize, end: TryEnd) {
         let program = &mut self.clients.programs[index];
         match end {
             TryEnd::Answered { text, .. } => {
                 program.sequence += 1;
-                program.position += 1;
+                program.step_index += 1;
                 program.last_answer = text;
-                program.hung_up = false;
+                program.has_disconnected = false;
                 program.agent_answers.clear();
                 return self.next_step(index);
             }
             TryEnd::Refused { outcome, code } => {
-                if is_final(&code) {
-                    program.went_well = false;
+                if is_permanent_refusal(&code) {
+                    program.succeeded = false;
                     return self.end_program(index);
                 }
-                // A refused key stays refused; the call itself may run.
+                // A refusal is final for its key, so the retry uses a new one.
                 if outcome == Outcome::NotRun {
-                    program.round += 1;
+                    program.key_version += 1;
                 }
             }
             TryEnd::Cut | TryEnd::NotConnected | TryEnd::HungUp => {}
         }
         program.gateway += 1;
-        self.plan_in(RETRY_PAUSE, Happening::ClientWake(Wake::Try(index)));
+        self.schedule_in(RETRY_DELAY, SimEvent::ClientTimer(ClientTimer::Retry(index)));
     }
 
     fn end_program(&mut self, index: usize) {
         let program = &self.clients.programs[index];
-        if program.is_over {
+        if program.is_done {
             return;
         }
         if program.ended.is_some() {
-            return self.program_over(index, false);
+            return self.finish_program(index, false);
         }
         let id = ProgramId::new(&program.id);
         let tenant = TenantId::new(&program.tenant);
         let gateway = program.gateway;
         let request = program_command(&id, ProgramCommand::End { program: id.clone(), tenant });
-        self.ask_after(Duration::ZERO, AskOwner::End(index), request, gateway);
+        self.schedule_store_request(
+            Duration::ZERO,
+            StoreRequestOwner::End(index),
+            request,
+            gateway,
+        );
     }
 
-    fn program_over(&mut self, index: usize, went_well: bool) {
+    fn finish_program(&mut self, index: usize, succeeded: bool) {
         let program = &mut self.clients.programs[index];
-        if program.is_over {
+        if program.is_done {
             return;
         }
-        program.is_over = true;
+        program.is_done = true;
         self.history.programs.push(ProgramTrace {
             id: program.id.clone(),
             root: program.root.clone(),
             budget: program.budget,
             started: program.started,
             ended: program.ended,
-            completed: went_well,
+            completed: succeeded,
         });
-        let (parent, number) = (program.parent, program.number_in_parent);
-        let answer = went_well.then(|| program.last_answer.clone());
+        let (parent, number) = (program.parent, program.agent_index);
+        let answer = succeeded.then(|| program.last_answer.clone());
         if let Some(parent) = parent {
-            self.agent_done(parent, number, answer);
+            self.finish_agent(parent, number, answer);
         }
     }
 
-    /// A caller cancels a program that is under way.
-    pub(super) fn cancel_some_program(&mut self) {
-        let under_way = self.clients.programs.iter().position(|program| {
-            !program.is_over && program.parent.is_none() && program.sequence > 1
+    /// Cancels a running program, if any.
+    pub(super) fn cancel_running_program(&mut self) {
+        let running = self.clients.programs.iter().position(|program| {
+            !program.is_done && program.parent.is_none() && program.sequence > 1
         });
-        let Some(index) = under_way else {
+        let Some(index) = running else {
             return;
         };
         let program = &self.clients.programs[index];
@@ -705,10 +730,15 @@
         let tenant = TenantId::new(&program.tenant);
         let gateway = program.gateway;
         let request = program_command(&id, ProgramCommand::Cancel { program: id.clone(), tenant });
-        self.ask_after(Duration::ZERO, AskOwner::Cancel(index), request, gateway);
+        self.schedule_store_request(
+            Duration::ZERO,
+            StoreRequestOwner::Cancel(index),
+            request,
+            gateway,
+        );
     }
 }
 
-fn is_final(code: &str) -> bool {
+fn is_permanent_refusal(code: &str) -> bool {
     !is_worth_another_try(code) || matches!(code, "unknown_program" | "key_mismatch")
 }
--- a/crates/lab/src/sim/disk.rs
+++ b/crates/lab/src/sim/disk.rs
@@ -1,11 +1,11 @@
-//! A disk that loses what was not synced, fills up, or is lost.
+//! An in-memory disk that loses unsynced data in a crash and can be full.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use calicohoist_replication::{Disk, DiskError};
 
-/// One file: what is durable, what is being synced, and what was appended since.
+/// A file: durable content, content whose sync is in progress, and unsynced content.
 #[derive(Clone, Debug, Default)]
 struct SimFile {
     durable: Vec<u8>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A simulated disk.
+/// A simulated disk with explicit sync and crash semantics.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk {
     files: BTreeMap<String, SimFile>,
@@ -32,31 +32,31 @@
 }
 
 impl SimDisk {
-    /// The syncs under way are done: what they wrote is durable.
+    /// Completes the syncs in progress, which makes their data durable.
     pub fn settle(&mut self) {
         self.files.values_mut().for_each(SimFile::settle);
     }
 
-    /// Loses power: of what was not synced for good, `kept` bytes of each file remain.
-    pub fn crash(&mut self, kept: usize) {
+    /// Simulates a power loss: each file keeps at most `kept_bytes` of its non-durable data.
+    pub fn crash(&mut self, kept_bytes: usize) {
         for file in self.files.values_mut() {
             file.sync();
-            file.syncing.truncate(kept);
+            file.syncing.truncate(kept_bytes);
             file.settle();
         }
     }
 
-    /// Makes every further write fail, or work again.
+    /// Sets whether the disk is full; writes to a full disk fail.
     pub fn set_full(&mut self, full: bool) {
         self.full = full;
     }
 
-    /// Takes the number of syncs since the last call.
+    /// Returns the number of syncs since the previous call.
     pub fn take_syncs(&mut self) -> u64 {
         std::mem::take(&mut self.syncs)
     }
 
-    fn check_room(&self, name: &str) -> Result<(), DiskError> {
+    fn check_space(&self, name: &str) -> Result<(), DiskError> {
         if !self.full {
             return Ok(());
         }
@@ -70,13 +70,13 @@
 
 impl Disk for SimDisk {
     fn read(&self, name: &str) -> Result<Option<Vec<u8>>, DiskError> {
-        let content =
+        let contents =
             |file: &SimFile| [file.durable.as_slice(), &file.syncing, &file.unsynced].concat();
-        Ok(self.files.get(name).map(content))
+        Ok(self.files.get(name).map(contents))
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        self.check_room(name)?;
+        self.check_space(name)?;
         self.files.entry(name.to_owned()).or_default().unsynced.extend_from_slice(bytes);
         Ok(())
     }
@@ -90,7 +90,7 @@
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        self.check_room(name)?;
+        self.check_space(name)?;
         self.syncs += 1;
         let file = SimFile { durable: bytes.to_vec(), ..SimFile::default() };
         self.files.insert(name.to_owned(), file);
--- a/crates/lab/src/sim/disturb.rs
+++ b/crates/lab/src/sim/disturb.rs
@@ -1,4 +1,4 @@
-//! Brings faults about and heals them.
+//! Injects faults into the simulation and heals them.
 
 use std::time::Duration;
 
@@ -10,167 +10,167 @@
 use super::disk::SimDisk;
 use super::fault::Fault;
 use super::frame::Actor;
-use super::world::{Happening, World};
+use super::world::{SimEvent, World};
 use crate::history::{DrainEvent, StopEvent};
 use crate::workload::{Habit, ProgramPlan, Step, draw};
 
-/// Share of frames that a bad network loses, and repeats.
-const LOSS: f64 = 0.03;
-const REPETITION: f64 = 0.05;
-/// Bytes of an unfinished write that may remain after a crash.
+/// Probabilities that a lossy network loses or duplicates a frame.
+const LOSS_RATE: f64 = 0.03;
+const DUPLICATION_RATE: f64 = 0.05;
+/// Upper bound of unsynced bytes that remain in a file after a crash.
 const MAX_KEPT_BYTES: usize = 4_096;
-/// A machine whose disk was lost is back after this time.
-const REPLACEMENT: Duration = Duration::from_secs(1);
-/// A machine that was announced to leave goes after this time.
-const NOTICE: Duration = Duration::from_secs(10);
-/// Longer than any run.
-const FOR_GOOD: Duration = Duration::from_secs(100_000);
-/// Time between looks at whether the fleet is fully replicated.
-const REPAIR_POLL: Duration = Duration::from_millis(100);
-/// Programs of a burst start within this time.
+/// Delay before a machine with a lost disk restarts.
+const DISK_REPLACEMENT_DELAY: Duration = Duration::from_secs(1);
+/// Time between the announcement and the removal of an engine.
+const REMOVAL_NOTICE: Duration = Duration::from_secs(10);
+/// Exceeds the duration of any run.
+const PERMANENT: Duration = Duration::from_secs(100_000);
+/// Interval between checks whether the fleet is fully replicated.
+const REPLICATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Period within which the programs of a burst start.
 const BURST_WINDOW: Duration = Duration::from_secs(1);
-/// Turns of a program that does not end by itself, and the calls it may make.
+/// Number of turns of a runaway program and the limit of its calls.
 const RUNAWAY_TURNS: usize = 200;
-const RUNAWAY_CALLS: u64 = 20;
-/// Calls of an ordinary program.
+const RUNAWAY_MAX_CALLS: u64 = 20;
+/// Call limit of an ordinary program.
 pub const MAX_CALLS: u64 = 400;
 
 impl World {
-    pub(super) fn begin_fault(&mut self, fault: Fault) {
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
         if let Fault::StopGateway(index, _) = fault
             && self.gateways[index].frozen_until > self.now
         {
-            // A process that stands still handles its signals when it goes on.
+            // A paused process handles the stop signal once it resumes.
             let until = self.gateways[index].frozen_until;
-            return self.plan(until, Happening::FaultBegins(fault));
+            return self.schedule(until, SimEvent::InjectFault(fault));
         }
-        if matches!(fault, Fault::LoseNextDisk(_)) && !self.is_repaired() {
-            return self.plan_in(REPAIR_POLL, Happening::FaultBegins(fault));
+        if matches!(fault, Fault::LoseNextDisk(_)) && !self.is_fully_replicated() {
+            return self.schedule_in(REPLICATION_POLL_INTERVAL, SimEvent::InjectFault(fault));
         }
         self.faults += 1;
         let now = self.now;
-        let heals_after = match fault {
-            Fault::KillGateway(index, span) => {
+        let heal_after = match fault {
+            Fault::KillGateway(index, duration) => {
                 self.kill_gateway(index);
-                Some(span)
+                Some(duration)
             }
-            Fault::FreezeGateway(index, span) => {
-                // A process that is down cannot stand still.
-                let part = &mut self.gateways[index];
-                if part.core.is_some() {
-                    part.frozen_until = part.frozen_until.max(now + span);
+            Fault::FreezeGateway(index, duration) => {
+                // A stopped process cannot be paused.
+                let gateway = &mut self.gateways[index];
+                if gateway.core.is_some() {
+                    gateway.frozen_until = gateway.frozen_until.max(now + duration);
                 }
                 None
             }
-            Fault::IsolateGateway(index, span) => {
+            Fault::IsolateGateway(index, duration) => {
                 self.network.isolate(Actor::Gateway(index), true);
-                Some(span)
+                Some(duration)
             }
-            Fault::StopGateway(index, away) => {
-                self.stop_gateway(index, away);
+            Fault::StopGateway(index, downtime) => {
+                self.stop_gateway(index, downtime);
                 None
             }
-            Fault::KillEngine(index, span) => {
+            Fault::KillEngine(index, duration) => {
                 self.kill_engine(index);
-                Some(span)
+                Some(duration)
             }
-            Fault::HangEngine(index, span) => {
+            Fault::HangEngine(index, duration) => {
                 self.hang_engine(index, true);
-                Some(span)
+                Some(duration)
             }
             Fault::DrainEngine(index) => {
                 self.drain_engine(index);
                 None
             }
             Fault::LeaveEngine(index) => {
-                self.leave_engine(index);
+                self.announce_engine_removal(index);
                 None
             }
-            Fault::HangReplica(index, span) => {
+            Fault::HangReplica(index, duration) => {
                 self.replicas[index].hung = true;
-                Some(span)
+                Some(duration)
             }
-            Fault::KillReplica(index, span) => {
+            Fault::KillReplica(index, duration) => {
                 self.replicas[index].is_up = false;
-                self.replicas[index].start += 1;
-                Some(span)
+                self.replicas[index].generation += 1;
+                Some(duration)
             }
-            Fault::KillStore(index, span) => {
+            Fault::KillStore(index, duration) => {
                 self.crash_store(index);
-                Some(span)
+                Some(duration)
             }
-            Fault::FreezeStore(index, span) => {
-                let part = &mut self.stores[index];
-                if part.service.is_some() {
-                    part.frozen_until = part.frozen_until.max(now + span);
+            Fault::FreezeStore(index, duration) => {
+                let store = &mut self.stores[index];
+                if store.service.is_some() {
+                    store.frozen_until = store.frozen_until.max(now + duration);
                 }
                 None
             }
-            Fault::IsolateStore(index, span) => {
+            Fault::IsolateStore(index, duration) => {
                 self.network.isolate(Actor::Store(index), true);
-                Some(span)
+                Some(duration)
             }
-            Fault::IsolateLeader(span) => {
+            Fault::IsolateLeader(duration) => {
                 self.isolate_leader();
-                Some(span)
+                Some(duration)
             }
             Fault::LoseDisk(index) | Fault::LoseNextDisk(index) => {
                 self.crash_store(index);
                 self.stores[index].disk = SimDisk::default();
-                Some(REPLACEMENT)
+                Some(DISK_REPLACEMENT_DELAY)
             }
-            Fault::SlowDisk(index, span) => {
+            Fault::SlowDisk(index, duration) => {
                 self.stores[index].set_slow(true);
-                Some(span)
+                Some(duration)
             }
-            Fault::FullDisk(index, span) => {
+            Fault::FullDisk(index, duration) => {
                 self.set_disk_full(index, true);
-                Some(span)
+                Some(duration)
             }
-            Fault::CutZone(zone, span) => {
-                self.network.cut_zone(zone, true);
-                Some(span)
+            Fault::CutZone(zone, duration) => {
+                self.network.partition_zone(zone, true);
+                Some(duration)
             }
-            Fault::LossyNetwork(span) => {
-                self.network.loss = LOSS;
-                self.network.repetition = REPETITION;
-                Some(span)
+            Fault::LossyNetwork(duration) => {
+                self.network.loss = LOSS_RATE;
+                self.network.duplication = DUPLICATION_RATE;
+                Some(duration)
             }
-            Fault::LoseReplies(span) => {
-                self.lose_replies_until = now + span;
+            Fault::LoseReplies(duration) => {
+                self.lose_replies_until = now + duration;
                 None
             }
-            Fault::LoseEngineReports(span) => {
-                self.lose_reports_until = now + span;
+            Fault::LoseEngineReports(duration) => {
+                self.lose_reports_until = now + duration;
                 None
             }
             Fault::WriteConflict => {
-                self.race();
+                self.start_conflicting_writes();
                 None
             }
             Fault::ManyChanges(count) => {
-                self.many_changes(count);
+                self.apply_bulk_changes(count);
                 None
             }
             Fault::Burst(count) => {
-                self.burst(count);
+                self.start_burst(count);
                 None
             }
             Fault::Runaway => {
-                self.add_runaway();
+                self.add_runaway_program();
                 None
             }
             Fault::CancelProgram => {
-                self.cancel_some_program();
+                self.cancel_running_program();
                 None
             }
         };
-        if let Some(span) = heals_after {
-            self.plan_in(span, Happening::FaultEnds(fault));
+        if let Some(duration) = heal_after {
+            self.schedule_in(duration, SimEvent::HealFault(fault));
         }
     }
 
-    pub(super) fn end_fault(&mut self, fault: Fault) {
+    pub(super) fn heal_fault(&mut self, fault: Fault) {
         match fault {
             Fault::KillGateway(index, _) | Fault::StopGateway(index, _) => {
                 self.restart_gateway(index);
@@ -194,10 +194,10 @@
                 self.set_disk_full(index, false);
                 self.restart_store(index);
             }
-            Fault::CutZone(zone, _) => self.network.cut_zone(zone, false),
+            Fault::CutZone(zone, _) => self.network.partition_zone(zone, false),
             Fault::LossyNetwork(_) => {
                 self.network.loss = 0.0;
-                self.network.repetition = 0.0;
+                self.network.duplication = 0.0;
             }
             _ => {}
         }
@@ -223,83 +223,87 @@
     }
 
     fn set_disk_full(&mut self, index: usize, full: bool) {
-        let part = &mut self.stores[index];
-        match &mut part.log {
+        let store = &mut self.stores[index];
+        match &mut store.log {
             Some(log) => log.disk_mut().set_full(full),
-            None => part.disk.set_full(full),
+            None => store.disk.set_full(full),
         }
     }
 
     fn isolate_leader(&mut self) {
-        let leads = |index: &usize| {
+        let is_leader_of_any = |index: &usize| {
             let service = self.stores[*index].service.as_ref();
             service.is_some_and(calicohoist_store::StoreService::leads_any)
         };
-        let leader = (0..self.stores.len()).find(leads).unwrap_or_default();
+        let leader = (0..self.stores.len()).find(is_leader_of_any).unwrap_or_default();
         self.isolated_leaders.push_back(leader);
         self.network.isolate(Actor::Store(leader), true);
     }
 
-    /// Whether the status of every group says that a machine may be lost, with
-    /// every machine as it is now among the voters.
-    fn is_repaired(&self) -> bool {
+    /// Returns whether every group reports full replication with all current replicas as voters,
+    /// so that the loss of one machine is tolerated.
+    fn is_fully_replicated(&self) -> bool {
         let now = self.now;
         let running = self.stores.iter().filter_map(|store| store.service.as_ref());
         let status: Vec<_> = running.flat_map(|service| service.group_status(now)).collect();
         let mut groups: Vec<_> = status.iter().map(|status| status.group).collect();
         groups.sort_unstable();
         groups.dedup();
-        let is_safe = |group| {
+        let is_replicated = |group| {
             let leaders = status.iter().filter(|status| status.group == group && status.is_leader);
             let mut leaders = leaders.into_iter();
             leaders.any(|status| status.fully_replicated && self.is_current(&status.voters))
         };
-        self.stores.iter().all(|store| store.service.is_some()) && groups.into_iter().all(is_safe)
+        self.stores.iter().all(|store| store.service.is_some())
+            && groups.into_iter().all(is_replicated)
     }
 
     fn is_current(&self, voters: &[ReplicaId]) -> bool {
         self.stores.iter().all(|store| voters.contains(&store.id))
     }
 
-    fn stop_gateway(&mut self, index: usize, away: Duration) {
+    fn stop_gateway(&mut self, index: usize, downtime: Duration) {
         let now = self.now;
-        let part = &mut self.gateways[index];
-        let Some(core) = part.core.as_mut() else {
+        let gateway = &mut self.gateways[index];
+        let Some(core) = gateway.core.as_mut() else {
             return;
         };
-        if part.stopping_since.is_some() {
+        if gateway.stop_requested_at.is_some() {
             return;
         }
-        part.stopping_since = Some(now);
-        part.away = away;
+        gateway.stop_requested_at = Some(now);
+        gateway.downtime = downtime;
         let actions = core.step(now, Input::Stop);
         self.perform_all(index, actions);
     }
 
-    /// A planned stop is over: the process ends, and comes back later.
-    pub(super) fn gateway_stopped(&mut self, index: usize) {
-        let part = &self.gateways[index];
-        let left = part.core.as_ref().map_or(0, |core| core.calls_under_way());
-        let began = part.stopping_since.unwrap_or(Moment::ZERO);
-        let away = part.away;
+    /// Terminates a gateway after its graceful shutdown and schedules its restart.
+    pub(super) fn finish_gateway_stop(&mut self, index: usize) {
+        let gateway = &self.gateways[index];
+        let unfinished_calls = gateway.core.as_ref().map_or(0, |core| core.calls_under_way());
+        let began = gateway.stop_requested_at.unwrap_or(Moment::ZERO);
+        let downtime = gateway.downtime;
         self.history.stops.push(StopEvent {
             gateway: index,
             began,
             ended: self.now,
-            complete: left == 0,
+            complete: unfinished_calls == 0,
         });
         self.kill_gateway(index);
-        self.plan_in(away, Happening::FaultEnds(Fault::StopGateway(index, away)));
+        self.schedule_in(downtime, SimEvent::HealFault(Fault::StopGateway(index, downtime)));
     }
 
-    fn leave_engine(&mut self, index: usize) {
+    fn announce_engine_removal(&mut self, index: usize) {
         let engine = self.engines[index].name.as_str().to_owned();
         self.platform.announce_leaving(self.now, &engine);
         self.history.drains.push(DrainEvent { engine, at: self.now });
-        self.plan_in(NOTICE, Happening::FaultBegins(Fault::KillEngine(index, FOR_GOOD)));
+        self.schedule_in(
+            REMOVAL_NOTICE,
+            SimEvent::InjectFault(Fault::KillEngine(index, PERMANENT)),
+        );
     }
 
-    fn burst(&mut self, count: usize) {
+    fn start_burst(&mut self, count: usize) {
         let seed = self.random.random();
         for mut plan in draw(self.deployment, count, BURST_WINDOW, seed) {
             plan.id = format!("burst-{}", plan.id);
@@ -307,15 +311,16 @@
         }
     }
 
-    fn add_runaway(&mut self) {
-        let drawn = draw(self.deployment, 1, BURST_WINDOW, self.random.random());
-        for plan in drawn {
-            let asks = plan.steps.iter().filter(|step| matches!(step, Step::Ask(_))).cloned();
-            let asks: Vec<Step> = asks.collect();
-            let steps = asks.into_iter().cycle().take(RUNAWAY_TURNS).collect();
+    fn add_runaway_program(&mut self) {
+        let plans = draw(self.deployment, 1, BURST_WINDOW, self.random.random());
+        for plan in plans {
+            let model_steps =
+                plan.steps.iter().filter(|step| matches!(step, Step::Ask(_))).cloned();
+            let model_steps: Vec<Step> = model_steps.collect();
+            let steps = model_steps.into_iter().cycle().take(RUNAWAY_TURNS).collect();
             let id = format!("runaway-{}", plan.id);
             let runaway = ProgramPlan { id, steps, habit: Habit::Plain, ..plan };
-            self.add_program(runaway, RUNAWAY_CALLS);
+            self.add_program(runaway, RUNAWAY_MAX_CALLS);
         }
     }
 }
--- a/crates/lab/src/sim/fault.rs
+++ b/crates/lab/src/sim/fault.rs
@@ -1,64 +1,64 @@
-//! What can go wrong.
+//! Faults that the simulator injects.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// One fault. Most heal after a time.
+/// A fault; a duration is the time until it heals.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A gateway dies and comes back.
+    /// Kills a gateway and restarts it.
     KillGateway(usize, Duration),
-    /// A gateway stands still and goes on, believing no time has passed.
+    /// Pauses a gateway process, as a long scheduling or GC pause would.
     FreezeGateway(usize, Duration),
-    /// A gateway is cut off in silence.
+    /// Drops all traffic from and to a gateway.
     IsolateGateway(usize, Duration),
-    /// A gateway is stopped as planned and comes back.
+    /// Stops a gateway gracefully; the duration is the downtime before its restart.
     StopGateway(usize, Duration),
-    /// An engine dies with its memory and comes back.
+    /// Kills an engine, which loses its cache, and restarts it.
     KillEngine(usize, Duration),
-    /// An engine stops generating and goes on.
+    /// Suspends token generation of an engine.
     HangEngine(usize, Duration),
-    /// An engine is taken out of service by an operator.
+    /// Drains an engine by a configuration change.
     DrainEngine(usize),
-    /// An engine is announced to leave by the platform.
+    /// Has the platform announce the removal of an engine and then removes it.
     LeaveEngine(usize),
-    /// A replica executes jobs but does not answer.
+    /// Makes a service replica execute jobs without answering.
     HangReplica(usize, Duration),
-    /// A replica dies and comes back.
+    /// Kills a service replica and restarts it.
     KillReplica(usize, Duration),
-    /// A store machine dies, losing what was not synced, and comes back.
+    /// Kills a store machine, which loses unsynced data, and restarts it.
     KillStore(usize, Duration),
-    /// A store machine stands still and goes on.
+    /// Pauses a store machine.
     FreezeStore(usize, Duration),
-    /// A store machine is cut off in silence.
+    /// Drops all traffic from and to a store machine.
     IsolateStore(usize, Duration),
-    /// The leader of group 0 is cut off in silence.
+    /// Drops all traffic from and to the first store machine that leads a group.
     IsolateLeader(Duration),
-    /// A store machine loses its disk and comes back with an empty one.
+    /// Restarts a store machine with an empty disk.
     LoseDisk(usize),
-    /// Like [`Fault::LoseDisk`], as soon as the fleet is fully replicated again.
+    /// Like [`Fault::LoseDisk`], but waits until every group is fully replicated.
     LoseNextDisk(usize),
-    /// A store machine's disk is slow.
+    /// Slows down the disk of a store machine.
     SlowDisk(usize, Duration),
-    /// A store machine's disk is full; it is restarted with room afterwards.
+    /// Fills the disk of a store machine, which is restarted once space is free again.
     FullDisk(usize, Duration),
-    /// A zone is cut off.
+    /// Partitions a zone from the others.
     CutZone(usize, Duration),
-    /// Frames get lost and repeated.
+    /// Loses and duplicates frames at random.
     LossyNetwork(Duration),
-    /// Answers of the store to gateways get lost.
+    /// Loses replies of the store to gateways.
     LoseReplies(Duration),
-    /// What engines report of their memory and load gets lost.
+    /// Loses the cache and load reports of engines.
     LoseEngineReports(Duration),
-    /// Two operators change the same resource with the same version.
+    /// Sends two conflicting writes to a resource, based on the same version.
     WriteConflict,
-    /// Many changes of the configuration at once.
+    /// Applies many configuration changes in sequence.
     ManyChanges(u32),
-    /// More programs arrive at once.
+    /// Starts additional programs at once.
     Burst(usize),
-    /// A program that does not end by itself arrives.
+    /// Starts a program that keeps issuing calls until it reaches its limit.
     Runaway,
-    /// A caller cancels its program in the middle.
+    /// Cancels a running program.
     CancelProgram,
 }
--- a/crates/lab/src/sim/frame.rs
+++ b/crates/lab/src/sim/frame.rs
@@ -1,4 +1,4 @@
-//! Everything that travels in the simulation, and who can send it.
+//! Messages of the simulation and the nodes that exchange them.
 
 use calicohoist_gateway::core::message::{
     BackendEvent, CallRequest, CallerEvent, EngineOrder, EngineReport, PeerMessage, ServiceOrder,
@@ -8,7 +8,7 @@
 use calicohoist_store::{StoreReply, StoreRequest};
 use calicohoist_types::{AttemptId, CallId, MachineStatus, NodeId, ProgramId, TenantId};
 
-/// A part of the fleet, or somebody outside it.
+/// A node of the fleet or an external participant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Actor {
     /// A store machine.
@@ -21,184 +21,184 @@
     Replica(usize),
     /// The platform.
     Platform,
-    /// Everybody who calls: callers and operators.
+    /// All callers and operators.
     Client,
 }
 
-/// One start of a gateway; what belongs to an earlier start is dropped, as it
-/// would be with that start's connections.
-pub type Start = u64;
+/// Counter of the starts of a node. Frames for an earlier generation are dropped, because they
+/// would have travelled on connections of the previous process.
+pub type Generation = u64;
 
-/// What a client asks of a gateway.
+/// A request of a client to a gateway.
 #[derive(Clone, Debug)]
 pub enum ClientRequest {
-    /// A call.
+    /// Submits a call.
     Call(Box<CallRequest>),
-    /// The answer of a call from a byte on.
+    /// Resumes the response of a call at a byte offset.
     Attach {
         /// The caller's tenant.
         tenant: TenantId,
         /// The call.
         call: CallId,
-        /// The byte.
+        /// The byte offset.
         offset: usize,
     },
-    /// Something only the store has to answer.
-    Ask(Box<StoreRequest>),
-    /// Hangs up.
-    Gone,
+    /// A request that the gateway forwards to the store.
+    Store(Box<StoreRequest>),
+    /// Closes the connection.
+    Disconnect,
 }
 
-/// What a client hears.
+/// An event at a client for one of its requests.
 #[derive(Clone, Debug)]
-pub enum ClientNews {
-    /// An event of its request.
-    Event(CallerEvent),
-    /// The connection broke.
-    Cut,
-    /// Nothing came for long, so the client hung up.
+pub enum ClientEvent {
+    /// An event sent by the gateway.
+    FromGateway(CallerEvent),
+    /// The connection was closed.
+    Disconnected,
+    /// The client timed out and closed the connection.
     TimedOut,
-    /// No connection came about.
-    NotConnected,
+    /// The connection was refused.
+    ConnectionRefused,
 }
 
-/// One thing that travels.
+/// A message between nodes.
 #[derive(Clone, Debug)]
 pub enum Frame {
-    /// Between store machines.
+    /// Replication messages between store machines.
     StorePeer {
         /// The sender.
         from: ReplicaId,
         /// The messages.
         messages: Vec<GroupMessage>,
     },
-    /// From a gateway to a store machine.
+    /// A request from a gateway to a store machine.
     StoreRequest {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
-        /// Names the try.
+        /// Generation of the gateway.
+        generation: Generation,
+        /// Identifies the request.
         id: u64,
         /// The request.
         request: Box<StoreRequest>,
     },
-    /// Back.
+    /// A reply from a store machine to a gateway.
     StoreReply {
-        /// The gateway's start.
-        start: Start,
-        /// Names the try.
+        /// Generation of the gateway.
+        generation: Generation,
+        /// Identifies the request.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: StoreReply,
     },
-    /// Between gateways.
+    /// A message between gateways.
     GatewayPeer {
         /// The sender.
         from: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// From a gateway to an engine.
+    /// Starts or resumes an attempt on an engine.
     EngineRun {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The order.
         order: Box<EngineOrder>,
     },
-    /// From a gateway to an engine.
+    /// Cancels an attempt on an engine.
     EngineCancel(AttemptId),
-    /// From a gateway to an engine.
+    /// Releases the cache of a program on an engine.
     EngineRelease {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The program.
         program: ProgramId,
     },
-    /// From a gateway to an engine.
+    /// Requests the list of programs cached by an engine.
     EngineList {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
     },
-    /// From a gateway to an engine.
+    /// Requests the load report of an engine.
     EngineProbe {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
     },
-    /// From a gateway to a replica.
+    /// Runs a job on a service replica.
     ServiceRun {
         /// The gateway.
         gateway: usize,
-        /// Its start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The order.
         order: Box<ServiceOrder>,
     },
-    /// From a back end to a gateway.
+    /// An event of an attempt, from a back end to a gateway.
     Backend {
-        /// The gateway's start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The attempt.
         attempt: AttemptId,
         /// The event.
         event: BackendEvent,
     },
-    /// From an engine to a gateway.
+    /// The reply of an engine to a cache release.
     Released {
-        /// The gateway's start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The engine.
         engine: usize,
         /// The program.
         program: ProgramId,
-        /// Whether it confirmed.
+        /// Whether the engine confirmed the release.
         confirmed: bool,
     },
-    /// From an engine to a gateway.
+    /// The reply of an engine with its cached programs.
     Listing {
-        /// The gateway's start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The engine.
         engine: usize,
         /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// From an engine to a gateway.
+    /// The reply of an engine to a probe.
     Report {
-        /// The gateway's start.
-        start: Start,
+        /// Generation of the gateway.
+        generation: Generation,
         /// The engine.
         engine: usize,
-        /// The report.
+        /// The report, or `None` if the engine did not answer.
         report: Option<EngineReport>,
     },
-    /// From the platform to a gateway.
+    /// The platform's list of machines, sent to a gateway.
     Machines {
-        /// The gateway's start.
-        start: Start,
-        /// The list.
+        /// Generation of the gateway.
+        generation: Generation,
+        /// The machines.
         list: Vec<MachineStatus>,
     },
-    /// From a client to a gateway.
+    /// A request from a client to a gateway.
     Client {
-        /// Names the request.
+        /// Identifies the request.
         ticket: Ticket,
         /// The request.
         request: ClientRequest,
     },
-    /// Back.
-    News {
-        /// Names the request.
+    /// An event for a client.
+    ClientEvent {
+        /// Identifies the request.
         ticket: Ticket,
-        /// What is heard.
-        news: ClientNews,
+        /// The event.
+        event: ClientEvent,
     },
 }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,19 +1,19 @@
-//! The simulator: the product's own state machines, whole fleets in one thread
-//! under virtual time, every message, disk and clock from one seed.
+//! Deterministic simulator: runs the state machines of a whole fleet in one thread under virtual
+//! time, with every message, disk and clock driven by one seed.
 //!
-//! - [`account`]: what messages and steps cost each part;
-//! - [`disk`]: a disk that loses what was not synced, fills up, or is lost;
-//! - [`frame`]: everything that travels, and who can send it;
-//! - [`network`]: delays, losses, repetitions and cuts;
-//! - [`world`]: the clock, the queue of events, and all parts of the fleet;
-//! - [`backends`]: engines, services and the platform in virtual time;
-//! - [`caller`]: programs as their callers run them;
-//! - [`operator`]: changes of the configuration, and probes of it;
-//! - [`fault`]: what can go wrong;
-//! - [`disturb`]: brings it about and heals it;
-//! - [`waste`]: engine memory that is held or computed in vain;
-//! - [`scenario`]: the named scenarios, and what they do when;
-//! - [`run`]: one run, its report, and many runs on all cores.
+//! - [`account`]: traffic and processing time per node;
+//! - [`disk`]: a disk that can lose unsynced data, fill up or be replaced;
+//! - [`frame`]: the messages of the simulation and their senders;
+//! - [`network`]: delay, loss, duplication and partitions;
+//! - [`world`]: the clock, the event queue and the nodes of the fleet;
+//! - [`backends`]: engines, service replicas and the platform;
+//! - [`caller`]: programs as state machines of their callers;
+//! - [`operator`]: configuration changes and probes that verify them;
+//! - [`fault`]: the types of faults;
+//! - [`disturb`]: injects faults and heals them;
+//! - [`waste`]: engine cache held for ended programs or computed twice;
+//! - [`scenario`]: the named scenarios and their fault schedules;
+//! - [`run`]: one run, its report, and runs of many seeds in parallel.
 
 pub mod account;
 pub mod backends;
@@ -29,5 +29,5 @@
 pub mod waste;
 pub mod world;
 
-pub use run::{SeedRange, SimReport, SimSettings, run, run_many, run_planned};
+pub use run::{SeedRange, SimReport, SimSettings, run, run_many, run_with_faults};
 pub use scenario::Scenario;
--- a/crates/lab/src/sim/network.rs
+++ b/crates/lab/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! Delays, losses, repetitions and cuts.
+//! Simulated network: delay, loss, duplication and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use super::frame::Actor;
 use crate::deployment::Deployment;
 
-/// Zones of a deployment.
+/// Number of zones of a deployment.
 const ZONES: usize = 4;
-/// Part of a delay that varies.
+/// Maximum random addition to a delay, relative to its base.
 const JITTER: f64 = 0.5;
 
-/// The network between all parts.
+/// The network between all nodes.
 #[derive(Debug)]
 pub struct Network {
     zone_delay: Duration,
     client_delay: Duration,
-    /// Share of frames that are lost.
+    /// Probability that a frame is lost.
     pub loss: f64,
-    /// Share of frames that arrive twice.
-    pub repetition: f64,
+    /// Probability that a frame is delivered twice.
+    pub duplication: f64,
     isolated: BTreeSet<Actor>,
-    cut_zones: BTreeSet<usize>,
-    /// Latest arrival on connections that keep their order.
+    partitioned_zones: BTreeSet<usize>,
+    /// Latest arrival time per ordered connection.
     ordered: BTreeMap<(Actor, Actor), Moment>,
 }
 
-/// Zone of a part; clients and platform are in none.
+/// Returns the zone of a node; clients and the platform belong to none.
 pub fn zone_of(actor: Actor) -> Option<usize> {
     match actor {
         Actor::Store(index) | Actor::Gateway(index) => Some(index % ZONES),
@@ -39,26 +39,26 @@
     }
 }
 
-/// Name of the zone that the part with this number is in.
+/// Returns the name of the zone of the node with this index.
 pub fn zone_name(index: usize) -> Zone {
     Zone::new(format!("zone-{}", index % ZONES))
 }
 
 impl Network {
-    /// A network with the delays of a deployment.
+    /// Creates a network with the delays of a deployment.
     pub fn new(deployment: Deployment) -> Self {
         Self {
             zone_delay: deployment.zone_delay(),
             client_delay: deployment.client_delay(),
             loss: 0.0,
-            repetition: 0.0,
+            duplication: 0.0,
             isolated: BTreeSet::new(),
-            cut_zones: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
             ordered: BTreeMap::new(),
         }
     }
 
-    /// Cuts a part off from everything, or joins it again.
+    /// Disconnects a node from all others, or reconnects it.
     pub fn isolate(&mut self, actor: Actor, isolated: bool) {
         if isolated {
             self.isolated.insert(actor);
@@ -67,26 +67,27 @@
         }
     }
 
-    /// Cuts a zone off from the others, or joins it again.
-    pub fn cut_zone(&mut self, zone: usize, cut: bool) {
-        if cut {
-            self.cut_zones.insert(zone);
+    /// Partitions a zone from the others, or reconnects it.
+    pub fn partition_zone(&mut self, zone: usize, partitioned: bool) {
+        if partitioned {
+            self.partitioned_zones.insert(zone);
         } else {
-            self.cut_zones.remove(&zone);
+            self.partitioned_zones.remove(&zone);
         }
     }
 
-    /// Whether frames can pass.
-    pub fn connects(&self, from: Actor, to: Actor) -> bool {
+    /// Returns whether frames can pass between two nodes.
+    pub fn is_connected(&self, from: Actor, to: Actor) -> bool {
         if self.isolated.contains(&from) || self.isolated.contains(&to) {
             return false;
         }
         let (from, to) = (zone_of(from), zone_of(to));
-        let is_cut = |zone: Option<usize>| zone.is_some_and(|zone| self.cut_zones.contains(&zone));
-        from == to || (!is_cut(from) && !is_cut(to))
+        let is_partitioned =
+            |zone: Option<usize>| zone.is_some_and(|zone| self.partitioned_zones.contains(&zone));
+        from == to || (!is_partitioned(from) && !is_partitioned(to))
     }
 
-    /// Draws when a frame arrives: not at all, once or twice.
+    /// Returns the random arrival times of a frame: none if lost, two if duplicated.
     pub fn arrivals(
         &mut self,
         now: Moment,
@@ -94,17 +95,17 @@
         to: Actor,
         random: &mut ChaCha8Rng,
     ) -> Vec<Moment> {
-        if !self.connects(from, to) || random.random_bool(self.loss) {
+        if !self.is_connected(from, to) || random.random_bool(self.loss) {
             return Vec::new();
         }
         let mut arrivals = vec![now + self.delay(from, to, random)];
-        if random.random_bool(self.repetition) {
+        if random.random_bool(self.duplication) {
             arrivals.push(now + self.delay(from, to, random) * 3);
         }
         arrivals
     }
 
-    /// Draws when a frame of an ordered connection arrives; `None` when it is cut.
+    /// Returns the arrival time of a frame on an ordered connection; `None` if there is no path.
     pub fn ordered_arrival(
         &mut self,
         now: Moment,
@@ -112,7 +113,7 @@
         to: Actor,
         random: &mut ChaCha8Rng,
     ) -> Option<Moment> {
-        if !self.connects(from, to) {
+        if !self.is_connected(from, to) {
             return None;
         }
         let arrival = now + self.delay(from, to, random);
--- a/crates/lab/src/sim/operator.rs
+++ b/crates/lab/src/sim/operator.rs
@@ -1,5 +1,5 @@
-//! Operators: declaring the fleet, changing it, racing each other, and probing
-//! whether what is in force holds at each gateway.
+//! Simulated operators: declare the fleet, change the configuration, send conflicting writes, and
+//! probe whether gateways apply a configuration that is reported as in force.
 
 use std::time::Duration;
 
@@ -12,64 +12,64 @@
     ResourceSpec, Revision, Role, ServiceSpec, TenantId,
 };
 
-use super::backends::{EnginePart, PROBE_MODEL};
-use super::caller::{AskOwner, Wake};
+use super::backends::{PROBE_MODEL, SimEngine};
+use super::caller::{ClientTimer, StoreRequestOwner};
 use super::frame::ClientRequest;
 use super::network::zone_name;
-use super::world::{Happening, World};
+use super::world::{SimEvent, World};
 use crate::history::ConfigProbe;
 
-/// Calls that run on an engine at a time.
+/// Maximum number of concurrent calls per engine.
 const ENGINE_SLOTS: u32 = 6;
-const POLL: Duration = Duration::from_millis(20);
-/// Limits a probe cycles through; all are shorter than the shortest answer.
-const PROBE_LIMITS: u64 = 7;
-/// Tries of a probe before it is given up.
-const MAX_PROBE_TRIES: u32 = 30;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of output limits that probes cycle through; all are below the shortest answer.
+const PROBE_LIMIT_COUNT: u64 = 7;
+/// Maximum number of calls of a probe.
+const MAX_PROBE_CALLS: u32 = 30;
 
-/// What an operator does.
+/// A task of an operator.
 #[derive(Debug)]
 pub enum OperatorTask {
-    /// Declares resources one after the other.
+    /// Declares resources in sequence.
     Declare {
-        /// What is left.
-        left: Vec<ResourceCommand>,
+        /// The remaining resources, the next one last.
+        remaining: Vec<ResourceCommand>,
     },
-    /// Changes the probed limit, waits until it is in force, probes each gateway.
+    /// Changes the probed limit, waits until it is in force, and probes each gateway.
     Probe(ProbeTask),
-    /// Two changes with the same version; counts how many were accepted.
-    Race {
-        /// The racers' answers.
+    /// Sends two changes based on the same version and counts how many are accepted.
+    ConflictingWrites {
+        /// Whether each answered change was accepted.
         answers: Vec<bool>,
-        /// Whether the race has begun.
-        begun: bool,
+        /// Whether the changes were sent.
+        sent: bool,
     },
-    /// Nothing more to do.
-    Over,
+    /// The task is complete.
+    Done,
 }
 
-/// A change of the probed limit.
+/// A change of the probed output limit.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeChange {
     limit: u64,
-    /// Known once the change was accepted.
+    /// Set once the change is accepted.
     revision: Option<Revision>,
 }
 
-/// A change that is probed.
+/// State of a probed change.
 #[derive(Debug)]
 pub struct ProbeTask {
     limit: u64,
     accepted: Option<(Revision, Moment)>,
     in_force: Option<Moment>,
-    gateways_left: Vec<usize>,
-    tries: u32,
+    remaining_gateways: Vec<usize>,
+    calls: u32,
 }
 
 impl OperatorTask {
-    /// Whether nothing is left to do.
-    pub fn is_over(&self) -> bool {
-        matches!(self, Self::Over)
+    /// Returns whether the task is complete.
+    pub fn is_done(&self) -> bool {
+        matches!(self, Self::Done)
     }
 }
 
@@ -91,7 +91,7 @@
     ResourceSpec::Model(ModelSpec { max_output_tokens, max_prompt_tokens: 100_000 })
 }
 
-fn engine_spec(index: usize, engine: &EnginePart, drain: bool) -> ResourceSpec {
+fn engine_spec(index: usize, engine: &SimEngine, drain: bool) -> ResourceSpec {
     ResourceSpec::Engine(EngineSpec {
         address: engine.address,
         zone: zone_name(index),
@@ -108,15 +108,19 @@
 impl World {
     /// Declares the whole fleet.
     pub fn declare_fleet(&mut self) {
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         let model = self.deployment.model();
-        left.push(change(key(ResourceKind::Model, model), model_spec(64), "model".into()));
+        remaining.push(change(key(ResourceKind::Model, model), model_spec(64), "model".into()));
         let probe = key(ResourceKind::Model, PROBE_MODEL);
-        left.push(change(probe, model_spec(PROBE_LIMITS), "probe-model".into()));
+        remaining.push(change(probe, model_spec(PROBE_LIMIT_COUNT), "probe-model".into()));
         for (index, engine) in self.engines.iter().enumerate() {
             let spec = engine_spec(index, engine, false);
             let name = engine.name.as_str();
-            left.push(change(key(ResourceKind::Engine, name), spec, format!("declare-{name}")));
+            remaining.push(change(
+                key(ResourceKind::Engine, name),
+                spec,
+                format!("declare-{name}"),
+            ));
         }
         for (index, replica) in self.replicas.iter().enumerate() {
             let spec = ResourceSpec::Service(ServiceSpec {
@@ -127,52 +131,56 @@
                 drain: false,
             });
             let name = &replica.name;
-            left.push(change(key(ResourceKind::Service, name), spec, format!("declare-{name}")));
+            remaining.push(change(
+                key(ResourceKind::Service, name),
+                spec,
+                format!("declare-{name}"),
+            ));
         }
-        left.reverse();
-        self.add_task(OperatorTask::Declare { left });
+        remaining.reverse();
+        self.add_task(OperatorTask::Declare { remaining });
     }
 
-    /// Has an operator drain an engine.
+    /// Drains an engine by a configuration change.
     pub(super) fn drain_engine(&mut self, engine: usize) {
-        let part = &self.engines[engine];
-        let spec = engine_spec(engine, part, true);
-        let name = part.name.as_str();
+        let target = &self.engines[engine];
+        let spec = engine_spec(engine, target, true);
+        let name = target.name.as_str();
         let drain = change(key(ResourceKind::Engine, name), spec, format!("drain-{name}"));
-        self.add_task(OperatorTask::Declare { left: vec![drain] });
+        self.add_task(OperatorTask::Declare { remaining: vec![drain] });
     }
 
-    /// Changes the probed limit and probes it.
+    /// Starts a probed change of the output limit.
     pub(super) fn probe_change(&mut self) {
         let number = self.clients.tasks.len() as u64;
-        let limit = number % PROBE_LIMITS + 1;
+        let limit = number % PROBE_LIMIT_COUNT + 1;
         let change = ProbeChange { limit, revision: None };
         self.clients.probe_changes.insert(self.clients.tasks.len(), change);
         self.add_task(OperatorTask::Probe(ProbeTask {
             limit,
             accepted: None,
             in_force: None,
-            gateways_left: (0..self.gateways.len()).collect(),
-            tries: 0,
+            remaining_gateways: (0..self.gateways.len()).collect(),
+            calls: 0,
         }));
     }
 
-    /// Makes a change and notes when it is in force everywhere.
+    /// Makes a change and measures the time until it is in force at all gateways.
     pub fn time_change(&mut self) {
         self.probe_change();
         let task = self.clients.tasks.len() - 1;
         if let Some(OperatorTask::Probe(probe)) = self.clients.tasks.get_mut(task) {
-            probe.gateways_left.clear();
+            probe.remaining_gateways.clear();
         }
     }
 
-    /// Milliseconds from the acceptance of each change until it was in force.
+    /// Returns the milliseconds from the acceptance of each change until it was in force.
     pub fn change_times(&self) -> Vec<u64> {
         self.clients.change_times.iter().map(|time| time.as_millis() as u64).collect()
     }
 
-    /// Makes many changes one after the other.
-    pub(super) fn many_changes(&mut self, count: u32) {
+    /// Applies `count` configuration changes in sequence.
+    pub(super) fn apply_bulk_changes(&mut self, count: u32) {
         let name = |number: u32| format!("bulk-{}", number % 50);
         let spec = |number: u32| {
             ResourceSpec::Tenant(calicohoist_types::TenantSpec {
@@ -181,33 +189,33 @@
                 max_calls: 100,
             })
         };
-        let left = (0..count).map(|number| {
+        let remaining = (0..count).map(|number| {
             let key = key(ResourceKind::Tenant, &name(number));
             change(key, spec(number), format!("bulk-{number}"))
         });
-        self.add_task(OperatorTask::Declare { left: left.collect() });
+        self.add_task(OperatorTask::Declare { remaining: remaining.collect() });
     }
 
-    /// Two operators change the same resource based on the same version.
-    pub(super) fn race(&mut self) {
-        self.add_task(OperatorTask::Race { answers: Vec::new(), begun: false });
+    /// Sends two changes of a resource based on the same version.
+    pub(super) fn start_conflicting_writes(&mut self) {
+        self.add_task(OperatorTask::ConflictingWrites { answers: Vec::new(), sent: false });
     }
 
     fn add_task(&mut self, task: OperatorTask) {
         let index = self.clients.tasks.len();
         self.clients.tasks.push(task);
-        self.operator_wake(index);
+        self.continue_operator_task(index);
     }
 
-    /// Goes on with a task.
-    pub(super) fn operator_wake(&mut self, index: usize) {
+    /// Continues a task.
+    pub(super) fn continue_operator_task(&mut self, index: usize) {
         match &mut self.clients.tasks[index] {
-            OperatorTask::Declare { left } => match left.last().cloned() {
+            OperatorTask::Declare { remaining } => match remaining.last().cloned() {
                 Some(next) => {
-                    let owner = AskOwner::Operator(index);
-                    self.ask_after(Duration::ZERO, owner, command(next), index);
+                    let owner = StoreRequestOwner::Operator(index);
+                    self.schedule_store_request(Duration::ZERO, owner, command(next), index);
                 }
-                None => self.clients.tasks[index] = OperatorTask::Over,
+                None => self.clients.tasks[index] = OperatorTask::Done,
             },
             OperatorTask::Probe(probe) => {
                 let request = if probe.accepted.is_none() {
@@ -219,43 +227,53 @@
                 } else {
                     return self.send_probe(index);
                 };
-                self.ask_after(Duration::ZERO, AskOwner::Operator(index), request, index);
+                self.schedule_store_request(
+                    Duration::ZERO,
+                    StoreRequestOwner::Operator(index),
+                    request,
+                    index,
+                );
             }
-            OperatorTask::Race { begun, .. } => {
-                if !std::mem::replace(begun, true) {
-                    self.begin_race(index);
+            OperatorTask::ConflictingWrites { sent, .. } => {
+                if !std::mem::replace(sent, true) {
+                    self.send_conflicting_writes(index);
                 }
             }
-            OperatorTask::Over => {}
+            OperatorTask::Done => {}
         }
     }
 
-    fn begin_race(&mut self, index: usize) {
-        for racer in 0..2 {
+    fn send_conflicting_writes(&mut self, index: usize) {
+        for writer in 0..2 {
             let spec = ResourceSpec::Tenant(calicohoist_types::TenantSpec {
-                default_program_tokens: racer + 1,
+                default_program_tokens: writer + 1,
                 max_program_tokens: 1_000,
                 max_calls: 10,
             });
             let key = key(ResourceKind::Tenant, &format!("race-{index}"));
-            let mut racing = change(key, spec, format!("race-{index}-{racer}"));
-            racing.expected = Some(Revision(0));
-            let gateway = index + racer as usize;
-            self.ask_after(Duration::ZERO, AskOwner::Operator(index), command(racing), gateway);
+            let mut conflicting = change(key, spec, format!("race-{index}-{writer}"));
+            conflicting.expected = Some(Revision(0));
+            let gateway = index + writer as usize;
+            self.schedule_store_request(
+                Duration::ZERO,
+                StoreRequestOwner::Operator(index),
+                command(conflicting),
+                gateway,
+            );
         }
     }
 
-    /// The store answered a request of a task.
-    pub(super) fn operator_answered(&mut self, index: usize, reply: StoreReply) {
+    /// Handles a reply of the store to a request of a task.
+    pub(super) fn handle_operator_reply(&mut self, index: usize, reply: StoreReply) {
         let now = self.now;
         match (&mut self.clients.tasks[index], reply) {
-            (OperatorTask::Declare { left }, _) => {
-                let done = left.pop();
+            (OperatorTask::Declare { remaining }, _) => {
+                let done = remaining.pop();
                 let drained = done.and_then(drained_engine);
                 if let Some(engine) = drained {
                     self.history.drains.push(crate::history::DrainEvent { engine, at: now });
                 }
-                self.operator_wake(index);
+                self.continue_operator_task(index);
             }
             (OperatorTask::Probe(probe), StoreReply::Output(Output::Resource(output))) => {
                 if let ResourceOutput::Stored(resource) = output {
@@ -264,41 +282,50 @@
                         change.revision = Some(resource.version);
                     }
                 }
-                self.plan_in(POLL, Happening::ClientWake(Wake::Operator(index)));
+                self.schedule_in(
+                    POLL_INTERVAL,
+                    SimEvent::ClientTimer(ClientTimer::Operator(index)),
+                );
             }
             (OperatorTask::Probe(probe), StoreReply::FleetStatus(status)) => {
-                let wanted = probe.accepted.map_or(Revision(0), |(revision, _)| revision);
-                if status.in_force >= wanted && probe.in_force.is_none() {
+                let target_revision = probe.accepted.map_or(Revision(0), |(revision, _)| revision);
+                if status.in_force >= target_revision && probe.in_force.is_none() {
                     let accepted = probe.accepted.map_or(now, |(_, at)| at);
                     self.clients.change_times.push(now.since(accepted));
                     probe.in_force = Some(now);
                 }
-                self.plan_in(POLL, Happening::ClientWake(Wake::Operator(index)));
+                self.schedule_in(
+                    POLL_INTERVAL,
+                    SimEvent::ClientTimer(ClientTimer::Operator(index)),
+                );
             }
-            (OperatorTask::Race { answers, .. }, StoreReply::Output(Output::Resource(output))) => {
+            (
+                OperatorTask::ConflictingWrites { answers, .. },
+                StoreReply::Output(Output::Resource(output)),
+            ) => {
                 answers.push(matches!(output, ResourceOutput::Stored(_)));
                 if answers.len() == 2 {
-                    let winners = answers.iter().filter(|won| **won).count();
-                    self.clients.tasks[index] = OperatorTask::Over;
-                    self.history.races.push(winners as u32);
+                    let accepted_writes = answers.iter().filter(|accepted| **accepted).count();
+                    self.clients.tasks[index] = OperatorTask::Done;
+                    self.history.races.push(accepted_writes as u32);
                 }
             }
             _ => {}
         }
     }
 
-    /// Sends a short call to the next gateway; its answer shows the limit it keeps.
+    /// Sends a call to the next gateway; the length of its answer shows the applied limit.
     fn send_probe(&mut self, index: usize) {
         let OperatorTask::Probe(probe) = &mut self.clients.tasks[index] else {
             return;
         };
-        probe.tries += 1;
-        let gateway = probe.gateways_left.last().copied();
-        let Some(gateway) = gateway.filter(|_| probe.tries < MAX_PROBE_TRIES) else {
-            self.clients.tasks[index] = OperatorTask::Over;
+        probe.calls += 1;
+        let gateway = probe.remaining_gateways.last().copied();
+        let Some(gateway) = gateway.filter(|_| probe.calls < MAX_PROBE_CALLS) else {
+            self.clients.tasks[index] = OperatorTask::Done;
             return;
         };
-        let message = ChatMessage::new(Role::User, format!("probe {index} {}", probe.tries));
+        let message = ChatMessage::new(Role::User, format!("probe {index} {}", probe.calls));
         let request = CallRequest {
             tenant: TenantId::new("operator"),
             program: None,
@@ -315,32 +342,35 @@
         self.send_client(gateway, ticket, ClientRequest::Call(Box::new(request)));
     }
 
-    /// Limits that may hold once the change of a task is in force.
-    fn limits_since(&self, index: usize) -> Vec<u64> {
+    /// Returns the limits that are valid once the change of a task is in force.
+    fn valid_limits(&self, index: usize) -> Vec<u64> {
         let changes = &self.clients.probe_changes;
-        let own = changes.get(&index).and_then(|change| change.revision);
+        let own_revision = changes.get(&index).and_then(|change| change.revision);
         let later = changes.values().filter(|change| {
-            // A change without a known revision may have been made at any time.
-            change.revision.is_none() || change.revision >= own
+            // A change whose reply is missing may have any revision.
+            change.revision.is_none() || change.revision >= own_revision
         });
         later.map(|change| change.limit).collect()
     }
 
-    /// A probe's call ended.
-    pub(super) fn probe_answered(&mut self, index: usize, event: Option<&CallerEvent>) {
-        let allowed = self.limits_since(index);
+    /// Handles the end of a call of a probe.
+    pub(super) fn handle_probe_end(&mut self, index: usize, event: Option<&CallerEvent>) {
+        let valid = self.valid_limits(index);
         let OperatorTask::Probe(probe) = &mut self.clients.tasks[index] else {
             return;
         };
         let Some(CallerEvent::Finished(finish)) = event else {
-            return self.plan_in(POLL * 25, Happening::ClientWake(Wake::Operator(index)));
+            return self.schedule_in(
+                POLL_INTERVAL * 25,
+                SimEvent::ClientTimer(ClientTimer::Operator(index)),
+            );
         };
-        let Some(gateway) = probe.gateways_left.pop() else {
+        let Some(gateway) = probe.remaining_gateways.pop() else {
             return;
         };
         if let (Some((revision, accepted)), Some(in_force)) = (probe.accepted, probe.in_force) {
-            // A later change may hold by now; an earlier one must not.
-            let held = allowed.contains(&finish.usage.completion_tokens);
+            // The limit of a later change is valid, that of an earlier one is not.
+            let held = valid.contains(&finish.usage.completion_tokens);
             self.history.probes.push(ConfigProbe {
                 revision: revision.0,
                 gateway,
@@ -349,7 +379,7 @@
                 held,
             });
         }
-        self.operator_wake(index);
+        self.continue_operator_task(index);
     }
 }
 
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -1,4 +1,4 @@
-//! One run, its report, and many runs on all cores.
+//! Runs single seeds and ranges of seeds, and reports the results.
 
 use std::ops::Range;
 use std::str::FromStr;
@@ -14,118 +14,120 @@
 use super::backends::PROBE_MODEL;
 use super::disturb::MAX_CALLS;
 use super::fault::Fault;
-use super::scenario::{Planned, Scenario};
-use super::waste::{HeldSamples, WastedCache, rebuilt_share};
-use super::world::{Happening, START, World, WorldSize};
+use super::scenario::{Scenario, ScheduledFault};
+use super::waste::{CacheSamples, WastedCache, recomputed_share};
+use super::world::{START, SimEvent, World, WorldSize};
 use crate::check::{Invariants, check};
 use crate::demo::Percentiles;
 use crate::deployment::Deployment;
 use crate::history::{History, Holding};
 use crate::workload::draw;
 
-/// Sizes of a simulated fleet.
+/// Size of the simulated fleet.
 const SIZE: WorldSize =
-    // Few entries, so that snapshots are written and sent in every run.
+    // Low enough that every run writes and sends snapshots.
     WorldSize { stores: 3, gateways: 4, engines: 6, replicas: 4, entries_per_snapshot: 300 };
-/// The fleet has this long to come up and be declared.
-const START_UP: Duration = Duration::from_secs(5);
-/// Programs start within this time.
+/// Time for the fleet to start and its configuration to be applied.
+const STARTUP: Duration = Duration::from_secs(5);
+/// Period within which the programs start.
 const START_WINDOW: Duration = Duration::from_secs(12);
-/// Programs besides those of bursts.
-const PROGRAMS: usize = 12;
-/// Changes of the configuration that are probed, and the time between them.
-const PROBES: u32 = 4;
+/// Number of programs, not counting bursts.
+const PROGRAM_COUNT: usize = 12;
+/// Number of probed configuration changes and the interval between them.
+const PROBE_COUNT: u32 = 4;
 const PROBE_INTERVAL: Duration = Duration::from_secs(4);
-/// Nothing runs longer than this.
-const LONGEST_RUN: Duration = Duration::from_secs(400);
-/// A run with more events than this is a storm of messages, and no good run.
+/// Maximum virtual duration of a run.
+const MAX_DURATION: Duration = Duration::from_secs(400);
+/// Maximum number of events; a run that reaches it fails as a message storm.
 const MAX_EVENTS: u64 = 300_000;
-/// Longest wait for engines to have released everything.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(30);
-/// Time between looks at what engines hold.
+/// Maximum wait for engines to release the cache of ended programs.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between samples of the engine caches.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Virtual time at which the fleet is up, in microseconds.
-const START_MICROS: u64 = START.as_micros() + START_UP.as_micros() as u64;
-/// Makes the faults of a seed independent of everything else drawn from it.
+/// Virtual time at the end of startup, in microseconds.
+const STARTUP_END_MICROS: u64 = START.as_micros() + STARTUP.as_micros() as u64;
+/// Combined with the seed, so that faults use a random stream of their own.
 const FAULT_SEED: u64 = 0x005e_ed0f_fa17;
-/// Lines of an excerpt.
-const MAX_EXCERPT: usize = 16;
+/// Maximum number of lines of an excerpt.
+const MAX_EXCERPT_LINES: usize = 16;
 
-/// What to simulate.
+/// Settings of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct SimSettings {
-    /// What goes wrong.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The service.
+    /// The deployment.
     pub deployment: Deployment,
-    /// Everything follows from this.
+    /// Seed of all random decisions.
     pub seed: u64,
 }
 
-/// What came of one run.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SimReport {
     /// Name of the scenario.
     pub scenario: String,
-    /// The service.
+    /// The deployment.
     pub deployment: Deployment,
     /// The seed.
     pub seed: u64,
-    /// Digest of the whole event history.
+    /// Digest of all events and of the recorded history.
     pub digest: String,
-    /// Faults that were brought about.
+    /// Number of injected faults.
     pub faults_injected: u64,
-    /// Programs that ran, without sub-agents.
+    /// Number of programs, without sub-agents.
     pub programs: usize,
-    /// Programs that had not come to an end when the run was cut off.
+    /// Number of programs still running when the run ended.
     pub unfinished: usize,
-    /// The ten promises.
+    /// Results of the invariant checks.
     pub invariants: Invariants,
     /// Latency of completed programs, in milliseconds of virtual time.
     pub program_latency_ms: Percentiles,
-    /// Engine memory held or computed in vain.
+    /// Engine cache held for ended programs or computed more than once.
     pub wasted_cache: WastedCache,
-    /// Things that happened in the run.
+    /// Number of events processed.
     pub events: u64,
     /// Virtual time of the run, in milliseconds.
     pub virtual_ms: u64,
-    /// The faults and when they began, in microseconds after the fleet was up.
+    /// Scheduled faults with their injection times, in microseconds after startup.
     pub faults: Vec<(u64, Fault)>,
-    /// Lines of the history that show the first violation.
+    /// Lines of the history about the first violation.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub excerpt: Vec<String>,
 }
 
 impl SimReport {
-    /// Whether every promise held and every program came to an end.
+    /// Returns whether all invariants held and all programs ended within the event limit.
     pub fn is_good(&self) -> bool {
-        let is_storm = self.events >= MAX_EVENTS;
-        self.invariants.violations() == 0 && self.unfinished == 0 && !is_storm
+        let is_message_storm = self.events >= MAX_EVENTS;
+        self.invariants.violations() == 0 && self.unfinished == 0 && !is_message_storm
     }
 
-    /// Seed, promise and excerpt, for a person.
+    /// Returns a readable description of the failures.
     pub fn describe(&self) -> String {
-        let head = format!("{} {} seed {}", self.scenario, self.deployment.name(), self.seed);
+        let prefix = format!("{} {} seed {}", self.scenario, self.deployment.name(), self.seed);
         let mut lines = Vec::new();
         for (name, verdict) in self.invariants.named() {
             let examples = verdict.examples.iter();
-            lines.extend(examples.map(|example| format!("{head}: {name}: {example}")));
+            lines.extend(examples.map(|example| format!("{prefix}: {name}: {example}")));
         }
         if self.events >= MAX_EVENTS {
-            lines.push(format!("{head}: a storm of more than {MAX_EVENTS} events"));
+            lines.push(format!(
+                "{prefix}: message storm: the run reached the limit of {MAX_EVENTS} events"
+            ));
         }
         if self.unfinished > 0 {
-            lines.push(format!("{head}: {} programs did not come to an end", self.unfinished));
+            lines.push(format!("{prefix}: {} programs did not end", self.unfinished));
         }
         for (at, fault) in &self.faults {
-            lines.push(format!("    fault at {} us: {fault:?}", START_MICROS + at));
+            lines.push(format!("    fault at {} us: {fault:?}", STARTUP_END_MICROS + at));
         }
         lines.extend(self.excerpt.iter().map(|line| format!("    {line}")));
         lines.join("\n")
     }
 }
 
-/// Seeds from a first one up to, but without, a last one; written `A..B`.
+/// A half-open range of seeds, written `A..B`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedRange {
     /// The seeds.
@@ -136,78 +138,82 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let (first, end) = text.split_once("..").ok_or("seeds are written A..B")?;
+        let (first, end) = text.split_once("..").ok_or("a seed range must have the form A..B")?;
         let number = |part: &str| part.parse::<u64>().map_err(|error| format!("{part:?}: {error}"));
         Ok(Self { seeds: number(first)?..number(end)? })
     }
 }
 
-/// Runs one seed with the faults that its scenario draws.
+/// Runs one seed with the random faults of its scenario.
 pub fn run(settings: &SimSettings) -> (SimReport, History) {
     let mut random = ChaCha8Rng::seed_from_u64(settings.seed ^ FAULT_SEED);
-    let planned = settings.scenario.plan(SIZE, &mut random);
-    run_planned(settings, &planned)
+    let faults = settings.scenario.draw_faults(SIZE, &mut random);
+    run_with_faults(settings, &faults)
 }
 
 /// Runs one seed with the given faults.
-pub fn run_planned(settings: &SimSettings, planned: &[Planned]) -> (SimReport, History) {
+pub fn run_with_faults(settings: &SimSettings, faults: &[ScheduledFault]) -> (SimReport, History) {
     let mut world = World::new(settings.deployment, SIZE, settings.seed);
-    let mut held = HeldSamples::default();
+    let mut samples = CacheSamples::default();
     world.declare_fleet();
-    advance_until(&mut world, &mut held, START + START_UP);
-    for plan in draw(settings.deployment, PROGRAMS, START_WINDOW, settings.seed) {
+    advance_until(&mut world, &mut samples, START + STARTUP);
+    for plan in draw(settings.deployment, PROGRAM_COUNT, START_WINDOW, settings.seed) {
         world.add_program(plan, MAX_CALLS);
     }
-    for (at, fault) in planned {
-        world.plan_in(*at, Happening::FaultBegins(*fault));
+    for (at, fault) in faults {
+        world.schedule_in(*at, SimEvent::InjectFault(*fault));
     }
-    for number in 0..PROBES {
-        advance_by(&mut world, &mut held, PROBE_INTERVAL * number.min(1));
+    for number in 0..PROBE_COUNT {
+        advance_by(&mut world, &mut samples, PROBE_INTERVAL * number.min(1));
         world.probe_change();
     }
-    let latest = planned.iter().map(|(at, _)| START + START_UP + *at).max().unwrap_or_default();
-    while world.now < START + LONGEST_RUN && (world.now < latest || !world.clients.are_done()) {
-        advance_by(&mut world, &mut held, SAMPLE_INTERVAL);
+    let latest = faults.iter().map(|(at, _)| START + STARTUP + *at).max().unwrap_or_default();
+    while world.now < START + MAX_DURATION && (world.now < latest || !world.clients.all_done()) {
+        advance_by(&mut world, &mut samples, SAMPLE_INTERVAL);
     }
-    wait_for_release(&mut world, &mut held);
-    let (mut report, history) = conclude(settings, world, held);
-    let micros = |(at, fault): &Planned| (at.as_micros() as u64, *fault);
-    report.faults = planned.iter().map(micros).collect();
+    wait_for_release(&mut world, &mut samples);
+    let (mut report, history) = build_report(settings, world, samples);
+    let to_micros = |(at, fault): &ScheduledFault| (at.as_micros() as u64, *fault);
+    report.faults = faults.iter().map(to_micros).collect();
     report.faults.sort_by_key(|(at, _)| *at);
     (report, history)
 }
 
-fn advance_by(world: &mut World, held: &mut HeldSamples, time: Duration) {
+fn advance_by(world: &mut World, samples: &mut CacheSamples, time: Duration) {
     let end = world.now + time;
-    advance_until(world, held, end);
+    advance_until(world, samples, end);
 }
 
-fn advance_until(world: &mut World, held: &mut HeldSamples, end: Moment) {
+fn advance_until(world: &mut World, samples: &mut CacheSamples, end: Moment) {
     while world.now < end {
         let next = end.min(world.now + SAMPLE_INTERVAL);
         while world.events < MAX_EVENTS && world.advance(next) {}
         world.now = next;
-        held.sample(world);
+        samples.sample(world);
     }
 }
 
-fn wait_for_release(world: &mut World, held: &mut HeldSamples) {
-    let end = world.now + RELEASE_PATIENCE;
-    while world.now < end && holds_dead_memory(world) {
-        advance_by(world, held, SAMPLE_INTERVAL);
+fn wait_for_release(world: &mut World, samples: &mut CacheSamples) {
+    let end = world.now + RELEASE_TIMEOUT;
+    while world.now < end && has_unreleased_cache(world) {
+        advance_by(world, samples, SAMPLE_INTERVAL);
     }
 }
 
-fn holds_dead_memory(world: &World) -> bool {
+fn has_unreleased_cache(world: &World) -> bool {
     let ended = world.ended_programs();
     let holdings = world.engines.iter().flat_map(|engine| engine.holdings());
     holdings.into_iter().any(|(program, _)| ended.contains(program.as_str()))
 }
 
-fn conclude(settings: &SimSettings, mut world: World, held: HeldSamples) -> (SimReport, History) {
-    let unfinished = world.clients.programs.iter().filter(|program| !program.is_over).count();
+fn build_report(
+    settings: &SimSettings,
+    mut world: World,
+    samples: CacheSamples,
+) -> (SimReport, History) {
+    let unfinished = world.clients.programs.iter().filter(|program| !program.is_done).count();
     let mut history = std::mem::take(&mut world.history);
-    // Probes are no programs of callers, so there is nothing to judge them by.
+    // The calls of configuration probes belong to no recorded program.
     for engine in world.engines.iter().filter(|engine| engine.model_name.as_str() != PROBE_MODEL) {
         history.engine_records.extend(engine.records());
         let holdings = engine.holdings().into_iter().map(|(program, tokens)| Holding {
@@ -237,8 +243,8 @@
         invariants,
         program_latency_ms: Percentiles::of(latencies),
         wasted_cache: WastedCache {
-            dead_held_share: held.dead_share(),
-            rebuilt_token_share: rebuilt_share(&history.engine_records),
+            dead_held_share: samples.ended_share(),
+            rebuilt_token_share: recomputed_share(&history.engine_records),
         },
         events: world.events,
         virtual_ms: world.now.since(START).as_millis() as u64,
@@ -246,15 +252,18 @@
     (report, history)
 }
 
-/// Lines of the history about the program that the first violation names.
+/// Returns history lines about the program that the first violation mentions.
 fn excerpt(history: &History, invariants: &Invariants) -> Vec<String> {
     let verdicts = invariants.named();
     let Some(example) = verdicts.iter().find_map(|(_, verdict)| verdict.examples.first()) else {
         return Vec::new();
     };
-    let named = history.programs.iter().map(|trace| trace.id.as_str());
-    let of_tries = history.tries.iter().map(|call| call.program.as_str());
-    let program = named.chain(of_tries).filter(|id| example.contains(id)).max_by_key(|id| id.len());
+    let program_ids = history.programs.iter().map(|trace| trace.id.as_str());
+    let call_program_ids = history.tries.iter().map(|call| call.program.as_str());
+    let program = program_ids
+        .chain(call_program_ids)
+        .filter(|id| example.contains(id))
+        .max_by_key(|id| id.len());
     let Some(program) = program else {
         return Vec::new();
     };
@@ -283,11 +292,11 @@
         lines.push((record.arrived, text));
     }
     lines.sort();
-    let surplus = lines.len().saturating_sub(MAX_EXCERPT);
-    lines.into_iter().skip(surplus).map(|(_, text)| text).collect()
+    let skipped = lines.len().saturating_sub(MAX_EXCERPT_LINES);
+    lines.into_iter().skip(skipped).map(|(_, text)| text).collect()
 }
 
-/// Runs every seed on all cores, in no order, and returns reports by seed.
+/// Runs the seeds on `threads` threads and returns the reports in the order of seeds.
 pub fn run_many(
     scenario: Scenario,
     deployment: Deployment,
--- a/crates/lab/src/sim/scenario.rs
+++ b/crates/lab/src/sim/scenario.rs
@@ -1,4 +1,4 @@
-//! The named scenarios, and what they do when.
+//! Named scenarios and their fault schedules.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use super::fault::Fault;
 use super::world::WorldSize;
 
-/// Faults of random scenarios fall into this time.
+/// Period in which randomly scheduled faults are injected.
 const FAULT_WINDOW: Duration = Duration::from_secs(14);
-/// Faults of a combined scenario.
-const COMBINED_FAULTS: usize = 6;
+/// Number of random faults in the mixed and combined scenarios.
+const RANDOM_FAULTS: usize = 6;
 
-/// A fault at a time.
-pub type Planned = (Duration, Fault);
+/// A fault and its injection time, relative to the end of startup.
+pub type ScheduledFault = (Duration, Fault);
 
 macro_rules! scenarios {
     ($($(#[$doc:meta])* $variant:ident = $name:literal),+ $(,)?) => {
-        /// What happens to a fleet.
+        /// A named set of faults and load.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Scenario {
             $($(#[$doc])* $variant),+
         }
 
         impl Scenario {
-            /// Every scenario.
+            /// All scenarios.
             pub const ALL: &'static [Self] = &[$(Self::$variant),+];
 
-            /// Its name.
+            /// Returns the name.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name),+ }
             }
@@ -38,47 +38,47 @@
 }
 
 scenarios! {
-    /// Nothing goes wrong.
+    /// No faults.
     Calm = "calm",
-    /// A gateway dies between and during turns.
+    /// Gateways are killed, paused or isolated.
     GatewayDeath = "gateway-death",
-    /// An engine dies with its memory.
+    /// Engines are killed and lose their cache.
     EngineDeath = "engine-death",
-    /// Tools hang, engines stall.
+    /// Service replicas and engines hang or are killed.
     ToolHang = "tool-hang",
-    /// Programs loop without end.
+    /// A program issues calls without end, and another one is cancelled.
     RunawayProgram = "runaway-program",
-    /// A leader is cut off in silence and believes it is in charge.
+    /// Store machines, among them leaders, are isolated or paused.
     LeaderIsolation = "leader-isolation",
-    /// Operators race with equal versions.
+    /// Operators send conflicting writes based on the same version.
     WriteConflict = "write-conflict",
-    /// Answers get lost and requests are sent again.
+    /// Replies of the store are lost, so that requests are retried.
     LostReplyRetry = "lost-reply-retry",
-    /// A second machine is lost right after a repair.
+    /// Store machines lose their disks one after the other, each after full replication.
     SecondLossAfterRepair = "second-loss-after-repair",
-    /// A machine restarts after hundreds of changes.
+    /// A store machine and a gateway return after hundreds of configuration changes.
     RestartAfterLag = "restart-after-lag",
-    /// A gateway is stopped as planned.
+    /// Gateways shut down gracefully.
     GracefulShutdown = "graceful-shutdown",
-    /// Every gateway and store machine is restarted in turn.
+    /// All gateways and store machines are restarted in sequence.
     RollingRestart = "rolling-restart",
-    /// Engines leave, by operator and by platform.
+    /// Engines are drained by an operator and removed by the platform.
     BackendDrain = "backend-drain",
-    /// What engines report of their memory and load is lost.
+    /// Cache and load reports of engines are lost.
     CacheEventGaps = "cache-event-gaps",
-    /// A zone is cut off.
+    /// A zone is partitioned from the others.
     ZoneLoss = "zone-loss",
-    /// Far more programs arrive than the fleet can run at once.
+    /// A burst of programs exceeds the capacity of the fleet.
     Overload = "overload",
-    /// Disks are slow, full, or lose what was not synced.
+    /// Disks are slow, full, or lose unsynced data.
     SlowDisk = "slow-disk",
-    /// Frames are lost and repeated all the time.
+    /// Frames are lost and duplicated for most of the run.
     LossyNetwork = "lossy-network",
-    /// Any of them together, at random moments.
+    /// Random faults at random times.
     Mixed = "mixed",
-    /// Like `mixed`, with what every promise needs to be put to the test.
+    /// Like `mixed`, with additional faults so that every invariant is checked.
     Combined = "combined",
-    /// One of them again during its own recovery.
+    /// Random faults, each injected again during the recovery from the first.
     Twice = "twice",
 }
 
@@ -91,121 +91,125 @@
     }
 }
 
-/// Programs that come at once, so many that some are refused.
-const REFUSED_BURST: usize = 60;
+/// Number of programs in a burst large enough for some to be refused.
+const OVERLOAD_BURST: usize = 60;
 
 fn seconds(count: f64) -> Duration {
     Duration::from_secs_f64(count)
 }
 
 impl Scenario {
-    /// Draws the faults of one run.
-    pub fn plan(self, targets: WorldSize, random: &mut ChaCha8Rng) -> Vec<Planned> {
-        let mut planner = Planner { targets, random };
+    /// Returns the random fault schedule of one run.
+    pub fn draw_faults(self, fleet: WorldSize, random: &mut ChaCha8Rng) -> Vec<ScheduledFault> {
+        let mut planner = FaultPlanner { fleet, random };
         match self {
             Self::Calm => Vec::new(),
-            Self::GatewayDeath => planner.several(3, Planner::gateway_death),
-            Self::EngineDeath => planner.several(3, Planner::engine_death),
-            Self::ToolHang => planner.several(3, Planner::hang),
+            Self::GatewayDeath => planner.draw_several(3, FaultPlanner::gateway_death),
+            Self::EngineDeath => planner.draw_several(3, FaultPlanner::engine_death),
+            Self::ToolHang => planner.draw_several(3, FaultPlanner::backend_hang),
             Self::RunawayProgram => {
                 vec![(seconds(1.0), Fault::Runaway), (seconds(3.0), Fault::CancelProgram)]
             }
-            Self::LeaderIsolation => planner.several(2, Planner::isolation),
-            Self::WriteConflict => planner.several(8, |_| Fault::WriteConflict),
+            Self::LeaderIsolation => planner.draw_several(2, FaultPlanner::store_isolation),
+            Self::WriteConflict => planner.draw_several(8, |_| Fault::WriteConflict),
             Self::LostReplyRetry => {
-                planner.several(3, |planner| Fault::LoseReplies(planner.span(0.3, 1.5)))
+                planner.draw_several(3, |planner| Fault::LoseReplies(planner.duration(0.3, 1.5)))
             }
-            Self::SecondLossAfterRepair => planner.two_losses(),
+            Self::SecondLossAfterRepair => planner.two_disk_losses(),
             Self::RestartAfterLag => planner.restart_after_lag(),
-            Self::GracefulShutdown => planner.several(2, Planner::planned_stop),
+            Self::GracefulShutdown => planner.draw_several(2, FaultPlanner::graceful_stop),
             Self::RollingRestart => planner.rolling_restart(),
             Self::BackendDrain => vec![
-                (planner.moment(), Fault::DrainEngine(1)),
-                (planner.moment(), Fault::LeaveEngine(2)),
+                (planner.injection_time(), Fault::DrainEngine(1)),
+                (planner.injection_time(), Fault::LeaveEngine(2)),
             ],
-            Self::CacheEventGaps => {
-                planner.several(3, |planner| Fault::LoseEngineReports(planner.span(1.0, 4.0)))
-            }
-            Self::ZoneLoss => planner
-                .several(1, |planner| Fault::CutZone(planner.pick(4), planner.span(2.0, 8.0))),
+            Self::CacheEventGaps => planner
+                .draw_several(3, |planner| Fault::LoseEngineReports(planner.duration(1.0, 4.0))),
+            Self::ZoneLoss => planner.draw_several(1, |planner| {
+                Fault::CutZone(planner.pick_index(4), planner.duration(2.0, 8.0))
+            }),
             Self::Overload => vec![(seconds(1.0), Fault::Burst(60))],
-            Self::SlowDisk => planner.several(3, Planner::disk_trouble),
+            Self::SlowDisk => planner.draw_several(3, FaultPlanner::disk_fault),
             Self::LossyNetwork => vec![(seconds(0.5), Fault::LossyNetwork(seconds(20.0)))],
-            Self::Mixed => planner.several(COMBINED_FAULTS, Planner::any),
-            Self::Combined => planner.combined(),
-            Self::Twice => planner.twice(),
+            Self::Mixed => planner.draw_several(RANDOM_FAULTS, FaultPlanner::any_fault),
+            Self::Combined => planner.combined_faults(),
+            Self::Twice => planner.repeated_faults(),
         }
     }
 }
 
-struct Planner<'a> {
-    targets: WorldSize,
+struct FaultPlanner<'a> {
+    fleet: WorldSize,
     random: &'a mut ChaCha8Rng,
 }
 
-impl Planner<'_> {
-    fn moment(&mut self) -> Duration {
+impl FaultPlanner<'_> {
+    fn injection_time(&mut self) -> Duration {
         FAULT_WINDOW.mul_f64(self.random.random_range(0.05..1.0))
     }
 
-    fn span(&mut self, shortest: f64, longest: f64) -> Duration {
+    fn duration(&mut self, shortest: f64, longest: f64) -> Duration {
         seconds(self.random.random_range(shortest..longest))
     }
 
-    fn pick(&mut self, count: usize) -> usize {
+    fn pick_index(&mut self, count: usize) -> usize {
         self.random.random_range(0..count)
     }
 
-    fn several(&mut self, count: usize, mut draw: impl FnMut(&mut Self) -> Fault) -> Vec<Planned> {
-        (0..count).map(|_| (self.moment(), draw(self))).collect()
+    fn draw_several(
+        &mut self,
+        count: usize,
+        mut draw: impl FnMut(&mut Self) -> Fault,
+    ) -> Vec<ScheduledFault> {
+        (0..count).map(|_| (self.injection_time(), draw(self))).collect()
     }
 
     fn gateway_death(&mut self) -> Fault {
-        let gateway = self.pick(self.targets.gateways);
-        match self.pick(3) {
-            0 => Fault::FreezeGateway(gateway, self.span(1.0, 6.0)),
-            1 => Fault::IsolateGateway(gateway, self.span(1.0, 6.0)),
-            _ => Fault::KillGateway(gateway, self.span(0.2, 6.0)),
+        let gateway = self.pick_index(self.fleet.gateways);
+        match self.pick_index(3) {
+            0 => Fault::FreezeGateway(gateway, self.duration(1.0, 6.0)),
+            1 => Fault::IsolateGateway(gateway, self.duration(1.0, 6.0)),
+            _ => Fault::KillGateway(gateway, self.duration(0.2, 6.0)),
         }
     }
 
     fn engine_death(&mut self) -> Fault {
-        Fault::KillEngine(self.pick(self.targets.engines), self.span(0.2, 6.0))
+        Fault::KillEngine(self.pick_index(self.fleet.engines), self.duration(0.2, 6.0))
     }
 
-    fn hang(&mut self) -> Fault {
-        match self.pick(3) {
-            0 => Fault::HangReplica(self.pick(self.targets.replicas), self.span(1.0, 15.0)),
-            1 => Fault::KillReplica(self.pick(self.targets.replicas), self.span(1.0, 5.0)),
-            _ => Fault::HangEngine(self.pick(self.targets.engines), self.span(1.0, 15.0)),
+    fn backend_hang(&mut self) -> Fault {
+        match self.pick_index(3) {
+            0 => Fault::HangReplica(self.pick_index(self.fleet.replicas), self.duration(1.0, 15.0)),
+            1 => Fault::KillReplica(self.pick_index(self.fleet.replicas), self.duration(1.0, 5.0)),
+            _ => Fault::HangEngine(self.pick_index(self.fleet.engines), self.duration(1.0, 15.0)),
         }
     }
 
-    fn isolation(&mut self) -> Fault {
-        match self.pick(3) {
-            0 => Fault::FreezeStore(self.pick(self.targets.stores), self.span(0.3, 5.0)),
-            1 => Fault::IsolateStore(self.pick(self.targets.stores), self.span(0.3, 5.0)),
-            _ => Fault::IsolateLeader(self.span(0.3, 6.0)),
+    fn store_isolation(&mut self) -> Fault {
+        match self.pick_index(3) {
+            0 => Fault::FreezeStore(self.pick_index(self.fleet.stores), self.duration(0.3, 5.0)),
+            1 => Fault::IsolateStore(self.pick_index(self.fleet.stores), self.duration(0.3, 5.0)),
+            _ => Fault::IsolateLeader(self.duration(0.3, 6.0)),
         }
     }
 
-    fn planned_stop(&mut self) -> Fault {
-        Fault::StopGateway(self.pick(self.targets.gateways), self.span(0.2, 3.0))
+    fn graceful_stop(&mut self) -> Fault {
+        Fault::StopGateway(self.pick_index(self.fleet.gateways), self.duration(0.2, 3.0))
     }
 
-    fn disk_trouble(&mut self) -> Fault {
-        let store = self.pick(self.targets.stores);
-        match self.pick(3) {
-            0 => Fault::SlowDisk(store, self.span(1.0, 5.0)),
-            1 => Fault::FullDisk(store, self.span(0.5, 3.0)),
-            _ => Fault::KillStore(store, self.span(0.2, 4.0)),
+    fn disk_fault(&mut self) -> Fault {
+        let store = self.pick_index(self.fleet.stores);
+        match self.pick_index(3) {
+            0 => Fault::SlowDisk(store, self.duration(1.0, 5.0)),
+            1 => Fault::FullDisk(store, self.duration(0.5, 3.0)),
+            _ => Fault::KillStore(store, self.duration(0.2, 4.0)),
         }
     }
 
-    fn two_losses(&mut self) -> Vec<Planned> {
-        let first = self.pick(self.targets.stores);
-        let second = (first + 1 + self.pick(self.targets.stores - 1)) % self.targets.stores;
-        let at = self.span(1.0, 4.0);
+    fn two_disk_losses(&mut self) -> Vec<ScheduledFault> {
+        let first = self.pick_index(self.fleet.stores);
+        let second = (first + 1 + self.pick_index(self.fleet.stores - 1)) % self.fleet.stores;
+        let at = self.duration(1.0, 4.0);
         vec![
             (at, Fault::LoseDisk(first)),
             (at + seconds(0.5), Fault::LoseNextDisk(second)),
@@ -213,9 +217,9 @@
         ]
     }
 
-    fn restart_after_lag(&mut self) -> Vec<Planned> {
-        let store = self.pick(self.targets.stores);
-        let gateway = self.pick(self.targets.gateways);
+    fn restart_after_lag(&mut self) -> Vec<ScheduledFault> {
+        let store = self.pick_index(self.fleet.stores);
+        let gateway = self.pick_index(self.fleet.gateways);
         vec![
             (seconds(1.0), Fault::KillStore(store, seconds(10.0))),
             (seconds(1.0), Fault::FreezeGateway(gateway, seconds(10.0))),
@@ -223,42 +227,42 @@
         ]
     }
 
-    fn rolling_restart(&mut self) -> Vec<Planned> {
-        let mut planned = Vec::new();
+    fn rolling_restart(&mut self) -> Vec<ScheduledFault> {
+        let mut schedule = Vec::new();
         let mut at = 1.0;
-        for gateway in 0..self.targets.gateways {
-            planned.push((seconds(at), Fault::StopGateway(gateway, seconds(0.5))));
+        for gateway in 0..self.fleet.gateways {
+            schedule.push((seconds(at), Fault::StopGateway(gateway, seconds(0.5))));
             at += 4.0;
         }
-        for store in 0..self.targets.stores {
-            planned.push((seconds(at), Fault::KillStore(store, seconds(0.8))));
+        for store in 0..self.fleet.stores {
+            schedule.push((seconds(at), Fault::KillStore(store, seconds(0.8))));
             at += 4.0;
         }
-        planned
+        schedule
     }
 
-    /// Any faults, and what each promise needs to be put to the test.
-    fn combined(&mut self) -> Vec<Planned> {
-        let mut planned = self.several(COMBINED_FAULTS, Self::any);
-        planned.push((self.moment(), self.planned_stop()));
-        planned.push((self.moment(), Fault::DrainEngine(1)));
-        planned.push((self.moment(), Fault::LeaveEngine(2)));
-        planned.push((self.moment(), Fault::Burst(REFUSED_BURST)));
-        planned
+    /// Schedules random faults and those that each invariant needs to be checked.
+    fn combined_faults(&mut self) -> Vec<ScheduledFault> {
+        let mut schedule = self.draw_several(RANDOM_FAULTS, Self::any_fault);
+        schedule.push((self.injection_time(), self.graceful_stop()));
+        schedule.push((self.injection_time(), Fault::DrainEngine(1)));
+        schedule.push((self.injection_time(), Fault::LeaveEngine(2)));
+        schedule.push((self.injection_time(), Fault::Burst(OVERLOAD_BURST)));
+        schedule
     }
 
-    fn any(&mut self) -> Fault {
-        match self.pick(16) {
+    fn any_fault(&mut self) -> Fault {
+        match self.pick_index(16) {
             0..=2 => self.gateway_death(),
             3 => self.engine_death(),
-            4..=5 => self.hang(),
-            6..=8 => self.isolation(),
-            9 => self.planned_stop(),
-            10..=11 => self.disk_trouble(),
-            12 => Fault::LoseReplies(self.span(0.3, 1.5)),
-            13 => Fault::LossyNetwork(self.span(1.0, 6.0)),
-            14 => Fault::CutZone(self.pick(4), self.span(1.0, 4.0)),
-            _ => match self.pick(5) {
+            4..=5 => self.backend_hang(),
+            6..=8 => self.store_isolation(),
+            9 => self.graceful_stop(),
+            10..=11 => self.disk_fault(),
+            12 => Fault::LoseReplies(self.duration(0.3, 1.5)),
+            13 => Fault::LossyNetwork(self.duration(1.0, 6.0)),
+            14 => Fault::CutZone(self.pick_index(4), self.duration(1.0, 4.0)),
+            _ => match self.pick_index(5) {
                 0 => Fault::WriteConflict,
                 1 => Fault::CancelProgram,
                 2 => Fault::LeaveEngine(3),
@@ -268,15 +272,15 @@
         }
     }
 
-    /// The same fault again, a little into the recovery from it.
-    fn twice(&mut self) -> Vec<Planned> {
-        let mut planned = Vec::new();
+    /// Schedules random faults, each repeated shortly after its first injection.
+    fn repeated_faults(&mut self) -> Vec<ScheduledFault> {
+        let mut schedule = Vec::new();
         for _ in 0..3 {
-            let at = self.moment();
-            let fault = self.any();
-            planned.push((at, fault));
-            planned.push((at + self.span(0.1, 3.0), fault));
+            let at = self.injection_time();
+            let fault = self.any_fault();
+            schedule.push((at, fault));
+            schedule.push((at + self.duration(0.1, 3.0), fault));
         }
-        planned
+        schedule
     }
 }
