--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -1,4 +1,4 @@
-//! The clock, the queue of events, and all parts of the fleet.
+//! Virtual clock, event queue and the nodes of the simulated fleet.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -14,69 +14,69 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::account::Account;
-use super::backends::{EnginePart, ReplicaPart};
+use super::backends::{SimEngine, SimReplica};
 use super::caller::Clients;
 use super::disk::SimDisk;
 use super::fault::Fault;
-use super::frame::{Actor, ClientNews, ClientRequest, Frame, Start};
+use super::frame::{Actor, ClientEvent, ClientRequest, Frame, Generation};
 use super::network::{Network, zone_name};
 use crate::deployment::Deployment;
 use crate::history::{History, TryEnd};
 
-/// Groups that hold programs.
+/// Number of replication groups that store programs.
 pub const PROGRAM_GROUPS: u32 = 2;
-/// How often time passes for a store machine or gateway.
-const TICK: Duration = Duration::from_millis(20);
-/// Time between readings of the platform's list.
+/// Interval of timer ticks at store machines and gateways.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which gateways read the platform's list of machines.
 const PLATFORM_INTERVAL: Duration = Duration::from_secs(1);
-/// Time of one sync of a healthy disk, and of a slow one.
-const SYNC: Duration = Duration::from_micros(800);
-const SLOW_SYNC: Duration = Duration::from_millis(150);
-/// Silence after which a client hangs up.
+/// Duration of a sync on a healthy and on a slow disk.
+const SYNC_DURATION: Duration = Duration::from_micros(800);
+const SLOW_SYNC_DURATION: Duration = Duration::from_millis(150);
+/// Time after which a client abandons a request.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Unix time at which simulations begin, in milliseconds.
+/// Unix time of the zero of virtual time, in milliseconds.
 const EPOCH_MILLIS: u64 = 1_700_000_000_000;
-/// Virtual time starts here, so that moments before the start exist.
+/// Virtual time at the start; not zero, so that earlier moments can be represented.
 pub const START: Moment = Moment::from_micros(10_000_000);
 
-/// Something that will happen.
+/// An event of the simulation.
 #[derive(Debug)]
-pub enum Happening {
-    /// A frame arrives.
-    Arrive(Actor, Box<Frame>),
-    /// A part that stood still goes on.
-    Thaw(Actor),
-    /// Time passes for a part.
-    Tick(Actor, Start),
-    /// A store machine's sync is done.
-    Synced(usize, Start),
+pub enum SimEvent {
+    /// A frame arrives at a node.
+    Deliver(Actor, Box<Frame>),
+    /// A paused node resumes.
+    Resume(Actor),
+    /// The periodic timer of a node fires.
+    Tick(Actor, Generation),
+    /// A store machine completes its sync.
+    SyncDone(usize, Generation),
     /// A step of an engine ends.
-    EngineStep(usize, Start),
-    /// A job of a replica is executed.
-    JobDone(usize, Start, Box<Frame>),
-    /// A gateway reads the platform's list.
-    ReadPlatform(usize, Start),
-    /// A client's patience with a request ends.
+    EngineStep(usize, Generation),
+    /// A replica completes a job.
+    JobDone(usize, Generation, Box<Frame>),
+    /// A gateway reads the platform's list of machines.
+    ReadPlatform(usize, Generation),
+    /// A client request times out.
     ClientTimeout(Ticket),
-    /// A client does what it planned.
-    ClientWake(super::caller::Wake),
-    /// A fault begins.
-    FaultBegins(Fault),
-    /// A fault ends.
-    FaultEnds(Fault),
+    /// A timer of a client fires.
+    ClientTimer(super::caller::ClientTimer),
+    /// A fault is injected.
+    InjectFault(Fault),
+    /// A fault heals.
+    HealFault(Fault),
 }
 
-/// One entry of the queue.
+/// An entry of the event queue, ordered by time and then by insertion.
 #[derive(Debug)]
 struct Scheduled {
     at: Moment,
-    number: u64,
-    happening: Happening,
+    sequence: u64,
+    event: SimEvent,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -90,64 +90,64 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// A store machine.
-pub struct StorePart {
+pub struct SimStore {
     pub(super) service: Option<StoreService>,
     pub(super) log: Option<DiskLog<SimDisk>>,
-    /// The disk while the machine is down.
+    /// Holds the disk while the machine is down.
     pub(super) disk: SimDisk,
     pub(super) id: ReplicaId,
-    pub(super) start: Start,
+    pub(super) generation: Generation,
     pub(super) frozen_until: Moment,
     pub(super) sync: Duration,
     inbox: VecDeque<Frame>,
-    /// What may be said once the sync is done.
-    waiting: Option<Vec<StoreAction>>,
-    clients: BTreeMap<u64, (usize, Start)>,
+    /// Actions to perform once the current sync completes.
+    pending_actions: Option<Vec<StoreAction>>,
+    clients: BTreeMap<u64, (usize, Generation)>,
     next_client: u64,
 }
 
 /// A gateway.
-pub struct GatewayPart {
+pub struct SimGateway {
     pub(super) core: Option<Gateway>,
     pub(super) name: NodeId,
-    pub(super) start: Start,
+    pub(super) generation: Generation,
     pub(super) frozen_until: Moment,
-    pub(super) stopping_since: Option<Moment>,
-    /// How long it stays away after its planned stop.
-    pub(super) away: Duration,
+    pub(super) stop_requested_at: Option<Moment>,
+    /// Time between a graceful shutdown and the restart.
+    pub(super) downtime: Duration,
 }
 
 /// Sizes of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct WorldSize {
-    /// Store machines.
+    /// Number of store machines.
     pub stores: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines that serve the model.
+    /// Number of engines that serve the model.
     pub engines: usize,
-    /// Replicas.
+    /// Number of service replicas.
     pub replicas: usize,
-    /// Entries after which a group writes a snapshot.
+    /// Number of log entries after which a group writes a snapshot.
     pub entries_per_snapshot: u64,
 }
 
-/// Everything.
+/// State of a simulation.
 pub struct World {
     pub(super) now: Moment,
     queue: BinaryHeap<Reverse<Scheduled>>,
-    next_number: u64,
+    next_sequence: u64,
     pub(super) random: ChaCha8Rng,
     pub(super) network: Network,
-    pub(super) stores: Vec<StorePart>,
-    pub(super) gateways: Vec<GatewayPart>,
-    pub(super) engines: Vec<EnginePart>,
-    pub(super) replicas: Vec<ReplicaPart>,
+    pub(super) stores: Vec<SimStore>,
+    pub(super) gateways: Vec<SimGateway>,
+    pub(super) engines: Vec<SimEngine>,
+    pub(super) replicas: Vec<SimReplica>,
     pub(super) platform: PlatformModel,
     pub(super) clients: Clients,
     pub(super) history: History,
@@ -156,16 +156,16 @@
     pub(super) lose_reports_until: Moment,
     pub(super) isolated_leaders: VecDeque<usize>,
     pub(super) faults: u64,
-    parked: BTreeMap<Actor, Vec<Frame>>,
+    deferred: BTreeMap<Actor, Vec<Frame>>,
     pub(super) events: u64,
-    /// What each part costs, when a run asks for it.
+    /// Records costs per node when set.
     pub(crate) account: Option<Account>,
     entries_per_snapshot: u64,
     digest: blake3::Hasher,
 }
 
 impl World {
-    /// A fleet at its first start.
+    /// Creates a fleet and starts all its nodes.
     pub fn new(deployment: Deployment, size: WorldSize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let engines = super::backends::engines(deployment, size.engines, &mut random);
@@ -175,7 +175,7 @@
         let mut world = Self {
             now: START,
             queue: BinaryHeap::new(),
-            next_number: 0,
+            next_sequence: 0,
             random,
             network: Network::new(deployment),
             stores: Vec::new(),
@@ -190,38 +190,38 @@
             lose_reports_until: Moment::ZERO,
             isolated_leaders: VecDeque::new(),
             faults: 0,
-            parked: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             events: 0,
             account: None,
             entries_per_snapshot: size.entries_per_snapshot,
             digest: blake3::Hasher::new(),
         };
         for index in 0..size.stores {
-            world.stores.push(StorePart::new(index));
+            world.stores.push(SimStore::new(index));
         }
         for index in 0..size.stores {
             world.start_store(index, size.stores);
         }
         for index in 0..size.gateways {
-            world.gateways.push(GatewayPart::new(index));
+            world.gateways.push(SimGateway::new(index));
             world.start_gateway(index);
         }
         world
     }
 
-    /// Plans something.
-    pub(super) fn plan(&mut self, at: Moment, happening: Happening) {
-        self.next_number += 1;
-        let number = self.next_number;
-        self.queue.push(Reverse(Scheduled { at, number, happening }));
+    /// Schedules an event.
+    pub(super) fn schedule(&mut self, at: Moment, event: SimEvent) {
+        self.next_sequence += 1;
+        let sequence = self.next_sequence;
+        self.queue.push(Reverse(Scheduled { at, sequence, event }));
     }
 
-    /// Plans something after a time.
-    pub(super) fn plan_in(&mut self, after: Duration, happening: Happening) {
-        self.plan(self.now + after, happening);
+    /// Schedules an event after a delay.
+    pub(super) fn schedule_in(&mut self, after: Duration, event: SimEvent) {
+        self.schedule(self.now + after, event);
     }
 
-    /// Lets the next thing happen; `false` when there is none before `end`.
+    /// Processes the next event; returns `false` if none is due by `end`.
     pub fn advance(&mut self, end: Moment) -> bool {
         let is_due = self.queue.peek().is_some_and(|Reverse(next)| next.at <= end);
         if !is_due {
@@ -232,24 +232,24 @@
         };
         self.now = self.now.max(next.at);
         self.events += 1;
-        self.note(&next);
-        self.happen(next.happening);
+        self.update_digest(&next);
+        self.handle_event(next.event);
         true
     }
 
-    /// The present moment.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Moment {
         self.now
     }
 
-    /// Lets everything happen that is due within a time.
+    /// Processes all events of a period and advances the clock to its end.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.advance(end) {}
         self.now = end;
     }
 
-    /// Model calls that were answered, and the average tokens of their prompts.
+    /// Returns the number of answered model calls and their average prompt tokens.
     pub fn answered_model_calls(&self) -> (usize, f64) {
         let answered = self.history.tries.iter().filter_map(|call| match &call.end {
             TryEnd::Answered { usage, .. } if usage.prompt_tokens > 0 => Some(usage.prompt_tokens),
@@ -260,143 +260,145 @@
         (prompts.len(), sum as f64 / prompts.len().max(1) as f64)
     }
 
-    /// Digest of everything that happened, and of what was recorded of it.
+    /// Returns a digest of all processed events and of `history`.
     pub fn digest_with(&self, history: &History) -> String {
         let mut digest = self.digest.clone();
         digest.update(format!("{history:?}").as_bytes());
         digest.finalize().to_hex().to_string()
     }
 
-    fn note(&mut self, next: &Scheduled) {
+    fn update_digest(&mut self, next: &Scheduled) {
         self.digest.update(&next.at.as_micros().to_le_bytes());
-        let what = match &next.happening {
-            Happening::Arrive(to, frame) => format!("{to:?}{:?}", std::mem::discriminant(&**frame)),
-            Happening::Tick(actor, start) => format!("tick{actor:?}{start}"),
-            Happening::ClientTimeout(ticket) => format!("timeout{ticket}"),
+        let label = match &next.event {
+            SimEvent::Deliver(to, frame) => format!("{to:?}{:?}", std::mem::discriminant(&**frame)),
+            SimEvent::Tick(actor, generation) => format!("tick{actor:?}{generation}"),
+            SimEvent::ClientTimeout(ticket) => format!("timeout{ticket}"),
             other => format!("{:?}", std::mem::discriminant(other)),
         };
-        self.digest.update(what.as_bytes());
-    }
-
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive(to, frame) => self.arrive(to, *frame),
-            Happening::Thaw(actor) => self.thaw(actor),
-            Happening::Tick(actor, start) => self.tick(actor, start),
-            Happening::Synced(store, start) => self.synced(store, start),
-            Happening::EngineStep(engine, start) => self.engine_step(engine, start),
-            Happening::JobDone(replica, start, frame) => self.job_done(replica, start, *frame),
-            Happening::ReadPlatform(gateway, start) => self.read_platform(gateway, start),
-            Happening::ClientTimeout(ticket) => self.client_timeout(ticket),
-            Happening::ClientWake(wake) => self.client_wake(wake),
-            Happening::FaultBegins(fault) => self.begin_fault(fault),
-            Happening::FaultEnds(fault) => self.end_fault(fault),
+        self.digest.update(label.as_bytes());
+    }
+
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver(to, frame) => self.deliver(to, *frame),
+            SimEvent::Resume(actor) => self.resume(actor),
+            SimEvent::Tick(actor, generation) => self.tick(actor, generation),
+            SimEvent::SyncDone(store, generation) => self.finish_sync(store, generation),
+            SimEvent::EngineStep(engine, generation) => self.engine_step(engine, generation),
+            SimEvent::JobDone(replica, generation, frame) => {
+                self.job_done(replica, generation, *frame)
+            }
+            SimEvent::ReadPlatform(gateway, generation) => self.read_platform(gateway, generation),
+            SimEvent::ClientTimeout(ticket) => self.handle_client_timeout(ticket),
+            SimEvent::ClientTimer(timer) => self.handle_client_timer(timer),
+            SimEvent::InjectFault(fault) => self.inject_fault(fault),
+            SimEvent::HealFault(fault) => self.heal_fault(fault),
         }
     }
 
-    fn arrive(&mut self, to: Actor, frame: Frame) {
+    fn deliver(&mut self, to: Actor, frame: Frame) {
         let is_report =
             matches!(frame, Frame::Listing { .. } | Frame::Released { .. } | Frame::Report { .. });
         if is_report && self.now < self.lose_reports_until {
             return;
         }
-        let begin = Instant::now();
-        self.arrive_at(to, frame);
-        self.note_busy(to, begin);
+        let began = Instant::now();
+        self.handle_frame(to, frame);
+        self.record_busy(to, began);
     }
 
-    fn arrive_at(&mut self, to: Actor, frame: Frame) {
+    fn handle_frame(&mut self, to: Actor, frame: Frame) {
         match to {
             Actor::Store(index) => self.store_input(index, frame),
             Actor::Gateway(index) => self.gateway_input(index, frame),
             Actor::Engine(index) => self.engine_input(index, frame),
             Actor::Replica(index) => self.replica_input(index, frame),
             Actor::Client => {
-                if let Frame::News { ticket, news } = frame {
-                    self.client_news(ticket, news);
+                if let Frame::ClientEvent { ticket, event } = frame {
+                    self.handle_client_event(ticket, event);
                 }
             }
             Actor::Platform => {}
         }
     }
 
-    /// Sends a frame that may be lost, repeated or overtaken.
+    /// Sends a frame that may be lost, duplicated or reordered.
     pub(super) fn send(&mut self, from: Actor, to: Actor, frame: Frame) {
-        let begin = Instant::now();
+        let began = Instant::now();
         if let Some(account) = &mut self.account {
-            account.note_frame(from, to, &frame);
+            account.record_frame(from, to, &frame);
         }
         let arrivals = self.network.arrivals(self.now, from, to, &mut self.random);
         for at in arrivals {
-            self.plan(at, Happening::Arrive(to, Box::new(frame.clone())));
+            self.schedule(at, SimEvent::Deliver(to, Box::new(frame.clone())));
         }
         if let Some(account) = &mut self.account {
-            account.note_network(begin.elapsed());
+            account.record_network(began.elapsed());
         }
     }
 
-    /// Sends a frame on a connection that keeps its order; `false` when it is cut.
+    /// Sends a frame on an ordered connection; returns `false` if there is no path.
     pub(super) fn send_ordered(&mut self, from: Actor, to: Actor, frame: Frame) -> bool {
         match self.network.ordered_arrival(self.now, from, to, &mut self.random) {
             Some(at) => {
-                self.plan(at, Happening::Arrive(to, Box::new(frame)));
+                self.schedule(at, SimEvent::Deliver(to, Box::new(frame)));
                 true
             }
             None => false,
         }
     }
 
-    /// A part stands still: it will see this later, in the same order.
-    fn park(&mut self, to: Actor, until: Moment, frame: Frame) {
-        let parked = self.parked.entry(to).or_default();
-        parked.push(frame);
-        if parked.len() == 1 {
-            self.plan(until, Happening::Thaw(to));
+    /// Holds back a frame for a paused node until it resumes; the order is kept.
+    fn defer(&mut self, to: Actor, until: Moment, frame: Frame) {
+        let deferred = self.deferred.entry(to).or_default();
+        deferred.push(frame);
+        if deferred.len() == 1 {
+            self.schedule(until, SimEvent::Resume(to));
         }
     }
 
-    fn thaw(&mut self, actor: Actor) {
+    fn resume(&mut self, actor: Actor) {
         let frozen_until = match actor {
             Actor::Store(index) => self.stores[index].frozen_until,
             Actor::Gateway(index) => self.gateways[index].frozen_until,
             _ => Moment::ZERO,
         };
         if frozen_until > self.now {
-            return self.plan(frozen_until, Happening::Thaw(actor));
+            return self.schedule(frozen_until, SimEvent::Resume(actor));
         }
-        for frame in self.parked.remove(&actor).unwrap_or_default() {
-            self.arrive(actor, frame);
+        for frame in self.deferred.remove(&actor).unwrap_or_default() {
+            self.deliver(actor, frame);
         }
     }
 
-    fn tick(&mut self, actor: Actor, start: Start) {
-        let begin = Instant::now();
-        self.tick_part(actor, start);
-        self.note_busy(actor, begin);
+    fn tick(&mut self, actor: Actor, generation: Generation) {
+        let began = Instant::now();
+        self.tick_node(actor, generation);
+        self.record_busy(actor, began);
     }
 
-    fn note_busy(&mut self, actor: Actor, begin: Instant) {
+    fn record_busy(&mut self, actor: Actor, began: Instant) {
         if let Some(account) = &mut self.account {
-            account.note_busy(actor, begin.elapsed());
+            account.record_busy(actor, began.elapsed());
         }
     }
 
-    fn tick_part(&mut self, actor: Actor, start: Start) {
+    fn tick_node(&mut self, actor: Actor, generation: Generation) {
         match actor {
-            Actor::Store(index) if self.stores[index].start == start => {
+            Actor::Store(index) if self.stores[index].generation == generation => {
                 let frozen_until = self.stores[index].frozen_until;
                 if frozen_until > self.now {
-                    return self.plan(frozen_until, Happening::Tick(actor, start));
+                    return self.schedule(frozen_until, SimEvent::Tick(actor, generation));
                 }
-                self.plan_in(TICK, Happening::Tick(actor, start));
+                self.schedule_in(TICK_INTERVAL, SimEvent::Tick(actor, generation));
                 self.run_store(index);
             }
-            Actor::Gateway(index) if self.gateways[index].start == start => {
+            Actor::Gateway(index) if self.gateways[index].generation == generation => {
                 let frozen_until = self.gateways[index].frozen_until;
                 if frozen_until > self.now {
-                    return self.plan(frozen_until, Happening::Tick(actor, start));
+                    return self.schedule(frozen_until, SimEvent::Tick(actor, generation));
                 }
-                self.plan_in(TICK, Happening::Tick(actor, start));
+                self.schedule_in(TICK_INTERVAL, SimEvent::Tick(actor, generation));
                 let now = self.now;
                 let actions = self.gateways[index]
                     .core
@@ -413,22 +415,22 @@
 
     pub(super) fn start_store(&mut self, index: usize, machines: usize) {
         let has_started = self.now > START;
-        let part = &mut self.stores[index];
-        part.start += 1;
-        part.inbox.clear();
-        part.waiting = None;
-        part.frozen_until = Moment::ZERO;
-        let disk = std::mem::take(&mut part.disk);
+        let store = &mut self.stores[index];
+        store.generation += 1;
+        store.inbox.clear();
+        store.pending_actions = None;
+        store.frozen_until = Moment::ZERO;
+        let disk = std::mem::take(&mut store.disk);
         let Ok((mut log, recovered)) = DiskLog::open(disk) else {
             return;
         };
         let identity = recovered.disk.unwrap_or_else(|| {
-            // What the driver finds out by asking the other machines.
+            // The production driver chooses the identity after asking the other machines.
             let disk = if has_started { self.random.random_range(1..=u32::MAX) } else { 0 };
             let _ = log.write_identity(disk, &[]);
             disk
         });
-        part.id = ReplicaId { machine: index as u32 + 1, disk: identity };
+        store.id = ReplicaId { machine: index as u32 + 1, disk: identity };
         let settings = NodeSettings {
             raft: RaftSettings::default(),
             entries_per_snapshot: self.entries_per_snapshot,
@@ -438,63 +440,62 @@
         };
         let numbers: Vec<u32> = (1..=machines as u32).collect();
         let groups = GroupMap::new(PROGRAM_GROUPS);
-        part.service =
-            Some(StoreService::new(part.id, settings, &numbers, groups, recovered, self.now));
-        part.log = Some(log);
-        let start = part.start;
-        self.plan_in(TICK, Happening::Tick(Actor::Store(index), start));
+        store.service =
+            Some(StoreService::new(store.id, settings, &numbers, groups, recovered, self.now));
+        store.log = Some(log);
+        let generation = store.generation;
+        self.schedule_in(TICK_INTERVAL, SimEvent::Tick(Actor::Store(index), generation));
     }
 
-    /// Stops a store machine without warning. `kept` bytes of what was not
-    /// synced remain.
-    pub(super) fn kill_store(&mut self, index: usize, kept: usize) {
-        self.parked.remove(&Actor::Store(index));
-        let part = &mut self.stores[index];
-        part.start += 1;
-        part.service = None;
-        part.frozen_until = Moment::ZERO;
-        part.inbox.clear();
-        part.waiting = None;
-        if let Some(log) = part.log.take() {
-            part.disk = log.into_disk();
+    /// Kills a store machine; at most `kept_bytes` of the unsynced data of each file remain.
+    pub(super) fn kill_store(&mut self, index: usize, kept_bytes: usize) {
+        self.deferred.remove(&Actor::Store(index));
+        let store = &mut self.stores[index];
+        store.generation += 1;
+        store.service = None;
+        store.frozen_until = Moment::ZERO;
+        store.inbox.clear();
+        store.pending_actions = None;
+        if let Some(log) = store.log.take() {
+            store.disk = log.into_disk();
         }
-        part.disk.crash(kept);
+        store.disk.crash(kept_bytes);
     }
 
     fn store_input(&mut self, index: usize, frame: Frame) {
-        let part = &mut self.stores[index];
-        if part.service.is_none() {
+        let store = &mut self.stores[index];
+        if store.service.is_none() {
             return;
         }
-        if part.frozen_until > self.now || self.parked.contains_key(&Actor::Store(index)) {
-            let until = part.frozen_until;
-            return self.park(Actor::Store(index), until, frame);
+        if store.frozen_until > self.now || self.deferred.contains_key(&Actor::Store(index)) {
+            let until = store.frozen_until;
+            return self.defer(Actor::Store(index), until, frame);
         }
-        part.inbox.push_back(frame);
-        if part.waiting.is_none() {
+        store.inbox.push_back(frame);
+        if store.pending_actions.is_none() {
             self.run_store(index);
         }
     }
 
-    /// Takes all that waits, and syncs once.
+    /// Processes the inbox and starts a sync.
     fn run_store(&mut self, index: usize) {
         let now = self.now;
         let unix_millis = EPOCH_MILLIS + now.as_millis();
-        let part = &mut self.stores[index];
-        if part.waiting.is_some() {
+        let store = &mut self.stores[index];
+        if store.pending_actions.is_some() {
             return;
         }
-        let (Some(service), Some(log)) = (&mut part.service, &mut part.log) else {
+        let (Some(service), Some(log)) = (&mut store.service, &mut store.log) else {
             return;
         };
         service.tick(now, unix_millis);
-        for frame in std::mem::take(&mut part.inbox) {
+        for frame in std::mem::take(&mut store.inbox) {
             match frame {
                 Frame::StorePeer { from, messages } => service.receive(now, from, messages),
-                Frame::StoreRequest { gateway, start, id, request } => {
-                    part.next_client += 1;
-                    part.clients.insert(part.next_client, (gateway, start));
-                    service.request(now, unix_millis, part.next_client, id, *request);
+                Frame::StoreRequest { gateway, generation, id, request } => {
+                    store.next_client += 1;
+                    store.clients.insert(store.next_client, (gateway, generation));
+                    service.request(now, unix_millis, store.next_client, id, *request);
                 }
                 _ => {}
             }
@@ -502,30 +503,30 @@
         match service.flush(now, log) {
             Ok(actions) => {
                 let syncs = log.disk_mut().take_syncs();
-                part.waiting = Some(actions);
-                let (sync, start) = (part.sync, part.start);
+                store.pending_actions = Some(actions);
+                let (sync, generation) = (store.sync, store.generation);
                 let busy = sync.mul_f64(syncs as f64);
-                self.plan_in(busy, Happening::Synced(index, start));
+                self.schedule_in(busy, SimEvent::SyncDone(index, generation));
             }
-            // The machine stops taking part; its peers carry on.
+            // A machine that cannot write stops; its peers continue.
             Err(_) => self.kill_store(index, 0),
         }
     }
 
-    fn synced(&mut self, index: usize, start: Start) {
-        let part = &mut self.stores[index];
-        if part.start != start {
+    fn finish_sync(&mut self, index: usize, generation: Generation) {
+        let store = &mut self.stores[index];
+        if store.generation != generation {
             return;
         }
-        if part.frozen_until > self.now {
-            let until = part.frozen_until;
-            return self.plan(until, Happening::Synced(index, start));
+        if store.frozen_until > self.now {
+            let until = store.frozen_until;
+            return self.schedule(until, SimEvent::SyncDone(index, generation));
         }
-        if let Some(log) = &mut part.log {
+        if let Some(log) = &mut store.log {
             log.disk_mut().settle();
         }
-        let actions = part.waiting.take().unwrap_or_default();
-        let from = part.id;
+        let actions = store.pending_actions.take().unwrap_or_default();
+        let from = store.id;
         for action in actions {
             match action {
                 StoreAction::SendPeer { to, messages } => {
@@ -541,13 +542,13 @@
     }
 
     fn reply(&mut self, store: usize, client: u64, id: u64, reply: StoreReply) {
-        let Some((gateway, start)) = self.stores[store].clients.remove(&client) else {
+        let Some((gateway, generation)) = self.stores[store].clients.remove(&client) else {
             return;
         };
         if self.now < self.lose_replies_until && self.random.random_bool(0.7) {
             return;
         }
-        let frame = Frame::StoreReply { start, id, reply };
+        let frame = Frame::StoreReply { generation, id, reply };
         self.send(Actor::Store(store), Actor::Gateway(gateway), frame);
     }
 
@@ -557,12 +558,15 @@
         let seed = self.random.random();
         let now = self.now;
         let stores = self.stores.len() as u32;
-        let part = &mut self.gateways[index];
-        part.start += 1;
-        part.frozen_until = Moment::ZERO;
-        part.stopping_since = None;
+        let gateway = &mut self.gateways[index];
+        gateway.generation += 1;
+        gateway.frozen_until = Moment::ZERO;
+        gateway.stop_requested_at = None;
         let settings = GatewaySettings {
-            node: NodeRef { node: part.name.clone(), incarnation: Incarnation(part.start) },
+            node: NodeRef {
+                node: gateway.name.clone(),
+                incarnation: Incarnation(gateway.generation),
+            },
             peer_address: ([127, 0, 0, 1], 9_000 + index as u16).into(),
             zone: zone_name(index),
             store_machines: (1..=stores).collect(),
@@ -578,25 +582,25 @@
             has_platform: true,
             seed,
         };
-        part.core = Some(Gateway::new(settings, now));
-        let start = part.start;
-        self.plan_in(TICK, Happening::Tick(Actor::Gateway(index), start));
-        self.plan_in(TICK, Happening::ReadPlatform(index, start));
+        gateway.core = Some(Gateway::new(settings, now));
+        let generation = gateway.generation;
+        self.schedule_in(TICK_INTERVAL, SimEvent::Tick(Actor::Gateway(index), generation));
+        self.schedule_in(TICK_INTERVAL, SimEvent::ReadPlatform(index, generation));
     }
 
-    /// Stops a gateway; every connection to it breaks.
+    /// Kills a gateway, which breaks its client connections.
     pub(super) fn kill_gateway(&mut self, index: usize) {
-        // What had arrived at a process that stood still dies with it.
-        self.parked.remove(&Actor::Gateway(index));
-        let part = &mut self.gateways[index];
-        part.start += 1;
-        part.core = None;
-        part.frozen_until = Moment::ZERO;
-        for ticket in self.clients.tickets_at(index) {
-            // A connection that the network broke ends in silence.
+        // Frames received while the process was paused are lost with it.
+        self.deferred.remove(&Actor::Gateway(index));
+        let gateway = &mut self.gateways[index];
+        gateway.generation += 1;
+        gateway.core = None;
+        gateway.frozen_until = Moment::ZERO;
+        for ticket in self.clients.open_requests_at(index) {
+            // On a broken connection the client only notices its own timeout.
             let is_open = self.clients.is_open(ticket);
-            let news = if is_open { ClientNews::Cut } else { ClientNews::TimedOut };
-            let frame = Frame::News { ticket, news };
+            let event = if is_open { ClientEvent::Disconnected } else { ClientEvent::TimedOut };
+            let frame = Frame::ClientEvent { ticket, event };
             if !self.send_ordered(Actor::Gateway(index), Actor::Client, frame) {
                 self.clients.break_connection(ticket);
             }
@@ -604,21 +608,21 @@
     }
 
     fn gateway_input(&mut self, index: usize, frame: Frame) {
-        let part = &self.gateways[index];
-        if part.frozen_until > self.now || self.parked.contains_key(&Actor::Gateway(index)) {
-            let until = part.frozen_until;
-            return self.park(Actor::Gateway(index), until, frame);
+        let gateway = &self.gateways[index];
+        if gateway.frozen_until > self.now || self.deferred.contains_key(&Actor::Gateway(index)) {
+            let until = gateway.frozen_until;
+            return self.defer(Actor::Gateway(index), until, frame);
         }
-        if part.core.is_none() {
+        if gateway.core.is_none() {
             if let Frame::Client { ticket, request } = frame
-                && !matches!(request, ClientRequest::Gone)
+                && !matches!(request, ClientRequest::Disconnect)
             {
-                let frame = Frame::News { ticket, news: ClientNews::NotConnected };
+                let frame = Frame::ClientEvent { ticket, event: ClientEvent::ConnectionRefused };
                 self.send_ordered(Actor::Gateway(index), Actor::Client, frame);
             }
             return;
         }
-        let Some(input) = self.input_of(index, frame) else {
+        let Some(input) = self.gateway_input_of(index, frame) else {
             return;
         };
         let now = self.now;
@@ -630,28 +634,28 @@
         self.perform_all(index, actions);
     }
 
-    /// The input a frame means; `None` when it belongs to an earlier start.
-    fn input_of(&self, index: usize, frame: Frame) -> Option<Input> {
-        let current = self.gateways[index].start;
+    /// Converts a frame to a gateway input; `None` if it is addressed to an earlier generation.
+    fn gateway_input_of(&self, index: usize, frame: Frame) -> Option<Input> {
+        let current = self.gateways[index].generation;
         let engine_name = |engine: usize| self.engines[engine].name.clone();
         match frame {
-            Frame::StoreReply { start, id, reply } if start == current => {
+            Frame::StoreReply { generation, id, reply } if generation == current => {
                 Some(Input::StoreReply { id, reply })
             }
             Frame::GatewayPeer { from, message } => Some(Input::Peer { from, message }),
-            Frame::Backend { start, attempt, event } if start == current => {
+            Frame::Backend { generation, attempt, event } if generation == current => {
                 Some(Input::Backend(attempt, event))
             }
-            Frame::Released { start, engine, program, confirmed } if start == current => {
+            Frame::Released { generation, engine, program, confirmed } if generation == current => {
                 Some(Input::CacheReleased { engine: engine_name(engine), program, confirmed })
             }
-            Frame::Listing { start, engine, programs } if start == current => {
+            Frame::Listing { generation, engine, programs } if generation == current => {
                 Some(Input::CacheListing { engine: engine_name(engine), programs })
             }
-            Frame::Report { start, engine, report } if start == current => {
+            Frame::Report { generation, engine, report } if generation == current => {
                 Some(Input::EngineProbe { engine: engine_name(engine), report })
             }
-            Frame::Machines { start, list } if start == current => {
+            Frame::Machines { generation, list } if generation == current => {
                 Some(Input::Platform(Some(list)))
             }
             Frame::Client { ticket, request } => Some(match request {
@@ -659,8 +663,8 @@
                 ClientRequest::Attach { tenant, call, offset } => {
                     Input::Attach { ticket, tenant, call, offset }
                 }
-                ClientRequest::Ask(request) => Input::Ask(ticket, request),
-                ClientRequest::Gone => Input::CallerGone(ticket),
+                ClientRequest::Store(request) => Input::Ask(ticket, request),
+                ClientRequest::Disconnect => Input::CallerGone(ticket),
             }),
             _ => None,
         }
@@ -674,10 +678,10 @@
 
     fn perform(&mut self, index: usize, action: Action) {
         let from = Actor::Gateway(index);
-        let start = self.gateways[index].start;
+        let generation = self.gateways[index].generation;
         match action {
             Action::ToStore { machine, id, request } => {
-                let frame = Frame::StoreRequest { gateway: index, start, id, request };
+                let frame = Frame::StoreRequest { gateway: index, generation, id, request };
                 self.send(from, Actor::Store(machine as usize - 1), frame);
             }
             Action::ToPeer { to, message, .. } => {
@@ -688,10 +692,10 @@
                     self.send(from, Actor::Gateway(target), frame);
                 }
             }
-            Action::ToCaller(ticket, event) => self.tell_client(index, ticket, event),
+            Action::ToCaller(ticket, event) => self.send_client_event(index, ticket, event),
             Action::RunOnEngine(order) => {
                 let engine = self.engine_at(&order.engine);
-                let frame = Frame::EngineRun { gateway: index, start, order };
+                let frame = Frame::EngineRun { gateway: index, generation, order };
                 self.send_ordered(from, Actor::Engine(engine), frame);
             }
             Action::CancelOnEngine { attempt, address } => {
@@ -700,59 +704,63 @@
             }
             Action::RunOnService(order) => {
                 let replica = usize::from(order.address.port()) % 1_000;
-                let frame = Frame::ServiceRun { gateway: index, start, order };
+                let frame = Frame::ServiceRun { gateway: index, generation, order };
                 self.send_ordered(from, Actor::Replica(replica), frame);
             }
             Action::ReleaseCache { engine, program, .. } => {
                 let engine = self.engine_at(&engine);
-                let frame = Frame::EngineRelease { gateway: index, start, program };
+                let frame = Frame::EngineRelease { gateway: index, generation, program };
                 self.send(from, Actor::Engine(engine), frame);
             }
             Action::ListCache { engine, .. } => {
                 let engine = self.engine_at(&engine);
-                self.send(from, Actor::Engine(engine), Frame::EngineList { gateway: index, start });
+                self.send(
+                    from,
+                    Actor::Engine(engine),
+                    Frame::EngineList { gateway: index, generation },
+                );
             }
             Action::ProbeEngine { engine, .. } => {
                 let engine = self.engine_at(&engine);
-                let frame = Frame::EngineProbe { gateway: index, start };
+                let frame = Frame::EngineProbe { gateway: index, generation };
                 self.send(from, Actor::Engine(engine), frame);
             }
-            Action::Stopped => self.gateway_stopped(index),
+            Action::Stopped => self.finish_gateway_stop(index),
         }
     }
 
     fn engine_at(&self, engine: &EngineId) -> usize {
-        let found = self.engines.iter().position(|part| part.name == *engine);
+        let found = self.engines.iter().position(|candidate| candidate.name == *engine);
         found.unwrap_or_default()
     }
 
-    fn tell_client(&mut self, gateway: usize, ticket: Ticket, event: CallerEvent) {
+    fn send_client_event(&mut self, gateway: usize, ticket: Ticket, event: CallerEvent) {
         if !self.clients.is_open(ticket) {
             return;
         }
-        let frame = Frame::News { ticket, news: ClientNews::Event(event) };
+        let frame = Frame::ClientEvent { ticket, event: ClientEvent::FromGateway(event) };
         let sent = self.send_ordered(Actor::Gateway(gateway), Actor::Client, frame);
         if !sent {
-            // Part of the answer is lost, so the rest cannot follow on this connection.
+            // An ordered connection that lost a frame delivers nothing more.
             self.clients.break_connection(ticket);
         }
     }
 
-    fn read_platform(&mut self, index: usize, start: Start) {
-        if self.gateways[index].start != start {
+    fn read_platform(&mut self, index: usize, generation: Generation) {
+        if self.gateways[index].generation != generation {
             return;
         }
-        self.plan_in(PLATFORM_INTERVAL, Happening::ReadPlatform(index, start));
+        self.schedule_in(PLATFORM_INTERVAL, SimEvent::ReadPlatform(index, generation));
         let list = self.platform.list(self.now);
-        self.send(Actor::Platform, Actor::Gateway(index), Frame::Machines { start, list });
+        self.send(Actor::Platform, Actor::Gateway(index), Frame::Machines { generation, list });
     }
 
     // Clients.
 
     /// Sends a client's request to a gateway.
     pub(super) fn send_client(&mut self, gateway: usize, ticket: Ticket, request: ClientRequest) {
-        if !matches!(request, ClientRequest::Gone) {
-            self.plan_in(CLIENT_TIMEOUT, Happening::ClientTimeout(ticket));
+        if !matches!(request, ClientRequest::Disconnect) {
+            self.schedule_in(CLIENT_TIMEOUT, SimEvent::ClientTimeout(ticket));
         }
         let frame = Frame::Client { ticket, request };
         let sent = self.send_ordered(Actor::Client, Actor::Gateway(gateway), frame);
@@ -762,38 +770,38 @@
     }
 }
 
-impl StorePart {
+impl SimStore {
     fn new(index: usize) -> Self {
         Self {
             service: None,
             log: None,
             disk: SimDisk::default(),
             id: ReplicaId { machine: index as u32 + 1, disk: 0 },
-            start: 0,
+            generation: 0,
             frozen_until: Moment::ZERO,
-            sync: SYNC,
+            sync: SYNC_DURATION,
             inbox: VecDeque::new(),
-            waiting: None,
+            pending_actions: None,
             clients: BTreeMap::new(),
             next_client: 0,
         }
     }
 
-    /// Makes the disk slow, or healthy again.
+    /// Sets whether the disk is slow.
     pub(super) fn set_slow(&mut self, slow: bool) {
-        self.sync = if slow { SLOW_SYNC } else { SYNC };
+        self.sync = if slow { SLOW_SYNC_DURATION } else { SYNC_DURATION };
     }
 }
 
-impl GatewayPart {
+impl SimGateway {
     fn new(index: usize) -> Self {
         Self {
             core: None,
             name: NodeId::new(format!("gateway-{index}")),
-            start: 0,
+            generation: 0,
             frozen_until: Moment::ZERO,
-            stopping_since: None,
-            away: Duration::ZERO,
+            stop_requested_at: None,
+            downtime: Duration::ZERO,
         }
     }
 }
--- a/crates/lab/tests/checker.rs
+++ b/crates/lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! For each promise, a broken history that the checker must catch.
+//! Tests of the invariant checks: for each invariant a history that violates it.
 
 use calicohoist_emulator::answer::answer_text;
 use calicohoist_emulator::service::job_output;
@@ -30,8 +30,8 @@
     }
 }
 
-/// One program of two model calls and one print, in which everything holds.
-fn good() -> History {
+/// Returns the history of a program with two model calls and a service call, without violations.
+fn valid_history() -> History {
     let mut history = History::default();
     let mut prompt = Vec::new();
     for sequence in 1..=2 {
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn a_good_history_passes_and_exercises_every_promise_but_refusal() {
-    let invariants = check(&good());
+fn a_valid_history_passes_and_checks_every_invariant_except_refusal() {
+    let invariants = check(&valid_history());
     assert_eq!(invariants.violations(), 0, "{invariants:?}");
     for (name, verdict) in invariants.named() {
         assert_eq!(verdict.checked > 0, name != "refused_not_executed", "{name}");
@@ -130,36 +130,36 @@
 }
 
 #[test]
-fn a_call_that_starts_before_the_one_before_it_ended_breaks_call_order() {
-    let mut history = good();
+fn a_call_that_starts_before_its_predecessor_ended_violates_call_order() {
+    let mut history = valid_history();
     history.engine_records[1].arrived = at(12);
     assert_eq!(check(&history).call_order.violations, 1);
 }
 
 #[test]
-fn a_print_before_the_call_it_depends_on_breaks_call_order() {
-    let mut history = good();
+fn a_job_before_the_preceding_call_violates_call_order() {
+    let mut history = valid_history();
     history.service_records[0].first = at(22);
     assert_eq!(check(&history).call_order.violations, 1);
 }
 
 #[test]
-fn a_lost_message_breaks_history_integrity() {
-    let mut history = good();
+fn a_missing_message_violates_history_integrity() {
+    let mut history = valid_history();
     history.engine_records[1].prompt.remove(0);
     assert_eq!(check(&history).history_integrity.violations, 1);
 }
 
 #[test]
-fn a_message_of_another_program_breaks_history_integrity() {
-    let mut history = good();
+fn a_message_of_another_program_violates_history_integrity() {
+    let mut history = valid_history();
     history.engine_records[1].prompt[0] = user("somebody else's question");
     assert_eq!(check(&history).history_integrity.violations, 1);
 }
 
 #[test]
-fn spending_one_token_too_many_breaks_the_budget() {
-    let mut history = good();
+fn exceeding_the_budget_by_one_token_is_detected() {
+    let mut history = valid_history();
     let spent: u64 = history.engine_records.iter().map(|record| record.usage.total()).sum();
     history.programs[0].budget = spent;
     assert_eq!(check(&history).budget_limit.violations, 0);
@@ -168,8 +168,8 @@
 }
 
 #[test]
-fn spending_of_a_sub_agent_counts_against_the_root() {
-    let mut history = good();
+fn tokens_of_a_sub_agent_count_towards_the_budget_of_its_root() {
+    let mut history = valid_history();
     history.programs[0].budget = 0;
     history.programs[0].id = "root".into();
     history.programs[0].root = "root".into();
@@ -183,15 +183,15 @@
 }
 
 #[test]
-fn memory_of_an_ended_program_breaks_cache_release() {
-    let mut history = good();
+fn cache_of_an_ended_program_violates_cache_release() {
+    let mut history = valid_history();
     history.holdings.push(Holding { engine: "e".into(), program: "p".into(), tokens: 16 });
     assert_eq!(check(&history).cache_release.violations, 1);
 }
 
 #[test]
-fn a_shortened_answer_breaks_response_integrity() {
-    let mut history = good();
+fn a_truncated_answer_violates_response_integrity() {
+    let mut history = valid_history();
     if let TryEnd::Answered { text, .. } = &mut history.tries[0].end {
         text.pop();
     }
@@ -200,30 +200,30 @@
 }
 
 #[test]
-fn crossed_answers_break_response_integrity() {
-    let mut history = good();
+fn the_answer_of_another_call_violates_response_integrity() {
+    let mut history = valid_history();
     let first = history.tries[0].end.clone();
     history.tries[1].end = first;
     assert!(check(&history).response_integrity.violations >= 1);
 }
 
 #[test]
-fn a_print_refused_as_not_run_that_ran_is_caught() {
-    let mut history = good();
+fn an_executed_job_refused_as_not_run_is_detected() {
+    let mut history = valid_history();
     refuse(&mut history, 2);
     assert_eq!(check(&history).refused_not_executed.violations, 1);
 }
 
 #[test]
-fn a_model_call_refused_as_not_run_that_ran_is_caught() {
-    let mut history = good();
+fn an_executed_model_call_refused_as_not_run_is_detected() {
+    let mut history = valid_history();
     refuse(&mut history, 1);
     assert_eq!(check(&history).refused_not_executed.violations, 1);
 }
 
 #[test]
-fn a_refusal_is_no_lie_when_a_later_try_ran() {
-    let mut history = good();
+fn a_refusal_is_valid_if_another_request_of_the_call_ran() {
+    let mut history = valid_history();
     let mut earlier = history.tries[1].clone();
     earlier.sent = at(16);
     earlier.ended = at(17);
@@ -234,52 +234,52 @@
 }
 
 #[test]
-fn a_notice_that_prints_twice_is_caught() {
-    let mut history = good();
+fn a_non_repeatable_job_executed_twice_is_detected() {
+    let mut history = valid_history();
     history.service_records[0].executions = 2;
     assert_eq!(check(&history).at_most_once.violations, 1);
 }
 
 #[test]
-fn a_notice_that_prints_on_two_replicas_is_caught() {
-    let mut history = good();
-    let mut twin = history.service_records[0].clone();
-    twin.replica = "r2".into();
-    history.service_records.push(twin);
+fn a_non_repeatable_job_executed_on_two_replicas_is_detected() {
+    let mut history = valid_history();
+    let mut duplicate = history.service_records[0].clone();
+    duplicate.replica = "r2".into();
+    history.service_records.push(duplicate);
     assert_eq!(check(&history).at_most_once.violations, 1);
 }
 
 #[test]
-fn work_on_a_drained_engine_is_caught() {
-    let mut history = good();
+fn work_on_a_drained_engine_is_detected() {
+    let mut history = valid_history();
     history.drains[0].at = at(10);
     assert_eq!(check(&history).backend_drain.violations, 1);
 }
 
 #[test]
-fn a_call_cut_by_a_planned_stop_is_caught() {
-    let mut history = good();
+fn a_call_interrupted_by_a_graceful_shutdown_is_detected() {
+    let mut history = valid_history();
     history.tries[2].end = TryEnd::Cut;
     assert_eq!(check(&history).graceful_shutdown.violations, 1);
 }
 
 #[test]
-fn a_stop_by_force_is_caught() {
-    let mut history = good();
+fn an_incomplete_shutdown_is_detected() {
+    let mut history = valid_history();
     history.stops[0].complete = false;
     assert_eq!(check(&history).graceful_shutdown.violations, 1);
 }
 
 #[test]
-fn a_gateway_that_ignores_a_change_in_force_is_caught() {
-    let mut history = good();
+fn a_gateway_that_ignores_a_change_in_force_is_detected() {
+    let mut history = valid_history();
     history.probes[0].held = false;
     assert_eq!(check(&history).config_convergence.violations, 1);
 }
 
 #[test]
-fn catches_two_winners_of_one_race() {
-    let mut history = good();
+fn conflicting_writes_must_have_exactly_one_accepted() {
+    let mut history = valid_history();
     history.races.push(1);
     assert_eq!(check(&history).violations(), 0);
     history.races.push(2);
@@ -289,8 +289,8 @@
 }
 
 #[test]
-fn counts_attempts_that_were_cut_against_the_budget() {
-    let mut history = good();
+fn interrupted_attempts_count_towards_the_budget() {
+    let mut history = valid_history();
     let mut cut = history.engine_records[0].clone();
     cut.finished = None;
     cut.usage.prompt_tokens = 1_000_000_000;
--- a/crates/lab/tests/linearizability.rs
+++ b/crates/lab/tests/linearizability.rs
@@ -1,5 +1,5 @@
-//! One register in a replicated group, under lost frames, crashes and cuts, in
-//! virtual time: what its clients saw must be linearizable.
+//! Linearizability of a register in a replicated group under message loss, crashes, pauses and
+//! partitions, in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 
 const GROUP: GroupId = GroupId(0);
 const MACHINES: [u32; 3] = [1, 2, 3];
-const STEP: Duration = Duration::from_millis(5);
+const STEP_DURATION: Duration = Duration::from_millis(5);
 const STEPS: u64 = 2_000;
-const SHORT_STEPS: u64 = 500;
-/// Operations that are under way at a time, at most.
+const SHORT_RUN_STEPS: u64 = 500;
+/// Maximum number of concurrent operations.
 const CLIENTS: usize = 4;
-/// Longest wait of a client before it gives up.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Time after which a client abandons an operation.
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
 struct Register(u32);
@@ -58,8 +58,8 @@
     frozen_until: Moment,
 }
 
-/// An operation that its client waits for.
-struct Open {
+/// An operation without a response yet.
+struct PendingOperation {
     client: usize,
     machine: usize,
     write: Option<u32>,
@@ -71,13 +71,13 @@
     random: ChaCha8Rng,
     machines: Vec<Machine>,
     frames: Vec<(Moment, usize, ReplicaId, Vec<GroupMessage>)>,
-    cut: Option<(usize, Moment)>,
-    open: BTreeMap<u64, Open>,
+    isolated: Option<(usize, Moment)>,
+    pending: BTreeMap<u64, PendingOperation>,
     busy: [bool; CLIENTS],
     next_ticket: u64,
     next_value: u32,
     actions: Vec<(usize, Action<RegisterOperation<u32>>)>,
-    /// Reads whatever a replica that believes to lead has, without a lease.
+    /// Whether a replica that considers itself leader answers reads without checking its lease.
     reads_without_lease: bool,
 }
 
@@ -88,8 +88,8 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             machines: Vec::new(),
             frames: Vec::new(),
-            cut: None,
-            open: BTreeMap::new(),
+            isolated: None,
+            pending: BTreeMap::new(),
             busy: [false; CLIENTS],
             next_ticket: 0,
             next_value: 0,
@@ -122,32 +122,39 @@
     }
 
     fn crash(&mut self, index: usize) {
-        let kept = self.random.random_range(0..200);
+        let kept_bytes = self.random.random_range(0..200);
         let machine = &mut self.machines[index];
         machine.node = None;
         if let Some(log) = machine.log.take() {
             machine.disk = log.into_disk();
-            machine.disk.crash(kept);
+            machine.disk.crash(kept_bytes);
         }
-        let lost: Vec<u64> =
-            self.open.iter().filter(|(_, open)| open.machine == index).map(|(id, _)| *id).collect();
-        lost.into_iter().for_each(|ticket| self.give_up(ticket));
+        let abandoned: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.machine == index)
+            .map(|(id, _)| *id)
+            .collect();
+        abandoned.into_iter().for_each(|ticket| self.abandon(ticket));
     }
 
     fn step(&mut self) {
-        self.now = self.now + STEP;
-        self.disturb();
+        self.now = self.now + STEP_DURATION;
+        self.inject_faults();
         self.deliver();
-        self.ask();
+        self.start_operation();
         for index in 0..self.machines.len() {
             self.run(index);
         }
-        let late = self.open.iter().filter(|(_, open)| self.now.since(open.since) > PATIENCE);
-        let late: Vec<u64> = late.map(|(ticket, _)| *ticket).collect();
-        late.into_iter().for_each(|ticket| self.give_up(ticket));
+        let timed_out = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| self.now.since(pending.since) > OPERATION_TIMEOUT);
+        let timed_out: Vec<u64> = timed_out.map(|(ticket, _)| *ticket).collect();
+        timed_out.into_iter().for_each(|ticket| self.abandon(ticket));
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let index = self.random.random_range(0..MACHINES.len());
         if self.random.random_bool(0.004) {
             match self.machines[index].node {
@@ -162,15 +169,15 @@
             self.start(index);
         }
         if self.random.random_bool(0.004) {
-            let span = Duration::from_millis(self.random.random_range(100..1_500));
-            self.cut = Some((index, self.now + span));
+            let duration = Duration::from_millis(self.random.random_range(100..1_500));
+            self.isolated = Some((index, self.now + duration));
         }
         if self.random.random_bool(0.003) {
-            let span = Duration::from_millis(self.random.random_range(100..1_500));
-            self.machines[index].frozen_until = self.now + span;
+            let duration = Duration::from_millis(self.random.random_range(100..1_500));
+            self.machines[index].frozen_until = self.now + duration;
         }
-        if self.cut.is_some_and(|(_, until)| until < self.now) {
-            self.cut = None;
+        if self.isolated.is_some_and(|(_, until)| until < self.now) {
+            self.isolated = None;
         }
     }
 
@@ -186,7 +193,7 @@
         }
     }
 
-    fn ask(&mut self) {
+    fn start_operation(&mut self) {
         let client = self.random.random_range(0..CLIENTS);
         if self.busy[client] {
             return;
@@ -205,54 +212,55 @@
         let Some(node) = &mut machine.node else {
             return;
         };
-        let stale = node.machine(GROUP).map(|register| register.0);
-        let believes = node.raft(GROUP).is_some_and(|raft| raft.is_leader());
-        if write.is_none() && self.reads_without_lease && believes {
+        let local_value = node.machine(GROUP).map(|register| register.0);
+        let considers_itself_leader = node.raft(GROUP).is_some_and(|raft| raft.is_leader());
+        if write.is_none() && self.reads_without_lease && considers_itself_leader {
             self.actions.push((client, Action::Call(RegisterOperation::Read(None))));
-            self.actions.push((client, Action::Response(RegisterOperation::Read(stale))));
+            self.actions.push((client, Action::Response(RegisterOperation::Read(local_value))));
             return;
         }
-        let asked = match write {
+        let submitted = match write {
             Some(value) => node.propose(GROUP, value.to_le_bytes().to_vec(), ticket),
             None => node.read(GROUP, ticket),
         };
-        if asked.is_err() {
+        if submitted.is_err() {
             return;
         }
         let operation = write.map_or(RegisterOperation::Read(None), RegisterOperation::Write);
         self.actions.push((client, Action::Call(operation)));
         self.busy[client] = true;
-        self.open.insert(ticket, Open { client, machine: index, write, since: self.now });
+        self.pending
+            .insert(ticket, PendingOperation { client, machine: index, write, since: self.now });
     }
 
-    /// A client does not wait any longer. What it wrote may still take effect, so
-    /// it goes on as another client that is never answered before the end.
-    fn give_up(&mut self, ticket: u64) {
-        let Some(open) = self.open.remove(&ticket) else {
+    /// Abandons an operation. An abandoned write may still take effect, so it is assigned to a
+    /// separate client that gets its response only at the end of the run.
+    fn abandon(&mut self, ticket: u64) {
+        let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
-        self.busy[open.client] = false;
-        let call = self.actions.iter().rposition(|(client, _)| *client == open.client);
+        self.busy[pending.client] = false;
+        let call = self.actions.iter().rposition(|(client, _)| *client == pending.client);
         let Some(call) = call else {
             return;
         };
-        if open.write.is_some() {
+        if pending.write.is_some() {
             self.actions[call].0 = CLIENTS + ticket as usize;
         } else {
             self.actions.remove(call);
         }
     }
 
-    fn answer(&mut self, ticket: u64, value: u32) {
-        let Some(open) = self.open.remove(&ticket) else {
+    fn complete(&mut self, ticket: u64, value: u32) {
+        let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
-        self.busy[open.client] = false;
-        let operation = match open.write {
+        self.busy[pending.client] = false;
+        let operation = match pending.write {
             Some(written) => RegisterOperation::Write(written),
             None => RegisterOperation::Read(Some(value)),
         };
-        self.actions.push((open.client, Action::Response(operation)));
+        self.actions.push((pending.client, Action::Response(operation)));
     }
 
     fn run(&mut self, index: usize) {
@@ -272,9 +280,9 @@
         for event in events {
             match event {
                 NodeEvent::Send { to, messages } => self.send(index, from, to, messages),
-                NodeEvent::Applied { ticket, output } => self.answer(ticket, output),
-                NodeEvent::ReadReady { ticket, .. } => self.answer(ticket, value),
-                NodeEvent::Lost { ticket } => self.give_up(ticket),
+                NodeEvent::Applied { ticket, output } => self.complete(ticket, output),
+                NodeEvent::ReadReady { ticket, .. } => self.complete(ticket, value),
+                NodeEvent::Lost { ticket } => self.abandon(ticket),
                 NodeEvent::Leadership { .. } => {}
             }
         }
@@ -282,8 +290,9 @@
 
     fn send(&mut self, index: usize, from: ReplicaId, to: ReplicaId, messages: Vec<GroupMessage>) {
         let to = to.machine as usize - 1;
-        let is_cut = self.cut.is_some_and(|(cut, _)| cut == index || cut == to);
-        if is_cut || self.random.random_bool(0.05) {
+        let is_isolated =
+            self.isolated.is_some_and(|(isolated, _)| isolated == index || isolated == to);
+        if is_isolated || self.random.random_bool(0.05) {
             return;
         }
         let copies = if self.random.random_bool(0.05) { 2 } else { 1 };
@@ -293,10 +302,10 @@
         }
     }
 
-    /// Answers, at the very end, what may have taken effect, and judges.
-    fn judge(mut self) -> (bool, usize) {
-        let waiting: Vec<u64> = self.open.keys().copied().collect();
-        waiting.into_iter().for_each(|ticket| self.give_up(ticket));
+    /// Completes abandoned writes and checks the history; also returns the number of operations.
+    fn check_history(mut self) -> (bool, usize) {
+        let unfinished: Vec<u64> = self.pending.keys().copied().collect();
+        unfinished.into_iter().for_each(|ticket| self.abandon(ticket));
         let unanswered: Vec<_> = self
             .actions
             .iter()
@@ -318,21 +327,21 @@
     for _ in 0..steps {
         cluster.step();
     }
-    cluster.judge()
+    cluster.check_history()
 }
 
 #[test]
-fn a_replicated_register_is_linearizable_under_failures() {
+fn a_replicated_register_is_linearizable_under_faults() {
     for seed in 0..60 {
         let (holds, operations) = run(seed, STEPS, false);
         assert!(holds, "seed {seed} is not linearizable");
-        assert!(operations > 40, "seed {seed} did only {operations} operations");
+        assert!(operations > 40, "seed {seed} completed only {operations} operations");
     }
 }
 
 #[test]
-fn reads_without_a_lease_are_caught() {
-    // Short histories: finding that nothing fits takes exponential time.
-    let is_caught = (0..200).any(|seed| !run(seed, SHORT_STEPS, true).0);
-    assert!(is_caught, "the check cannot fail");
+fn reads_without_a_lease_are_detected() {
+    // Histories are short because rejecting one takes exponential time.
+    let is_detected = (0..200).any(|seed| !run(seed, SHORT_RUN_STEPS, true).0);
+    assert!(is_detected, "no seed detected a stale read");
 }
--- a/crates/lab/tests/simulation.rs
+++ b/crates/lab/tests/simulation.rs
@@ -1,15 +1,14 @@
-//! Fleets in virtual time: every scenario, named seeds of failures that were
-//! found, equal digests, and drawn schedules of faults that shrink.
+//! Simulation tests: all scenarios, regression seeds, determinism, and random fault schedules.
 
 use std::time::Duration;
 
 use calicohoist_lab::deployment::Deployment;
 use calicohoist_lab::sim::fault::Fault;
-use calicohoist_lab::sim::{Scenario, SimReport, SimSettings, run, run_many, run_planned};
+use calicohoist_lab::sim::{Scenario, SimReport, SimSettings, run, run_many, run_with_faults};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Seeds of each scenario and deployment; many more are run by hand.
+/// Number of seeds per scenario and deployment.
 const SEEDS: u64 = 200;
 
 fn assert_good(report: &SimReport) {
@@ -22,7 +21,7 @@
     report
 }
 
-/// Half of the cores: both deployments run at the same time.
+/// Returns half the number of cores, because the tests of both deployments run concurrently.
 fn threads() -> usize {
     std::thread::available_parallelism().map_or(1, |cores| cores.get().div_ceil(2))
 }
@@ -32,21 +31,21 @@
         let reports = run_many(*scenario, deployment, 0..SEEDS, threads());
         assert_eq!(reports.len() as u64, SEEDS);
         reports.iter().for_each(assert_good);
-        let looks: u64 = reports
+        let checks: u64 = reports
             .iter()
             .flat_map(|report| report.invariants.named().map(|(_, verdict)| verdict.checked))
             .sum();
-        assert!(looks > SEEDS * 50, "{} looked at almost nothing", scenario.name());
+        assert!(checks > SEEDS * 50, "{}: too few invariant checks", scenario.name());
     }
 }
 
 #[test]
-fn every_scenario_holds_at_celje() {
+fn all_scenarios_pass_at_celje() {
     run_all(Deployment::Celje);
 }
 
 #[test]
-fn every_scenario_holds_at_kushiro() {
+fn all_scenarios_pass_at_kushiro() {
     run_all(Deployment::Kushiro);
 }
 
@@ -59,14 +58,14 @@
 }
 
 #[test]
-fn every_seed_of_the_combined_scenario_puts_every_promise_to_the_test() {
+fn every_seed_of_the_combined_scenario_checks_every_invariant() {
     for deployment in [Deployment::Celje, Deployment::Kushiro] {
         for seed in 0..12 {
             let report = run_seed(deployment, Scenario::Combined, seed);
-            let promises = report.invariants.named();
-            let untested = promises.iter().filter(|(_, verdict)| verdict.checked == 0);
-            let untested: Vec<&str> = untested.map(|(promise, _)| *promise).collect();
-            assert!(untested.is_empty(), "seed {seed}: {untested:?}");
+            let invariants = report.invariants.named();
+            let unchecked = invariants.iter().filter(|(_, verdict)| verdict.checked == 0);
+            let unchecked: Vec<&str> = unchecked.map(|(invariant, _)| *invariant).collect();
+            assert!(unchecked.is_empty(), "seed {seed}: {unchecked:?}");
         }
     }
 }
@@ -83,31 +82,31 @@
 }
 
 #[test]
-fn a_gateway_that_returns_uses_no_limits_of_an_old_configuration() {
+fn a_returning_gateway_does_not_apply_outdated_limits() {
     run_seed(Deployment::Celje, Scenario::GatewayDeath, 8);
     run_seed(Deployment::Celje, Scenario::RestartAfterLag, 0);
 }
 
 #[test]
-fn an_attempt_whose_mark_took_long_goes_to_no_back_end_that_left_meanwhile() {
+fn a_delayed_attempt_is_not_sent_to_a_back_end_that_left_meanwhile() {
     run_seed(Deployment::Celje, Scenario::Combined, 84);
     run_seed(Deployment::Celje, Scenario::Combined, 234);
     run_seed(Deployment::Kushiro, Scenario::Combined, 85);
 }
 
 #[test]
-fn attempts_whose_answers_were_lost_are_charged_to_the_budget() {
+fn attempts_with_lost_answers_are_charged_to_the_budget() {
     run_seed(Deployment::Celje, Scenario::GatewayDeath, 39);
     run_seed(Deployment::Celje, Scenario::GatewayDeath, 46);
 }
 
 #[test]
-fn a_cancelled_call_that_may_have_run_is_not_called_not_run() {
+fn a_cancelled_call_that_may_have_run_is_not_reported_as_not_run() {
     run_seed(Deployment::Kushiro, Scenario::Mixed, 769);
 }
 
 #[test]
-fn a_lossy_network_starts_no_storm_of_messages() {
+fn a_lossy_network_causes_no_message_storm() {
     run_seed(Deployment::Kushiro, Scenario::LossyNetwork, 177);
     run_seed(Deployment::Kushiro, Scenario::Mixed, 2157);
 }
@@ -118,33 +117,43 @@
 }
 
 #[test]
-fn a_new_disk_that_catches_up_starts_no_storm_of_messages() {
+fn catching_up_with_a_new_disk_causes_no_message_storm() {
     run_seed(Deployment::Celje, Scenario::SecondLossAfterRepair, 66);
 }
 
 #[test]
-fn a_planned_stop_right_after_a_standstill_cuts_no_request() {
+fn a_graceful_shutdown_right_after_a_pause_interrupts_no_request() {
     run_seed(Deployment::Celje, Scenario::Twice, 827);
     run_seed(Deployment::Celje, Scenario::Twice, 9_305);
     run_seed(Deployment::Celje, Scenario::Twice, 9_443);
 }
 
-fn drawn_fault() -> impl Strategy<Value = Fault> {
-    let span = (200u64..6_000).prop_map(Duration::from_millis);
+fn any_fault() -> impl Strategy<Value = Fault> {
+    let duration = (200u64..6_000).prop_map(Duration::from_millis);
     prop_oneof![
-        (0usize..4, span.clone()).prop_map(|(index, span)| Fault::KillGateway(index, span)),
-        (0usize..4, span.clone()).prop_map(|(index, span)| Fault::FreezeGateway(index, span)),
-        (0usize..4, span.clone()).prop_map(|(index, span)| Fault::IsolateGateway(index, span)),
-        (0usize..4, span.clone()).prop_map(|(index, span)| Fault::StopGateway(index, span)),
-        (0usize..6, span.clone()).prop_map(|(index, span)| Fault::KillEngine(index, span)),
-        (0usize..6, span.clone()).prop_map(|(index, span)| Fault::HangEngine(index, span)),
-        (0usize..4, span.clone()).prop_map(|(index, span)| Fault::HangReplica(index, span)),
-        (0usize..3, span.clone()).prop_map(|(index, span)| Fault::KillStore(index, span)),
-        (0usize..3, span.clone()).prop_map(|(index, span)| Fault::FreezeStore(index, span)),
-        (0usize..3, span.clone()).prop_map(|(index, span)| Fault::SlowDisk(index, span)),
-        span.clone().prop_map(Fault::IsolateLeader),
-        span.clone().prop_map(Fault::LoseReplies),
-        span.prop_map(Fault::LossyNetwork),
+        (0usize..4, duration.clone())
+            .prop_map(|(index, duration)| Fault::KillGateway(index, duration)),
+        (0usize..4, duration.clone())
+            .prop_map(|(index, duration)| Fault::FreezeGateway(index, duration)),
+        (0usize..4, duration.clone())
+            .prop_map(|(index, duration)| Fault::IsolateGateway(index, duration)),
+        (0usize..4, duration.clone())
+            .prop_map(|(index, duration)| Fault::StopGateway(index, duration)),
+        (0usize..6, duration.clone())
+            .prop_map(|(index, duration)| Fault::KillEngine(index, duration)),
+        (0usize..6, duration.clone())
+            .prop_map(|(index, duration)| Fault::HangEngine(index, duration)),
+        (0usize..4, duration.clone())
+            .prop_map(|(index, duration)| Fault::HangReplica(index, duration)),
+        (0usize..3, duration.clone())
+            .prop_map(|(index, duration)| Fault::KillStore(index, duration)),
+        (0usize..3, duration.clone())
+            .prop_map(|(index, duration)| Fault::FreezeStore(index, duration)),
+        (0usize..3, duration.clone())
+            .prop_map(|(index, duration)| Fault::SlowDisk(index, duration)),
+        duration.clone().prop_map(Fault::IsolateLeader),
+        duration.clone().prop_map(Fault::LoseReplies),
+        duration.prop_map(Fault::LossyNetwork),
         Just(Fault::CancelProgram),
         Just(Fault::WriteConflict),
     ]
@@ -153,24 +162,24 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 40,
-        // The same schedules on every run, so that a verdict is one of the code.
+        // Fixed, so that every run tests the same schedules.
         rng_seed: RngSeed::Fixed(2_026),
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn any_schedule_of_faults_keeps_every_promise(
-        faults in prop::collection::vec((0u64..14_000, drawn_fault()), 0..10),
+    fn invariants_hold_under_random_fault_schedules(
+        faults in prop::collection::vec((0u64..14_000, any_fault()), 0..10),
         seed in 0u64..1_000,
     ) {
-        let planned: Vec<_> = faults
+        let schedule: Vec<_> = faults
             .into_iter()
             .map(|(at, fault)| (Duration::from_millis(at), fault))
             .collect();
         let settings =
             SimSettings { scenario: Scenario::Combined, deployment: Deployment::Celje, seed };
-        let (report, _) = run_planned(&settings, &planned);
+        let (report, _) = run_with_faults(&settings, &schedule);
         prop_assert!(report.is_good(), "{}", report.describe());
     }
 }
