--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -10,7 +10,7 @@
 //! - [`caller`]: programs as state machines of their callers;
 //! - [`operator`]: configuration changes and probes that verify them;
 //! - [`fault`]: the types of faults;
-//! - [`disturb`]: injects faults and heals them;
+//! - [`fault_injection`]: injects faults and heals them;
 //! - [`waste`]: engine cache held for ended programs or computed twice;
 //! - [`scenario`]: the named scenarios and their fault schedules;
 //! - [`run`]: one run, its report, and runs of many seeds in parallel.
@@ -19,8 +19,8 @@
 pub mod backends;
 pub mod caller;
 pub mod disk;
-pub mod disturb;
 pub mod fault;
+pub mod fault_injection;
 pub mod frame;
 pub mod network;
 pub mod operator;
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::backends::PROBE_MODEL;
-use super::disturb::MAX_CALLS;
 use super::fault::Fault;
+use super::fault_injection::MAX_CALLS;
 use super::scenario::{Scenario, ScheduledFault};
 use super::waste::{CacheSamples, WastedCache, recomputed_share};
 use super::world::{START, SimEvent, World, WorldSize};
