--- a/crates/lab/src/sim/disk.rs
+++ b/crates/lab/src/sim/disk.rs
@@ -14,7 +14,7 @@
 }
 
 impl SimFile {
-    fn settle(&mut self) {
+    fn finish_syncs(&mut self) {
         self.durable.append(&mut self.syncing);
     }
 
@@ -33,8 +33,8 @@
 
 impl SimDisk {
     /// Completes the syncs in progress, which makes their data durable.
-    pub fn settle(&mut self) {
-        self.files.values_mut().for_each(SimFile::settle);
+    pub fn finish_syncs(&mut self) {
+        self.files.values_mut().for_each(SimFile::finish_syncs);
     }
 
     /// Simulates a power loss: each file keeps at most `kept_bytes` of its non-durable data.
@@ -42,7 +42,7 @@
         for file in self.files.values_mut() {
             file.sync();
             file.syncing.truncate(kept_bytes);
-            file.settle();
+            file.finish_syncs();
         }
     }
 
@@ -101,7 +101,7 @@
         self.syncs += 1;
         if let Some(file) = self.files.get_mut(name) {
             file.sync();
-            file.settle();
+            file.finish_syncs();
             file.durable.truncate(length);
         }
         Ok(())
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -523,7 +523,7 @@
             return self.schedule(until, SimEvent::SyncDone(index, generation));
         }
         if let Some(log) = &mut store.log {
-            log.disk_mut().settle();
+            log.disk_mut().finish_syncs();
         }
         let actions = store.pending_actions.take().unwrap_or_default();
         let from = store.id;
--- a/crates/lab/tests/ledger_members/cluster.rs
+++ b/crates/lab/tests/ledger_members/cluster.rs
@@ -326,7 +326,7 @@
         // Power may fail after the early messages have left and before the sync ends.
         let fails = !self.is_calm && self.random.random_bool(0.0005);
         if !fails {
-            log.disk_mut().settle();
+            log.disk_mut().finish_syncs();
         }
         let version = node.machine(GROUP).map_or(0, |state| state.configuration().version);
         for (to, messages) in early {
--- a/crates/lab/tests/linearizability.rs
+++ b/crates/lab/tests/linearizability.rs
@@ -274,7 +274,7 @@
         };
         node.tick(now);
         let events = node.flush(now, log).expect("the simulated disk has room");
-        log.disk_mut().settle();
+        log.disk_mut().finish_syncs();
         let value = node.machine(GROUP).map_or(0, |register| register.0);
         let from = node.id();
         for event in events {
