--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -8,7 +8,7 @@
 use super::ENTRIES_PER_SNAPSHOT;
 use crate::demo::Percentiles;
 use crate::deployment::Deployment;
-use crate::sim::account::Account;
+use crate::sim::cost::CostTracker;
 use crate::sim::frame::Actor;
 use crate::sim::world::{World, WorldSize};
 
@@ -94,15 +94,15 @@
 }
 
 fn measure_idle(world: &mut World, gateways: usize) -> ControlPoint {
-    world.account = Some(Account::default());
+    world.cost_tracker = Some(CostTracker::default());
     world.run_for(MEASURED);
-    let account = world.account.take().unwrap_or_default();
+    let cost_tracker = world.cost_tracker.take().unwrap_or_default();
     let seconds = MEASURED.as_secs_f64();
-    let sum = |value: fn(crate::sim::account::Cost) -> f64| {
-        let costs = (0..gateways).map(|index| value(account.cost(Actor::Gateway(index))));
+    let sum = |value: fn(crate::sim::cost::Cost) -> f64| {
+        let costs = (0..gateways).map(|index| value(cost_tracker.cost(Actor::Gateway(index))));
         costs.sum::<f64>() / gateways as f64 / seconds
     };
-    let busiest = account.busiest_store();
+    let busiest = cost_tracker.busiest_store();
     ControlPoint {
         gateways,
         engines: engines_of(gateways),
--- a/crates/lab/src/scale/programs.rs
+++ b/crates/lab/src/scale/programs.rs
@@ -18,7 +18,7 @@
 
 use super::ENTRIES_PER_SNAPSHOT;
 use crate::deployment::Deployment;
-use crate::sim::account::{Account, Cost};
+use crate::sim::cost::{Cost, CostTracker};
 use crate::sim::frame::Actor;
 use crate::sim::world::{World, WorldSize};
 use crate::workload::{Habit, ProgramPlan, Step};
@@ -81,13 +81,13 @@
     let mut world = World::new(Deployment::Celje, size, 1);
     world.declare_fleet();
     world.run_for(START_UP);
-    world.account = Some(Account::default());
+    world.cost_tracker = Some(CostTracker::default());
     world.run_for(START_UP);
     let idle = costs(&world).map(|cost| per_second(cost, START_UP));
     for number in 0..CALL_PROGRAMS {
         world.add_program(plan(number, tokens_per_turn), TURNS as u64 + 1);
     }
-    world.account = Some(Account::default());
+    world.cost_tracker = Some(CostTracker::default());
     world.run_for(CALL_RUN);
     let total = costs(&world).map(|cost| per_second(cost, CALL_RUN));
     let (calls, prompt_tokens) = world.answered_model_calls();
@@ -123,9 +123,9 @@
 
 /// Costs of the busiest store machine, and of all gateways.
 fn costs(world: &World) -> [Cost; 2] {
-    let account = world.account.clone().unwrap_or_default();
-    let busiest = account.busiest_store();
-    let gateways = (0..2).map(|index| account.cost(Actor::Gateway(index)));
+    let cost_tracker = world.cost_tracker.clone().unwrap_or_default();
+    let busiest = cost_tracker.busiest_store();
+    let gateways = (0..2).map(|index| cost_tracker.cost(Actor::Gateway(index)));
     let all = gateways.fold(Cost::default(), |sum, cost| Cost {
         messages: sum.messages + cost.messages,
         bytes: sum.bytes + cost.bytes,
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/cost.rs
@@ -28,13 +28,13 @@
 
 /// Costs recorded per node.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct CostTracker {
     costs: BTreeMap<Actor, Cost>,
     /// Time spent in the simulated network during the current step, excluded from busy time.
     network_time: Duration,
 }
 
-impl Account {
+impl CostTracker {
     /// Returns the costs of one node.
     pub fn cost(&self, actor: Actor) -> Cost {
         self.costs.get(&actor).copied().unwrap_or_default()
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,7 +1,7 @@
 //! Deterministic simulator: runs the state machines of a whole fleet in one thread under virtual
 //! time, with every message, disk and clock driven by one seed.
 //!
-//! - [`account`]: traffic and processing time per node;
+//! - [`cost`]: traffic and processing time per node;
 //! - [`disk`]: a disk that can lose unsynced data, fill up or be replaced;
 //! - [`frame`]: the messages of the simulation and their senders;
 //! - [`network`]: delay, loss, duplication and partitions;
@@ -15,9 +15,9 @@
 //! - [`scenario`]: the named scenarios and their fault schedules;
 //! - [`run`]: one run, its report, and runs of many seeds in parallel.
 
-pub mod account;
 pub mod backends;
 pub mod caller;
+pub mod cost;
 pub mod disk;
 pub mod fault;
 pub mod fault_injection;
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -13,9 +13,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::account::Account;
 use super::backends::{SimEngine, SimReplica};
 use super::caller::Clients;
+use super::cost::CostTracker;
 use super::disk::SimDisk;
 use super::fault::Fault;
 use super::frame::{Actor, ClientEvent, ClientRequest, Frame, Generation};
@@ -159,7 +159,7 @@
     deferred: BTreeMap<Actor, Vec<Frame>>,
     pub(super) events: u64,
     /// Records costs per node when set.
-    pub(crate) account: Option<Account>,
+    pub(crate) cost_tracker: Option<CostTracker>,
     entries_per_snapshot: u64,
     digest: blake3::Hasher,
 }
@@ -192,7 +192,7 @@
             faults: 0,
             deferred: BTreeMap::new(),
             events: 0,
-            account: None,
+            cost_tracker: None,
             entries_per_snapshot: size.entries_per_snapshot,
             digest: blake3::Hasher::new(),
         };
@@ -325,15 +325,15 @@
     /// Sends a frame that may be lost, duplicated or reordered.
     pub(super) fn send(&mut self, from: Actor, to: Actor, frame: Frame) {
         let began = Instant::now();
-        if let Some(account) = &mut self.account {
-            account.record_frame(from, to, &frame);
+        if let Some(cost_tracker) = &mut self.cost_tracker {
+            cost_tracker.record_frame(from, to, &frame);
         }
         let arrivals = self.network.arrivals(self.now, from, to, &mut self.random);
         for at in arrivals {
             self.schedule(at, SimEvent::Deliver(to, Box::new(frame.clone())));
         }
-        if let Some(account) = &mut self.account {
-            account.record_network(began.elapsed());
+        if let Some(cost_tracker) = &mut self.cost_tracker {
+            cost_tracker.record_network(began.elapsed());
         }
     }
 
@@ -378,8 +378,8 @@
     }
 
     fn record_busy(&mut self, actor: Actor, began: Instant) {
-        if let Some(account) = &mut self.account {
-            account.record_busy(actor, began.elapsed());
+        if let Some(cost_tracker) = &mut self.cost_tracker {
+            cost_tracker.record_busy(actor, began.elapsed());
         }
     }
 
