--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -117,10 +117,10 @@
 
 fn measure_changes(world: &mut World, gateways: usize) -> ChangeTimes {
     for _ in 0..CHANGES {
-        world.time_change();
+        world.measure_change_latency();
         world.run_for(CHANGE_INTERVAL);
     }
     world.run_for(CHANGE_INTERVAL * 5);
-    let times = world.change_times();
+    let times = world.change_latencies_ms();
     ChangeTimes { gateways, changes: times.len(), in_force_ms: Percentiles::of(times) }
 }
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -156,7 +156,7 @@
     pub(super) programs: Vec<ProgramRun>,
     pub(super) tasks: Vec<OperatorTask>,
     /// Times from the acceptance of each change until it was in force at all gateways.
-    pub(super) change_times: Vec<Duration>,
+    pub(super) change_latencies: Vec<Duration>,
     /// Changes of the probed limit by task index.
     pub(super) probe_changes: BTreeMap<usize, ProbeChange>,
     open: BTreeMap<Ticket, (usize, OpenRequest)>,
--- a/crates/lab/src/sim/operator.rs
+++ b/crates/lab/src/sim/operator.rs
@@ -166,7 +166,7 @@
     }
 
     /// Makes a change and measures the time until it is in force at all gateways.
-    pub fn time_change(&mut self) {
+    pub fn measure_change_latency(&mut self) {
         self.probe_change();
         let task = self.clients.tasks.len() - 1;
         if let Some(OperatorTask::Probe(probe)) = self.clients.tasks.get_mut(task) {
@@ -175,8 +175,8 @@
     }
 
     /// Returns the milliseconds from the acceptance of each change until it was in force.
-    pub fn change_times(&self) -> Vec<u64> {
-        self.clients.change_times.iter().map(|time| time.as_millis() as u64).collect()
+    pub fn change_latencies_ms(&self) -> Vec<u64> {
+        self.clients.change_latencies.iter().map(|time| time.as_millis() as u64).collect()
     }
 
     /// Applies `count` configuration changes in sequence.
@@ -291,7 +291,7 @@
                 let target_revision = probe.accepted.map_or(Revision(0), |(revision, _)| revision);
                 if status.in_force >= target_revision && probe.in_force.is_none() {
                     let accepted = probe.accepted.map_or(now, |(_, at)| at);
-                    self.clients.change_times.push(now.since(accepted));
+                    self.clients.change_latencies.push(now.since(accepted));
                     probe.in_force = Some(now);
                 }
                 self.schedule_in(
