--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -18,7 +18,7 @@
 use calicohoist_types::{ChatMessage, Moment, Outcome, Usage};
 use parking_lot::Mutex;
 
-use crate::history::{Asked, CallTry, TryEnd};
+use crate::history::{CallInput, CallResult, CallTry};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
@@ -97,7 +97,7 @@
     /// When the call is refused for good.
     pub fn ask(&mut self, messages: Vec<ChatMessage>, manner: Manner) -> Result<String, GaveUp> {
         let model = self.context.model.clone();
-        self.call(Asked::Model { model, messages }, true, manner)
+        self.call(CallInput::Model { model, messages }, true, manner)
     }
 
     /// Uses the service.
@@ -111,19 +111,24 @@
         manner: Manner,
     ) -> Result<String, GaveUp> {
         let service = self.context.service.clone();
-        self.call(Asked::Service { service, input }, repeatable, manner)
+        self.call(CallInput::Service { service, input }, repeatable, manner)
     }
 
     /// Sends a call for a place whose turn has not come; it must be refused.
     pub fn send_too_early(&mut self, messages: Vec<ChatMessage>) {
         let model = self.context.model.clone();
-        let asked = Asked::Model { model, messages };
+        let asked = CallInput::Model { model, messages };
         let sequence = self.next_sequence + 1;
         let key = format!("early-{sequence}");
         self.try_once(self.gateway, sequence, &key, &asked, true, false);
     }
 
-    fn call(&mut self, asked: Asked, repeatable: bool, manner: Manner) -> Result<String, GaveUp> {
+    fn call(
+        &mut self,
+        asked: CallInput,
+        repeatable: bool,
+        manner: Manner,
+    ) -> Result<String, GaveUp> {
         let sequence = self.next_sequence;
         let mut round = 0;
         let mut manner = manner;
@@ -136,11 +141,11 @@
             }
             let hang_up = std::mem::take(&mut manner.hang_up);
             match self.try_once(self.gateway, sequence, &key, &asked, repeatable, hang_up) {
-                TryEnd::Answered { text, .. } => {
+                CallResult::Answered { text, .. } => {
                     self.next_sequence += 1;
                     return Ok(text);
                 }
-                TryEnd::Refused { outcome, code } => {
+                CallResult::Refused { outcome, code } => {
                     if !is_worth_another_try(&code) {
                         return Err(GaveUp { code });
                     }
@@ -150,7 +155,7 @@
                     }
                     last = code;
                 }
-                TryEnd::Cut | TryEnd::NotConnected | TryEnd::HungUp => {}
+                CallResult::Cut | CallResult::NotConnected | CallResult::HungUp => {}
             }
             self.gateway += 1;
             std::thread::sleep(RETRY_PAUSE.mul_f64((attempt as f64 / 2.0).min(1.0)));
@@ -159,7 +164,7 @@
     }
 
     /// The same request once more, at the same time, through another gateway.
-    fn send_second(&self, sequence: u64, key: &str, asked: &Asked, repeatable: bool) {
+    fn send_second(&self, sequence: u64, key: &str, asked: &CallInput, repeatable: bool) {
         let twin = self.clone();
         let (key, asked) = (key.to_owned(), asked.clone());
         std::thread::spawn(move || {
@@ -172,10 +177,10 @@
         gateway: usize,
         sequence: u64,
         key: &str,
-        asked: &Asked,
+        asked: &CallInput,
         repeatable: bool,
         hang_up: bool,
-    ) -> TryEnd {
+    ) -> CallResult {
         let sent = self.clock.now();
         let under_way = &self.context.under_way[gateway % self.context.gateways.len()];
         under_way.fetch_add(1, Ordering::SeqCst);
@@ -187,13 +192,13 @@
             .with_header(HEADER_KEY, key)
             .with_header(HEADER_REPEATABLE, repeatable.to_string());
         let end = match asked {
-            Asked::Model { model, messages } => {
+            CallInput::Model { model, messages } => {
                 let request = ChatRequest::streamed(model, messages);
                 let path = "/v1/chat/completions";
                 let response = sender.request_json(Method::POST, path, &request);
                 self.read_answer(response, gateway, sequence, hang_up)
             }
-            Asked::Service { service, input } => {
+            CallInput::Service { service, input } => {
                 let request = ServiceRequest { input: input.clone() };
                 let path = format!("/v1/services/{service}");
                 read_service(sender.request_json(Method::POST, &path, &request))
@@ -221,7 +226,7 @@
         gateway: usize,
         sequence: u64,
         hang_up: bool,
-    ) -> TryEnd {
+    ) -> CallResult {
         let response = match response {
             Ok(response) if response.is_success() => response,
             Ok(response) => return refusal(response),
@@ -230,13 +235,13 @@
         let mut text = String::new();
         match read_stream(response, &mut text, hang_up) {
             // Whatever was received stays; the rest comes through another gateway.
-            TryEnd::HungUp => self.resume(gateway + 1, sequence, text),
+            CallResult::HungUp => self.resume(gateway + 1, sequence, text),
             end => end,
         }
     }
 
     /// Gets the rest of an answer from the byte where it broke off.
-    fn resume(&self, gateway: usize, sequence: u64, mut text: String) -> TryEnd {
+    fn resume(&self, gateway: usize, sequence: u64, mut text: String) -> CallResult {
         let path = format!(
             "/v1/programs/{}/calls/{sequence}/answer?offset={}&stream=true",
             self.program,
@@ -300,7 +305,7 @@
 /// Pieces after which a caller hangs up on purpose.
 const PIECES_BEFORE_HANG_UP: usize = 3;
 
-fn read_stream(response: Response, text: &mut String, hang_up: bool) -> TryEnd {
+fn read_stream(response: Response, text: &mut String, hang_up: bool) -> CallResult {
     let mut events = EventReader::new(response.split().2);
     let mut finish_reason = None;
     let mut usage = Usage::default();
@@ -308,17 +313,17 @@
     loop {
         let data = match events.next_data() {
             Ok(Some(data)) => data,
-            Ok(None) | Err(_) => return TryEnd::Cut,
+            Ok(None) | Err(_) => return CallResult::Cut,
         };
         if data == STREAM_DONE {
             let finish_reason = finish_reason.unwrap_or_default();
-            return TryEnd::Answered { text: std::mem::take(text), finish_reason, usage };
+            return CallResult::Answered { text: std::mem::take(text), finish_reason, usage };
         }
         if let Ok(error) = serde_json::from_str::<ErrorBody>(&data) {
             return refused(&error);
         }
         let Ok(chunk) = serde_json::from_str::<ChatChunk>(&data) else {
-            return TryEnd::Cut;
+            return CallResult::Cut;
         };
         text.push_str(chunk.text());
         pieces += 1;
@@ -329,45 +334,45 @@
             usage = body.into();
         }
         if hang_up && pieces == PIECES_BEFORE_HANG_UP {
-            return TryEnd::HungUp;
+            return CallResult::HungUp;
         }
     }
 }
 
-fn read_service(response: Result<Response, ClientError>) -> TryEnd {
+fn read_service(response: Result<Response, ClientError>) -> CallResult {
     match response {
         Ok(response) if response.is_success() => match response.json::<ServiceReply>() {
-            Ok(reply) => TryEnd::Answered {
+            Ok(reply) => CallResult::Answered {
                 text: reply.output,
                 finish_reason: "stop".to_owned(),
                 usage: Usage::default(),
             },
-            Err(_) => TryEnd::Cut,
+            Err(_) => CallResult::Cut,
         },
         Ok(response) => refusal(response),
         Err(error) => transport_end(&error),
     }
 }
 
-fn refusal(response: Response) -> TryEnd {
+fn refusal(response: Response) -> CallResult {
     let mut body = Vec::new();
     let read = response.split().2.read_to_end(&mut body);
     match (read, serde_json::from_slice::<ErrorBody>(&body)) {
         (Ok(_), Ok(error)) => refused(&error),
-        _ => TryEnd::Cut,
+        _ => CallResult::Cut,
     }
 }
 
-fn refused(error: &ErrorBody) -> TryEnd {
+fn refused(error: &ErrorBody) -> CallResult {
     let outcome = match error.error.outcome.as_deref() {
         Some("not_run") => Outcome::NotRun,
         _ => Outcome::Unknown,
     };
-    TryEnd::Refused { outcome, code: error.error.code.clone().unwrap_or_default() }
+    CallResult::Refused { outcome, code: error.error.code.clone().unwrap_or_default() }
 }
 
-fn transport_end(error: &ClientError) -> TryEnd {
-    if error.never_sent() { TryEnd::NotConnected } else { TryEnd::Cut }
+fn transport_end(error: &ClientError) -> CallResult {
+    if error.never_sent() { CallResult::NotConnected } else { CallResult::Cut }
 }
 
 /// Whether a refusal with this code may turn out otherwise later.
--- a/crates/lab/src/check/calls.rs
+++ b/crates/lab/src/check/calls.rs
@@ -9,7 +9,7 @@
 
 use super::Verdict;
 use super::transcript::Transcripts;
-use crate::history::{Asked, CallTry, History, TryEnd};
+use crate::history::{CallInput, CallResult, CallTry, History};
 
 /// Earliest start and end of the executions of one call.
 #[derive(Clone, Copy, Default)]
@@ -107,12 +107,12 @@
 pub(super) fn response_integrity(history: &History, transcripts: &Transcripts) -> Verdict {
     let mut verdict = Verdict::default();
     for call in &history.tries {
-        let TryEnd::Answered { text, finish_reason, usage } = &call.end else {
+        let CallResult::Answered { text, finish_reason, usage } = &call.end else {
             continue;
         };
         let expected = match &call.asked {
-            Asked::Service { service, input } => job_output(service, input),
-            Asked::Model { model, messages } => {
+            CallInput::Service { service, input } => job_output(service, input),
+            CallInput::Model { model, messages } => {
                 let prompt = transcripts.prompt(&call.program, call.sequence, messages);
                 let is_cut = finish_reason == "length";
                 let limit = if is_cut { usage.completion_tokens } else { u64::MAX };
@@ -130,8 +130,8 @@
     let mut verdict = Verdict::default();
     for refused in history.tries.iter().filter(|call| is_not_run(call)) {
         let executed = match &refused.asked {
-            Asked::Service { .. } => service_executed(history, refused),
-            Asked::Model { .. } => engine_executed_without_cause(history, refused),
+            CallInput::Service { .. } => service_executed(history, refused),
+            CallInput::Model { .. } => engine_executed_without_cause(history, refused),
         };
         verdict.record(!executed, || {
             format!(
@@ -144,9 +144,9 @@
 }
 
 fn is_not_run(call: &CallTry) -> bool {
-    let refused = TryEnd::Refused { outcome: Outcome::NotRun, code: String::new() };
+    let refused = CallResult::Refused { outcome: Outcome::NotRun, code: String::new() };
     std::mem::discriminant(&call.end) == std::mem::discriminant(&refused)
-        && matches!(&call.end, TryEnd::Refused { outcome: Outcome::NotRun, .. })
+        && matches!(&call.end, CallResult::Refused { outcome: Outcome::NotRun, .. })
 }
 
 fn service_executed(history: &History, refused: &CallTry) -> bool {
--- a/crates/lab/src/check/fleet.rs
+++ b/crates/lab/src/check/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Verdict;
-use crate::history::{History, TryEnd};
+use crate::history::{CallResult, History};
 
 /// Time after a drain during which an engine may still receive new work: covers the delay of the
 /// platform, one read of its list and one probe.
@@ -57,7 +57,7 @@
         });
         let at_gateway = history.tries.iter().filter(|call| call.gateway == stop.gateway);
         for call in at_gateway.filter(|call| call.sent < stop.began && call.ended > stop.began) {
-            verdict.record(call.end != TryEnd::Cut, || {
+            verdict.record(call.end != CallResult::Cut, || {
                 format!("{}/{} was interrupted by a graceful shutdown", call.program, call.sequence)
             });
         }
--- a/crates/lab/src/check/transcript.rs
+++ b/crates/lab/src/check/transcript.rs
@@ -4,7 +4,7 @@
 
 use calicohoist_types::{ChatMessage, Role};
 
-use crate::history::{Asked, History, TryEnd};
+use crate::history::{CallInput, CallResult, History};
 
 /// A caller's requests and answer for one call of a program.
 #[derive(Default)]
@@ -24,7 +24,7 @@
     pub(super) fn new(history: &History) -> Self {
         let mut programs: BTreeMap<String, BTreeMap<u64, CallRecord>> = BTreeMap::new();
         for call in &history.tries {
-            let Asked::Model { messages, .. } = &call.asked else {
+            let CallInput::Model { messages, .. } = &call.asked else {
                 continue;
             };
             let calls = programs.entry(call.program.clone()).or_default();
@@ -32,7 +32,7 @@
             if !record.requested.contains(messages) {
                 record.requested.push(messages.clone());
             }
-            if let TryEnd::Answered { text, .. } = &call.end {
+            if let CallResult::Answered { text, .. } = &call.end {
                 record.answered = Some((messages.clone(), text.clone()));
             }
         }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -20,7 +20,9 @@
 use crate::deployment::Deployment;
 use crate::fleet::resources::Operator;
 use crate::fleet::{EmbeddedFleet, FleetControl, FleetMap};
-use crate::history::{Asked, ConfigProbe, DrainEvent, History, Holding, ProgramTrace, TryEnd};
+use crate::history::{
+    CallInput, CallResult, ConfigProbe, DrainEvent, History, Holding, ProgramTrace,
+};
 use crate::workload::{Habit, ProgramPlan, Step, draw};
 
 /// Programs start within this time.
@@ -132,11 +134,11 @@
 fn report(settings: &DemoSettings, history: &History) -> DemoReport {
     let roots: Vec<&ProgramTrace> =
         history.programs.iter().filter(|program| program.id == program.root).collect();
-    let answered = |end: &TryEnd| matches!(end, TryEnd::Answered { .. });
+    let answered = |end: &CallResult| matches!(end, CallResult::Answered { .. });
     let prints: std::collections::BTreeSet<String> = history
         .tries
         .iter()
-        .filter(|call| !call.repeatable && matches!(call.asked, Asked::Service { .. }))
+        .filter(|call| !call.repeatable && matches!(call.asked, CallInput::Service { .. }))
         .filter(|call| answered(&call.end))
         .map(|call| format!("{}/{}/{}", call.program, call.sequence, call.key))
         .collect();
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -6,7 +6,7 @@
 
 /// Input of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asked {
+pub enum CallInput {
     /// A generation by a model.
     Model {
         /// The model.
@@ -25,7 +25,7 @@
 
 /// Result of a request, as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TryEnd {
+pub enum CallResult {
     /// A complete answer.
     Answered {
         /// The text.
@@ -60,7 +60,7 @@
     /// Idempotency key.
     pub key: String,
     /// Input of the call.
-    pub asked: Asked,
+    pub asked: CallInput,
     /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Index of the gateway.
@@ -70,7 +70,7 @@
     /// Time of the result.
     pub ended: Moment,
     /// The result.
-    pub end: TryEnd,
+    pub end: CallResult,
 }
 
 /// One program, as its caller observed it.
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -20,7 +20,7 @@
 use super::operator::{OperatorTask, ProbeChange};
 use super::world::{PROGRAM_GROUPS, SimEvent, World};
 use crate::caller::is_worth_another_try;
-use crate::history::{Asked, CallTry, ProgramTrace, TryEnd};
+use crate::history::{CallInput, CallResult, CallTry, ProgramTrace};
 use crate::workload::{Habit, ProgramPlan, Step};
 
 /// Delay before a retry.
@@ -74,7 +74,7 @@
     program: usize,
     sequence: u64,
     key: String,
-    input: Asked,
+    input: CallInput,
     repeatable: bool,
     gateway: usize,
     sent: Moment,
@@ -469,7 +469,7 @@
 
     /// Returns the input of the current step, whether it is repeatable, and whether it is sent
     /// twice.
-    fn current_input(&self, index: usize) -> Option<(Asked, bool, bool)> {
+    fn current_input(&self, index: usize) -> Option<(CallInput, bool, bool)> {
         let program = &self.clients.programs[index];
         match program.steps.get(program.step_index)? {
             Step::Ask(messages) => {
@@ -478,11 +478,11 @@
                     results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
                 all.extend(messages.iter().cloned());
                 let model = self.deployment.model().to_owned();
-                Some((Asked::Model { model, messages: all }, true, false))
+                Some((CallInput::Model { model, messages: all }, true, false))
             }
             Step::Service { input, repeatable, twice } => {
                 let service = self.deployment.service().to_owned();
-                Some((Asked::Service { service, input: input.clone() }, *repeatable, *twice))
+                Some((CallInput::Service { service, input: input.clone() }, *repeatable, *twice))
             }
             _ => None,
         }
@@ -504,8 +504,9 @@
         }
         let wants_disconnect =
             program.habit == Habit::HangsUp && program.step_index.is_multiple_of(2);
-        let disconnect =
-            wants_disconnect && !program.has_disconnected && matches!(input, Asked::Model { .. });
+        let disconnect = wants_disconnect
+            && !program.has_disconnected
+            && matches!(input, CallInput::Model { .. });
         let open = OpenCall {
             program: index,
             sequence: program.sequence,
@@ -541,7 +542,7 @@
             program: index,
             sequence,
             key: format!("k{sequence}-0"),
-            input: Asked::Model { model, messages: messages.clone() },
+            input: CallInput::Model { model, messages: messages.clone() },
             repeatable: true,
             gateway: program.gateway,
             sent: self.now,
@@ -558,12 +559,12 @@
         open.gateway = gateway;
         let program = &self.clients.programs[open.program];
         let work = match &open.input {
-            Asked::Model { model, messages } => Work::Model {
+            CallInput::Model { model, messages } => Work::Model {
                 model: ModelId::new(model),
                 messages: messages.clone(),
                 max_tokens: None,
             },
-            Asked::Service { service, input } => {
+            CallInput::Service { service, input } => {
                 Work::Service { service: ServiceId::new(service), input: input.clone() }
             }
         };
@@ -598,19 +599,19 @@
             ClientEvent::FromGateway(CallerEvent::Finished(finish)) => {
                 let Finish { finish_reason, usage, .. } = finish;
                 let text = std::mem::take(&mut open.text);
-                self.record_call_end(*open, TryEnd::Answered { text, finish_reason, usage });
+                self.record_call_end(*open, CallResult::Answered { text, finish_reason, usage });
             }
             ClientEvent::FromGateway(CallerEvent::Failed(failure)) => {
                 let error = ApiError::of_failure(&failure).body().error;
                 let code = error.code.unwrap_or_default();
-                self.record_call_end(*open, TryEnd::Refused { outcome: failure.outcome, code });
+                self.record_call_end(*open, CallResult::Refused { outcome: failure.outcome, code });
             }
             ClientEvent::FromGateway(_) => {
                 self.clients.open.insert(ticket, (gateway, OpenRequest::Call(open)));
             }
-            ClientEvent::Disconnected => self.record_call_end(*open, TryEnd::Cut),
-            ClientEvent::TimedOut => self.record_call_end(*open, TryEnd::HungUp),
-            ClientEvent::ConnectionRefused => self.record_call_end(*open, TryEnd::NotConnected),
+            ClientEvent::Disconnected => self.record_call_end(*open, CallResult::Cut),
+            ClientEvent::TimedOut => self.record_call_end(*open, CallResult::HungUp),
+            ClientEvent::ConnectionRefused => self.record_call_end(*open, CallResult::NotConnected),
         }
     }
 
@@ -631,7 +632,7 @@
         self.send_client(next, ticket, request);
     }
 
-    fn record_call_end(&mut self, open: OpenCall, end: TryEnd) {
+    fn record_call_end(&mut self, open: OpenCall, end: CallResult) {
         let program = &self.clients.programs[open.program];
         self.history.tries.push(CallTry {
             program: program.id.clone(),
@@ -649,10 +650,10 @@
         }
     }
 
-    fn handle_call_end(&mut self, index: usize, end: TryEnd) {
+    fn handle_call_end(&mut self, index: usize, end: CallResult) {
         let program = &mut self.clients.programs[index];
         match end {
-            TryEnd::Answered { text, .. } => {
+            CallResult::Answered { text, .. } => {
                 program.sequence += 1;
                 program.step_index += 1;
                 program.last_answer = text;
@@ -660,7 +661,7 @@
                 program.agent_answers.clear();
                 return self.next_step(index);
             }
-            TryEnd::Refused { outcome, code } => {
+            CallResult::Refused { outcome, code } => {
                 if is_permanent_refusal(&code) {
                     program.succeeded = false;
                     return self.end_program(index);
@@ -670,7 +671,7 @@
                     program.key_version += 1;
                 }
             }
-            TryEnd::Cut | TryEnd::NotConnected | TryEnd::HungUp => {}
+            CallResult::Cut | CallResult::NotConnected | CallResult::HungUp => {}
         }
         program.gateway += 1;
         self.schedule_in(RETRY_DELAY, SimEvent::ClientTimer(ClientTimer::Retry(index)));
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -21,7 +21,7 @@
 use super::frame::{Actor, ClientEvent, ClientRequest, Frame, Generation};
 use super::network::{Network, zone_name};
 use crate::deployment::Deployment;
-use crate::history::{History, TryEnd};
+use crate::history::{CallResult, History};
 
 /// Number of replication groups that store programs.
 pub const PROGRAM_GROUPS: u32 = 2;
@@ -252,7 +252,9 @@
     /// Returns the number of answered model calls and their average prompt tokens.
     pub fn answered_model_calls(&self) -> (usize, f64) {
         let answered = self.history.tries.iter().filter_map(|call| match &call.end {
-            TryEnd::Answered { usage, .. } if usage.prompt_tokens > 0 => Some(usage.prompt_tokens),
+            CallResult::Answered { usage, .. } if usage.prompt_tokens > 0 => {
+                Some(usage.prompt_tokens)
+            }
             _ => None,
         });
         let prompts: Vec<u64> = answered.collect();
--- a/crates/lab/tests/checker.rs
+++ b/crates/lab/tests/checker.rs
@@ -5,7 +5,8 @@
 use calicohoist_emulator::{EngineRecord, ServiceRecord};
 use calicohoist_lab::check::check;
 use calicohoist_lab::history::{
-    Asked, CallTry, ConfigProbe, DrainEvent, History, Holding, ProgramTrace, StopEvent, TryEnd,
+    CallInput, CallResult, CallTry, ConfigProbe, DrainEvent, History, Holding, ProgramTrace,
+    StopEvent,
 };
 use calicohoist_types::{
     AttemptId, CallId, ChatMessage, ModelId, Moment, Outcome, ProgramId, Role, Usage,
@@ -42,12 +43,12 @@
             program: "p".into(),
             sequence,
             key: format!("k{sequence}"),
-            asked: Asked::Model { model: MODEL.into(), messages: vec![message] },
+            asked: CallInput::Model { model: MODEL.into(), messages: vec![message] },
             repeatable: true,
             gateway: 0,
             sent: at(sequence * 10),
             ended: at(sequence * 10 + 5),
-            end: TryEnd::Answered {
+            end: CallResult::Answered {
                 text: text.clone(),
                 finish_reason: "stop".into(),
                 usage: usage(&prompt, &text),
@@ -71,12 +72,12 @@
         program: "p".into(),
         sequence: 3,
         key: "k3".into(),
-        asked: Asked::Service { service: SERVICE.into(), input: "a page".into() },
+        asked: CallInput::Service { service: SERVICE.into(), input: "a page".into() },
         repeatable: false,
         gateway: 0,
         sent: at(30),
         ended: at(35),
-        end: TryEnd::Answered {
+        end: CallResult::Answered {
             text: job_output(SERVICE, "a page"),
             finish_reason: "stop".into(),
             usage: Usage::default(),
@@ -111,7 +112,7 @@
 
 fn refuse(history: &mut History, index: usize) {
     history.tries[index].end =
-        TryEnd::Refused { outcome: Outcome::NotRun, code: "overloaded".into() };
+        CallResult::Refused { outcome: Outcome::NotRun, code: "overloaded".into() };
 }
 
 #[test]
@@ -192,7 +193,7 @@
 #[test]
 fn a_truncated_answer_violates_response_integrity() {
     let mut history = valid_history();
-    if let TryEnd::Answered { text, .. } = &mut history.tries[0].end {
+    if let CallResult::Answered { text, .. } = &mut history.tries[0].end {
         text.pop();
     }
     let invariants = check(&history);
@@ -227,7 +228,7 @@
     let mut earlier = history.tries[1].clone();
     earlier.sent = at(16);
     earlier.ended = at(17);
-    earlier.end = TryEnd::Refused { outcome: Outcome::NotRun, code: "overloaded".into() };
+    earlier.end = CallResult::Refused { outcome: Outcome::NotRun, code: "overloaded".into() };
     history.tries.push(earlier);
     let verdict = check(&history).refused_not_executed;
     assert_eq!((verdict.checked, verdict.violations), (1, 0));
@@ -259,7 +260,7 @@
 #[test]
 fn a_call_interrupted_by_a_graceful_shutdown_is_detected() {
     let mut history = valid_history();
-    history.tries[2].end = TryEnd::Cut;
+    history.tries[2].end = CallResult::Cut;
     assert_eq!(check(&history).graceful_shutdown.violations, 1);
 }
 
