--- a/crates/lab/src/check/calls.rs
+++ b/crates/lab/src/check/calls.rs
@@ -114,8 +114,8 @@
             CallInput::Service { service, input } => job_output(service, input),
             CallInput::Model { model, messages } => {
                 let prompt = transcripts.prompt(&call.program, call.sequence, messages);
-                let is_cut = finish_reason == "length";
-                let limit = if is_cut { usage.completion_tokens } else { u64::MAX };
+                let is_truncated = finish_reason == "length";
+                let limit = if is_truncated { usage.completion_tokens } else { u64::MAX };
                 answer_text(&ModelId::new(model), &prompt, limit)
             }
         };
--- a/crates/lab/src/sim/cost.rs
+++ b/crates/lab/src/sim/cost.rs
@@ -13,7 +13,7 @@
 /// Placeholder for the one-byte enum tag of an encoded frame.
 const ENUM_TAG: u8 = 0;
 /// Size of the length and checksum fields before each frame.
-const FRAME_HEADER: u64 = 8;
+const FRAME_HEADER_BYTES: u64 = 8;
 
 /// Traffic and processing time of one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -83,5 +83,5 @@
         Frame::GatewayPeer { message, .. } => encode(message),
         _ => return None,
     };
-    Some(encoded.ok()?.len() as u64 + FRAME_HEADER)
+    Some(encoded.ok()?.len() as u64 + FRAME_HEADER_BYTES)
 }
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -11,7 +11,7 @@
 //! - [`operator`]: configuration changes and probes that verify them;
 //! - [`fault`]: the types of faults;
 //! - [`fault_injection`]: injects faults and heals them;
-//! - [`waste`]: engine cache held for ended programs or computed twice;
+//! - [`waste`]: engine cache held for ended programs or computed more than once;
 //! - [`scenario`]: the named scenarios and their fault schedules;
 //! - [`run`]: one run, its report, and runs of many seeds in parallel.
 
--- a/crates/lab/tests/checker.rs
+++ b/crates/lab/tests/checker.rs
@@ -292,9 +292,9 @@
 #[test]
 fn interrupted_attempts_count_towards_the_budget() {
     let mut history = valid_history();
-    let mut cut = history.engine_records[0].clone();
-    cut.finished = None;
-    cut.usage.prompt_tokens = 1_000_000_000;
-    history.engine_records.push(cut);
+    let mut interrupted = history.engine_records[0].clone();
+    interrupted.finished = None;
+    interrupted.usage.prompt_tokens = 1_000_000_000;
+    history.engine_records.push(interrupted);
     assert_eq!(check(&history).budget_limit.violations, 1);
 }
