--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,5 +1,5 @@
-//! `bench`: what the whole path adds to a call, and how many short calls one
-//! gateway holds. Figures are ratios within one run wherever that is possible.
+//! `bench`: measures the latency that the gateway path adds to a call and the throughput of
+//! one gateway.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,68 +18,68 @@
 use crate::fleet::{EmbeddedFleet, FleetControl};
 
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Callers at a time, one step after the other.
-const CONCURRENCY: [usize; 6] = [1, 4, 16, 32, 64, 128];
+/// Numbers of concurrent callers, measured one after another.
+const CONCURRENCY_LEVELS: [usize; 6] = [1, 4, 16, 32, 64, 128];
 
-/// What to measure.
+/// Settings of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct BenchSettings {
-    /// Calls of each kind for the added latency.
+    /// Number of direct and of proxied calls for the latency measurement.
     pub calls: usize,
-    /// Time of each step of the rate.
-    pub step: Duration,
+    /// Duration of the measurement at each concurrency level.
+    pub step_duration: Duration,
 }
 
-/// Times of one kind of call, in microseconds.
+/// Latency percentiles, in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Latency {
     /// Median.
     pub p50_micros: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_micros: u64,
 }
 
-/// One step of the rate.
+/// Throughput at one concurrency level.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct RateStep {
-    /// Callers at a time.
+pub struct ThroughputPoint {
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Answers per second.
+    /// Answered calls per second.
     pub calls_per_second: f64,
-    /// Calls that got no answer.
+    /// Number of failed calls.
     pub failed: u64,
-    /// Their latency.
+    /// Latency of the answered calls.
     pub latency: Latency,
 }
 
-/// Everything measured.
+/// Results of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub struct BenchReport {
-    /// Straight to an engine.
+    /// Latency of calls sent directly to an engine.
     pub direct: Latency,
-    /// Through gateway and store.
+    /// Latency of calls sent through the gateway and store.
     pub through: Latency,
-    /// Median of the differences, pair by pair.
+    /// Median of the pairwise latency differences.
     pub added_p50_micros: i64,
-    /// The 99th percentile of the differences, pair by pair.
+    /// 99th percentile of the pairwise latency differences.
     pub added_p99_micros: i64,
-    /// Rates at one gateway.
-    pub rate: Vec<RateStep>,
+    /// Throughput of one gateway at each concurrency level.
+    pub rate: Vec<ThroughputPoint>,
 }
 
-/// Runs both measurements on an embedded fleet.
+/// Measures latency and throughput on an embedded fleet.
 ///
 /// # Errors
 /// When the fleet cannot be started or a call fails.
 pub fn run(settings: BenchSettings) -> Result<BenchReport> {
     let folder = tempfile::tempdir()?;
     let size = FleetSize { engines: 10, replicas: 1, gateways: 1, stores: 3 };
-    let tune = |section: &mut calicohoist::settings::GatewaySection| section.workers = 256;
-    let fleet = EmbeddedFleet::start_with(Deployment::Celje, size, folder.path(), 1, tune)?;
-    let map = fleet.map();
-    let (direct, through) = compare(
-        map.engines[0].address,
-        map.gateways[0],
+    let configure = |section: &mut calicohoist::settings::GatewaySection| section.workers = 256;
+    let fleet = EmbeddedFleet::start_with(Deployment::Celje, size, folder.path(), 1, configure)?;
+    let addresses = fleet.addresses();
+    let (direct, through) = measure_latency(
+        addresses.engines[0].address,
+        addresses.gateways[0],
         Deployment::Celje.model(),
         settings.calls,
     )?;
@@ -89,27 +89,28 @@
         .map(|(direct, through)| *through as i64 - *direct as i64)
         .collect();
     added.sort_unstable();
-    let at = |share: f64| added[((added.len() - 1) as f64 * share) as usize];
+    let percentile = |share: f64| added[((added.len() - 1) as f64 * share) as usize];
     let mut rate = Vec::new();
-    for callers in CONCURRENCY {
-        rate.push(measure_rate(
-            map.gateways[0],
+    for callers in CONCURRENCY_LEVELS {
+        rate.push(measure_throughput(
+            addresses.gateways[0],
             Deployment::Celje.model(),
             callers,
-            settings.step,
+            settings.step_duration,
         )?);
     }
     Ok(BenchReport {
         direct: latency(&direct)?,
         through: latency(&through)?,
-        added_p50_micros: at(0.50),
-        added_p99_micros: at(0.99),
+        added_p50_micros: percentile(0.50),
+        added_p99_micros: percentile(0.99),
         rate,
     })
 }
 
-/// The same calls straight to an engine and through the gateway, in turn.
-fn compare(
+/// Sends the same calls alternately to an engine and to the gateway; returns the latencies in
+/// microseconds.
+fn measure_latency(
     engine: SocketAddr,
     gateway: SocketAddr,
     model: &str,
@@ -123,9 +124,9 @@
         let client = HttpClient::new(engine, TIMEOUT, TIMEOUT)
             .with_header(HEADER_ENGINE_ATTEMPT, attempt)
             .with_header(HEADER_ENGINE_PROGRAM, "bench");
-        direct.push(time_stream(&client, &request)?);
+        direct.push(measure_stream(&client, &request)?);
         let client = HttpClient::new(gateway, TIMEOUT, TIMEOUT);
-        through.push(time_stream(&client, &request)?);
+        through.push(measure_stream(&client, &request)?);
     }
     Ok((direct, through))
 }
@@ -137,17 +138,17 @@
     request
 }
 
-fn time_stream(client: &HttpClient, request: &ChatRequest) -> Result<u64> {
-    let begin = Instant::now();
+fn measure_stream(client: &HttpClient, request: &ChatRequest) -> Result<u64> {
+    let started = Instant::now();
     let mut events = client.post_event_stream("/v1/chat/completions", request)?;
-    let mut is_done = false;
+    let mut is_complete = false;
     while let Some(data) = events.next_data()? {
-        is_done |= data == calicohoist_http::STREAM_DONE;
+        is_complete |= data == calicohoist_http::STREAM_DONE;
     }
-    if is_done {
-        Ok(begin.elapsed().as_micros() as u64)
+    if is_complete {
+        Ok(started.elapsed().as_micros() as u64)
     } else {
-        Err(eyre!("the answer has no end"))
+        Err(eyre!("event stream ended without [DONE]"))
     }
 }
 
@@ -162,43 +163,43 @@
     })
 }
 
-/// Callers that send one short call after the other for `step`.
-fn measure_rate(
+/// Runs `callers` threads that send short calls back to back for `duration`.
+fn measure_throughput(
     gateway: SocketAddr,
     model: &str,
     callers: usize,
-    step: Duration,
-) -> Result<RateStep> {
+    duration: Duration,
+) -> Result<ThroughputPoint> {
     let stop = AtomicBool::new(false);
     let failed = AtomicU64::new(0);
     let number = AtomicU64::new(1_000_000);
-    let begin = Instant::now();
-    let times: Vec<Vec<u64>> = std::thread::scope(|scope| {
-        let call = || {
+    let started = Instant::now();
+    let per_thread: Vec<Vec<u64>> = std::thread::scope(|scope| {
+        let send_calls = || {
             let client = HttpClient::new(gateway, TIMEOUT, TIMEOUT);
-            let mut times = Vec::new();
+            let mut latencies = Vec::new();
             while !stop.load(Ordering::Relaxed) {
                 let mut request = short_request(model, number.fetch_add(1, Ordering::Relaxed));
                 request.stream = false;
-                let begin = Instant::now();
+                let started = Instant::now();
                 match client.post::<_, Value>("/v1/chat/completions", &request) {
-                    Ok(_) => times.push(begin.elapsed().as_micros() as u64),
+                    Ok(_) => latencies.push(started.elapsed().as_micros() as u64),
                     Err(_) => {
                         failed.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             }
-            times
+            latencies
         };
-        let threads: Vec<_> = (0..callers).map(|_| scope.spawn(call)).collect();
-        std::thread::sleep(step);
+        let threads: Vec<_> = (0..callers).map(|_| scope.spawn(send_calls)).collect();
+        std::thread::sleep(duration);
         stop.store(true, Ordering::Relaxed);
         threads.into_iter().map(|thread| thread.join().unwrap_or_default()).collect()
     });
-    let all: Vec<u64> = times.into_iter().flatten().collect();
-    Ok(RateStep {
+    let all: Vec<u64> = per_thread.into_iter().flatten().collect();
+    Ok(ThroughputPoint {
         callers,
-        calls_per_second: all.len() as f64 / begin.elapsed().as_secs_f64(),
+        calls_per_second: all.len() as f64 / started.elapsed().as_secs_f64(),
         failed: failed.load(Ordering::Relaxed),
         latency: latency(&all)?,
     })
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -1,5 +1,5 @@
-//! A caller: streams answers, repeats what may be repeated, resumes what broke,
-//! and records every try as it saw it.
+//! Client of the gateway API that retries calls, resumes interrupted streams and records
+//! every attempt.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -22,32 +22,30 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// Tries of one call before its caller gives up.
-const MAX_TRIES: usize = 20;
-/// Pause before a call is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const MAX_ATTEMPTS: usize = 20;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What callers share.
+/// State shared by all callers.
 pub struct CallerContext {
     /// Addresses of the gateways.
     pub gateways: Vec<SocketAddr>,
     /// One-way delay between client and gateway.
     pub delay: Duration,
-    /// The model they ask.
+    /// Model that they call.
     pub model: String,
-    /// The service they use.
+    /// Service that they call.
     pub service: String,
-    /// Tries under way at each gateway.
-    pub under_way: Vec<AtomicUsize>,
-    /// Every try.
-    pub tries: Mutex<Vec<CallTry>>,
+    /// Number of attempts in flight at each gateway.
+    pub in_flight: Vec<AtomicUsize>,
+    /// Records of all attempts.
+    pub attempts: Mutex<Vec<CallTry>>,
 }
 
-/// A caller inside one program.
+/// Client that sends the calls of one program.
 #[derive(Clone)]
 pub struct Caller {
     context: Arc<CallerContext>,
-    /// The program.
+    /// Program ID.
     pub program: String,
     tenant: String,
     next_sequence: u64,
@@ -55,24 +53,24 @@
     clock: RealClock,
 }
 
-/// A call that got no answer.
+/// Error of a call that was refused or exhausted its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GaveUp {
-    /// The code of the last refusal.
+pub struct CallError {
+    /// Error code of the last refusal; empty if there was none.
     pub code: String,
 }
 
-/// How a try is to be made.
+/// Faults that the client injects into a call.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manner {
-    /// Hang up after a few pieces and resume elsewhere.
-    pub hang_up: bool,
-    /// Send the request a second time at the same moment.
-    pub twice: bool,
+pub struct RequestOptions {
+    /// Disconnect after a few chunks and resume at another gateway.
+    pub disconnect: bool,
+    /// Send a duplicate of the request concurrently.
+    pub duplicate: bool,
 }
 
 impl Caller {
-    /// A caller for `program`, which exists.
+    /// Creates a caller for `program`, which starts at the gateway with index `gateway`.
     pub fn new(context: Arc<CallerContext>, program: &str, tenant: &str, gateway: usize) -> Self {
         Self {
             context,
@@ -91,96 +89,112 @@
             .with_header(HEADER_TENANT, &self.tenant)
     }
 
-    /// Asks the model.
+    /// Calls the model and returns the text of the answer.
     ///
     /// # Errors
-    /// When the call is refused for good.
-    pub fn ask(&mut self, messages: Vec<ChatMessage>, manner: Manner) -> Result<String, GaveUp> {
+    /// When the call is refused permanently or all attempts fail.
+    pub fn call_model(
+        &mut self,
+        messages: Vec<ChatMessage>,
+        options: RequestOptions,
+    ) -> Result<String, CallError> {
         let model = self.context.model.clone();
-        self.call(Asked::Model { model, messages }, true, manner)
+        self.call(Asked::Model { model, messages }, true, options)
     }
 
-    /// Uses the service.
+    /// Calls the service and returns its output.
     ///
     /// # Errors
-    /// When the call is refused for good.
-    pub fn use_service(
+    /// When the call is refused permanently or all attempts fail.
+    pub fn call_service(
         &mut self,
         input: String,
         repeatable: bool,
-        manner: Manner,
-    ) -> Result<String, GaveUp> {
+        options: RequestOptions,
+    ) -> Result<String, CallError> {
         let service = self.context.service.clone();
-        self.call(Asked::Service { service, input }, repeatable, manner)
+        self.call(Asked::Service { service, input }, repeatable, options)
     }
 
-    /// Sends a call for a place whose turn has not come; it must be refused.
-    pub fn send_too_early(&mut self, messages: Vec<ChatMessage>) {
+    /// Sends a call with the sequence number after the next one, which must be refused.
+    pub fn send_out_of_order(&mut self, messages: Vec<ChatMessage>) {
         let model = self.context.model.clone();
         let asked = Asked::Model { model, messages };
         let sequence = self.next_sequence + 1;
         let key = format!("early-{sequence}");
-        self.try_once(self.gateway, sequence, &key, &asked, true, false);
+        self.send_attempt(self.gateway, sequence, &key, &asked, true, false);
     }
 
-    fn call(&mut self, asked: Asked, repeatable: bool, manner: Manner) -> Result<String, GaveUp> {
+    fn call(
+        &mut self,
+        asked: Asked,
+        repeatable: bool,
+        options: RequestOptions,
+    ) -> Result<String, CallError> {
         let sequence = self.next_sequence;
-        let mut round = 0;
-        let mut manner = manner;
-        let mut last = String::new();
-        for attempt in 0..MAX_TRIES {
-            let key = format!("k{sequence}-{round}");
-            if manner.twice {
-                manner.twice = false;
-                self.send_second(sequence, &key, &asked, repeatable);
+        let mut key_number = 0;
+        let mut options = options;
+        let mut last_code = String::new();
+        for attempt in 0..MAX_ATTEMPTS {
+            let key = format!("k{sequence}-{key_number}");
+            if options.duplicate {
+                options.duplicate = false;
+                self.send_duplicate(sequence, &key, &asked, repeatable);
             }
-            let hang_up = std::mem::take(&mut manner.hang_up);
-            match self.try_once(self.gateway, sequence, &key, &asked, repeatable, hang_up) {
+            let disconnect = std::mem::take(&mut options.disconnect);
+            match self.send_attempt(self.gateway, sequence, &key, &asked, repeatable, disconnect) {
                 TryEnd::Answered { text, .. } => {
                     self.next_sequence += 1;
                     return Ok(text);
                 }
                 TryEnd::Refused { outcome, code } => {
                     if !is_worth_another_try(&code) {
-                        return Err(GaveUp { code });
+                        return Err(CallError { code });
                     }
-                    // A refused key stays refused; the call itself may run.
+                    // The refusal is stored under the key, so the next attempt needs a new key.
                     if outcome == Outcome::NotRun {
-                        round += 1;
+                        key_number += 1;
                     }
-                    last = code;
+                    last_code = code;
                 }
                 TryEnd::Cut | TryEnd::NotConnected | TryEnd::HungUp => {}
             }
             self.gateway += 1;
-            std::thread::sleep(RETRY_PAUSE.mul_f64((attempt as f64 / 2.0).min(1.0)));
+            std::thread::sleep(RETRY_DELAY.mul_f64((attempt as f64 / 2.0).min(1.0)));
         }
-        Err(GaveUp { code: last })
+        Err(CallError { code: last_code })
     }
 
-    /// The same request once more, at the same time, through another gateway.
-    fn send_second(&self, sequence: u64, key: &str, asked: &Asked, repeatable: bool) {
-        let twin = self.clone();
+    /// Sends the same request concurrently through another gateway.
+    fn send_duplicate(&self, sequence: u64, key: &str, asked: &Asked, repeatable: bool) {
+        let duplicate = self.clone();
         let (key, asked) = (key.to_owned(), asked.clone());
         std::thread::spawn(move || {
-            twin.try_once(twin.gateway + 1, sequence, &key, &asked, repeatable, false);
+            duplicate.send_attempt(
+                duplicate.gateway + 1,
+                sequence,
+                &key,
+                &asked,
+                repeatable,
+                false,
+            );
         });
     }
 
-    fn try_once(
+    fn send_attempt(
         &self,
         gateway: usize,
         sequence: u64,
         key: &str,
         asked: &Asked,
         repeatable: bool,
-        hang_up: bool,
+        disconnect: bool,
     ) -> TryEnd {
         let sent = self.clock.now();
-        let under_way = &self.context.under_way[gateway % self.context.gateways.len()];
-        under_way.fetch_add(1, Ordering::SeqCst);
+        let in_flight = &self.context.in_flight[gateway % self.context.gateways.len()];
+        in_flight.fetch_add(1, Ordering::SeqCst);
         std::thread::sleep(self.context.delay);
-        let sender = self
+        let client = self
             .client(gateway)
             .with_header(HEADER_PROGRAM, &self.program)
             .with_header(HEADER_SEQUENCE, sequence.to_string())
@@ -190,18 +204,18 @@
             Asked::Model { model, messages } => {
                 let request = ChatRequest::streamed(model, messages);
                 let path = "/v1/chat/completions";
-                let response = sender.request_json(Method::POST, path, &request);
-                self.read_answer(response, gateway, sequence, hang_up)
+                let response = client.request_json(Method::POST, path, &request);
+                self.read_model_response(response, gateway, sequence, disconnect)
             }
             Asked::Service { service, input } => {
                 let request = ServiceRequest { input: input.clone() };
                 let path = format!("/v1/services/{service}");
-                read_service(sender.request_json(Method::POST, &path, &request))
+                read_service_response(client.request_json(Method::POST, &path, &request))
             }
         };
         std::thread::sleep(self.context.delay);
-        under_way.fetch_sub(1, Ordering::SeqCst);
-        self.context.tries.lock().push(CallTry {
+        in_flight.fetch_sub(1, Ordering::SeqCst);
+        self.context.attempts.lock().push(CallTry {
             program: self.program.clone(),
             sequence,
             key: key.to_owned(),
@@ -215,27 +229,27 @@
         end
     }
 
-    fn read_answer(
+    fn read_model_response(
         &self,
         response: Result<Response, ClientError>,
         gateway: usize,
         sequence: u64,
-        hang_up: bool,
+        disconnect: bool,
     ) -> TryEnd {
         let response = match response {
             Ok(response) if response.is_success() => response,
-            Ok(response) => return refusal(response),
-            Err(error) => return transport_end(&error),
+            Ok(response) => return read_error_response(response),
+            Err(error) => return end_from_transport_error(&error),
         };
         let mut text = String::new();
-        match read_stream(response, &mut text, hang_up) {
-            // Whatever was received stays; the rest comes through another gateway.
+        match read_stream(response, &mut text, disconnect) {
+            // Keeps the received text and fetches the rest from another gateway.
             TryEnd::HungUp => self.resume(gateway + 1, sequence, text),
             end => end,
         }
     }
 
-    /// Gets the rest of an answer from the byte where it broke off.
+    /// Fetches the rest of an answer, starting at the byte offset after the received text.
     fn resume(&self, gateway: usize, sequence: u64, mut text: String) -> TryEnd {
         let path = format!(
             "/v1/programs/{}/calls/{sequence}/answer?offset={}&stream=true",
@@ -245,66 +259,71 @@
         let response = self.client(gateway).request_json(Method::GET, &path, &());
         match response {
             Ok(response) if response.is_success() => read_stream(response, &mut text, false),
-            Ok(response) => refusal(response),
-            Err(error) => transport_end(&error),
+            Ok(response) => read_error_response(response),
+            Err(error) => end_from_transport_error(&error),
         }
     }
 
-    /// Ends the program; `true` once that is confirmed.
-    pub fn end(&mut self) -> bool {
-        (0..MAX_TRIES).any(|_| {
+    /// Ends the program; returns whether a gateway confirmed it.
+    pub fn end_program(&mut self) -> bool {
+        (0..MAX_ATTEMPTS).any(|_| {
             let path = format!("/v1/programs/{}/end", self.program);
             let ended = self.client(self.gateway).post::<_, serde_json::Value>(&path, &());
             if ended.is_err() {
                 self.gateway += 1;
-                std::thread::sleep(RETRY_PAUSE);
+                std::thread::sleep(RETRY_DELAY);
             }
             ended.is_ok()
         })
     }
 
-    /// Starts a sub-agent; returns its caller.
-    pub fn start_agent(&mut self, key: &str) -> Option<Self> {
+    /// Creates a sub-agent and returns its caller.
+    pub fn create_sub_agent(&mut self, key: &str) -> Option<Self> {
         let path = format!("/v1/programs/{}/agents", self.program);
-        let id = self.create(&path, key, &serde_json::json!({}))?;
+        let id = self.create_with_retries(&path, key, &serde_json::json!({}))?;
         Some(Self::new(self.context.clone(), &id, &self.tenant, self.gateway))
     }
 
-    /// Creates the caller's own program.
+    /// Creates the program; returns whether a gateway confirmed it.
     pub fn create_program(&mut self, budget: u64) -> bool {
         let body = serde_json::json!({ "id": self.program, "budget_tokens": budget });
         let key = format!("create-{}", self.program);
-        self.create("/v1/programs", &key, &body).is_some()
+        self.create_with_retries("/v1/programs", &key, &body).is_some()
     }
 
-    fn create(&mut self, path: &str, key: &str, body: &serde_json::Value) -> Option<String> {
-        for _ in 0..MAX_TRIES {
-            let sender = self.client(self.gateway).with_header(HEADER_KEY, key);
-            match sender.post::<_, serde_json::Value>(path, body) {
+    fn create_with_retries(
+        &mut self,
+        path: &str,
+        key: &str,
+        body: &serde_json::Value,
+    ) -> Option<String> {
+        for _ in 0..MAX_ATTEMPTS {
+            let client = self.client(self.gateway).with_header(HEADER_KEY, key);
+            match client.post::<_, serde_json::Value>(path, body) {
                 Ok(created) => return created["id"].as_str().map(str::to_owned),
                 Err(_) => {
                     self.gateway += 1;
-                    std::thread::sleep(RETRY_PAUSE);
+                    std::thread::sleep(RETRY_DELAY);
                 }
             }
         }
         None
     }
 
-    /// When it is now, for records.
+    /// Current time, as used in records.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 }
 
-/// Pieces after which a caller hangs up on purpose.
-const PIECES_BEFORE_HANG_UP: usize = 3;
+/// Chunks after which a caller disconnects if `RequestOptions::disconnect` is set.
+const CHUNKS_BEFORE_DISCONNECT: usize = 3;
 
-fn read_stream(response: Response, text: &mut String, hang_up: bool) -> TryEnd {
+fn read_stream(response: Response, text: &mut String, disconnect: bool) -> TryEnd {
     let mut events = EventReader::new(response.split().2);
     let mut finish_reason = None;
     let mut usage = Usage::default();
-    let mut pieces = 0;
+    let mut chunks = 0;
     loop {
         let data = match events.next_data() {
             Ok(Some(data)) => data,
@@ -315,26 +334,26 @@
             return TryEnd::Answered { text: std::mem::take(text), finish_reason, usage };
         }
         if let Ok(error) = serde_json::from_str::<ErrorBody>(&data) {
-            return refused(&error);
+            return refusal_from_body(&error);
         }
         let Ok(chunk) = serde_json::from_str::<ChatChunk>(&data) else {
             return TryEnd::Cut;
         };
         text.push_str(chunk.text());
-        pieces += 1;
+        chunks += 1;
         if let Some(reason) = chunk.finish_reason() {
             finish_reason = Some(reason.to_owned());
         }
         if let Some(body) = chunk.usage {
             usage = body.into();
         }
-        if hang_up && pieces == PIECES_BEFORE_HANG_UP {
+        if disconnect && chunks == CHUNKS_BEFORE_DISCONNECT {
             return TryEnd::HungUp;
         }
     }
 }
 
-fn read_service(response: Result<Response, ClientError>) -> TryEnd {
+fn read_service_response(response: Result<Response, ClientError>) -> TryEnd {
     match response {
         Ok(response) if response.is_success() => match response.json::<ServiceReply>() {
             Ok(reply) => TryEnd::Answered {
@@ -344,21 +363,21 @@
             },
             Err(_) => TryEnd::Cut,
         },
-        Ok(response) => refusal(response),
-        Err(error) => transport_end(&error),
+        Ok(response) => read_error_response(response),
+        Err(error) => end_from_transport_error(&error),
     }
 }
 
-fn refusal(response: Response) -> TryEnd {
+fn read_error_response(response: Response) -> TryEnd {
     let mut body = Vec::new();
     let read = response.split().2.read_to_end(&mut body);
     match (read, serde_json::from_slice::<ErrorBody>(&body)) {
-        (Ok(_), Ok(error)) => refused(&error),
+        (Ok(_), Ok(error)) => refusal_from_body(&error),
         _ => TryEnd::Cut,
     }
 }
 
-fn refused(error: &ErrorBody) -> TryEnd {
+fn refusal_from_body(error: &ErrorBody) -> TryEnd {
     let outcome = match error.error.outcome.as_deref() {
         Some("not_run") => Outcome::NotRun,
         _ => Outcome::Unknown,
@@ -366,11 +385,11 @@
     TryEnd::Refused { outcome, code: error.error.code.clone().unwrap_or_default() }
 }
 
-fn transport_end(error: &ClientError) -> TryEnd {
+fn end_from_transport_error(error: &ClientError) -> TryEnd {
     if error.never_sent() { TryEnd::NotConnected } else { TryEnd::Cut }
 }
 
-/// Whether a refusal with this code may turn out otherwise later.
+/// Whether a call that was refused with this code may succeed later.
 pub(crate) fn is_worth_another_try(code: &str) -> bool {
     !matches!(
         code,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,5 +1,5 @@
-//! `demo`: the embedded fleet under a load of programs, with a drain, a leaving
-//! machine, a planned stop and changes of the configuration, judged at the end.
+//! `demo`: runs a workload on a fleet while an engine is drained, a machine is removed, a
+//! gateway is stopped gracefully and the configuration changes, then checks the invariants.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,121 +15,124 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::caller::{Caller, CallerContext, Manner};
+use crate::caller::{Caller, CallerContext, RequestOptions};
 use crate::check::{Invariants, check};
 use crate::deployment::Deployment;
 use crate::fleet::resources::Operator;
-use crate::fleet::{EmbeddedFleet, FleetControl, FleetMap};
+use crate::fleet::{EmbeddedFleet, FleetAddresses, FleetControl};
 use crate::history::{Asked, ConfigProbe, DrainEvent, History, Holding, ProgramTrace, TryEnd};
 use crate::workload::{Habit, ProgramPlan, Step, draw};
 
-/// Programs start within this time.
 const START_WINDOW: Duration = Duration::from_secs(15);
-/// Longest wait for engines to have released everything.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(20);
-/// Calls that the gateway to be stopped should have under way.
-const CALLS_AT_STOP: usize = 2;
-/// Changes of the configuration that are probed.
+/// Longest wait for engines to release the cache of ended programs.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Calls in flight at the gateway before it is stopped.
+const MIN_IN_FLIGHT_AT_STOP: usize = 2;
+/// Number of configuration changes that are made and probed.
 const CONFIG_CHANGES: u64 = 3;
-/// The gateway that is stopped as planned.
+/// Index of the gateway that is stopped gracefully.
 const STOPPED_GATEWAY: usize = 3;
 const PROBE_TENANT: &str = "probe";
 
-/// What to run.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// The service.
+    /// Deployment that the fleet emulates.
     pub deployment: Deployment,
-    /// Programs to run.
+    /// Number of programs to run.
     pub programs: usize,
-    /// Seed of the load.
+    /// Random seed of the workload.
     pub seed: u64,
     /// Whether to show a progress bar.
     pub progress: bool,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DemoReport {
-    /// The service.
+    /// Deployment that the fleet emulates.
     pub deployment: Deployment,
-    /// Seed of the load.
+    /// Random seed of the workload.
     pub seed: u64,
-    /// Programs started.
+    /// Number of programs started.
     pub programs_started: usize,
-    /// Programs whose every call was answered, or which ended as planned.
+    /// Number of programs whose calls were all answered, or which exhausted their budget as
+    /// intended.
     pub programs_completed: usize,
-    /// Calls that were answered.
+    /// Number of answered calls.
     pub calls: usize,
-    /// Prints that were asked for, each key once.
+    /// Number of answered print jobs, counted once per idempotency key.
     pub prints_requested: usize,
-    /// Prints that services executed.
+    /// Number of executions of these print jobs by the services.
     pub prints_executed: u32,
-    /// Program latency, in milliseconds.
+    /// Latency of programs, in milliseconds.
     pub program_latency_ms: Percentiles,
-    /// Time until a change was in force, in milliseconds, longest seen.
+    /// Longest time until a configuration change was in force, in milliseconds.
     pub slowest_change_ms: u64,
-    /// The ten promises.
+    /// Results of the invariant checks.
     pub invariants: Invariants,
 }
 
-/// Three percentiles.
+/// Percentiles of a set of values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Percentiles {
     /// Median.
     pub p50: u64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: u64,
 }
 
 impl Percentiles {
-    /// Percentiles of `values`.
+    /// Computes the percentiles of `values`.
     pub fn of(mut values: Vec<u64>) -> Self {
         values.sort_unstable();
-        let at = |share: f64| {
-            let position = ((values.len() as f64 * share).ceil() as usize).saturating_sub(1);
-            values.get(position).copied().unwrap_or_default()
+        let percentile = |share: f64| {
+            let index = ((values.len() as f64 * share).ceil() as usize).saturating_sub(1);
+            values.get(index).copied().unwrap_or_default()
         };
-        Self { p50: at(0.50), p95: at(0.95), p99: at(0.99) }
+        Self { p50: percentile(0.50), p95: percentile(0.95), p99: percentile(0.99) }
     }
 }
 
-/// Runs the demonstration.
+/// Starts an embedded fleet and runs the workload on it.
 ///
 /// # Errors
 /// When the fleet cannot be started.
 pub fn run(settings: &DemoSettings) -> Result<(DemoReport, History)> {
     let folder = tempfile::tempdir()?;
     let mut fleet = EmbeddedFleet::start(settings.deployment, folder.path(), settings.seed)?;
-    Ok(run_on(&mut fleet, settings))
+    Ok(run_on_fleet(&mut fleet, settings))
 }
 
-/// Runs the load and the disturbances on a fleet that is ready.
-pub fn run_on(fleet: &mut impl FleetControl, settings: &DemoSettings) -> (DemoReport, History) {
-    let gateways = fleet.map().gateways.clone();
+/// Runs the workload and the maintenance operations on a running fleet.
+pub fn run_on_fleet(
+    fleet: &mut impl FleetControl,
+    settings: &DemoSettings,
+) -> (DemoReport, History) {
+    let gateways = fleet.addresses().gateways.clone();
     let context = Arc::new(CallerContext {
-        under_way: gateways.iter().map(|_| AtomicUsize::new(0)).collect(),
+        in_flight: gateways.iter().map(|_| AtomicUsize::new(0)).collect(),
         gateways,
         delay: settings.deployment.client_delay(),
         model: settings.deployment.model().to_owned(),
         service: settings.deployment.service().to_owned(),
-        tries: Mutex::new(Vec::new()),
+        attempts: Mutex::new(Vec::new()),
     });
     let plans = draw(settings.deployment, settings.programs, START_WINDOW, settings.seed);
-    let load = Load::start(plans, &context, settings.progress);
-    let mut history = disturb(fleet, &load, &context);
-    history.programs = load.wait();
-    let map = fleet.map();
-    history.holdings = wait_for_release(map, &history.programs);
-    history.tries = std::mem::take(&mut *context.tries.lock());
-    history.engine_records = map.engine_records();
-    history.service_records = map.service_records();
-    (report(settings, &history), history)
+    let workload = Workload::start(plans, &context, settings.progress);
+    let mut history = run_maintenance(fleet, &workload, &context);
+    history.programs = workload.wait();
+    let addresses = fleet.addresses();
+    history.holdings = wait_for_release(addresses, &history.programs);
+    history.tries = std::mem::take(&mut *context.attempts.lock());
+    history.engine_records = addresses.engine_records();
+    history.service_records = addresses.service_records();
+    (build_report(settings, &history), history)
 }
 
-fn report(settings: &DemoSettings, history: &History) -> DemoReport {
+fn build_report(settings: &DemoSettings, history: &History) -> DemoReport {
     let roots: Vec<&ProgramTrace> =
         history.programs.iter().filter(|program| program.id == program.root).collect();
     let answered = |end: &TryEnd| matches!(end, TryEnd::Answered { .. });
@@ -168,50 +171,50 @@
     }
 }
 
-/// Programs that run on threads of their own.
-struct Load {
+/// Running programs, each on its own thread.
+struct Workload {
     threads: Vec<std::thread::JoinHandle<Vec<ProgramTrace>>>,
-    done: Arc<AtomicUsize>,
+    completed: Arc<AtomicUsize>,
     total: usize,
     bar: ProgressBar,
 }
 
-impl Load {
+impl Workload {
     fn start(plans: Vec<ProgramPlan>, context: &Arc<CallerContext>, progress: bool) -> Self {
         let total = plans.len();
         let bar = if progress { ProgressBar::new(total as u64) } else { ProgressBar::hidden() };
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} programs {elapsed}") {
             bar.set_style(style);
         }
-        let done = Arc::new(AtomicUsize::new(0));
-        let begin = Instant::now();
+        let completed = Arc::new(AtomicUsize::new(0));
+        let run_start = Instant::now();
         let threads = plans
             .into_iter()
             .enumerate()
             .map(|(index, plan)| {
-                let (context, done, bar) = (context.clone(), done.clone(), bar.clone());
+                let (context, completed, bar) = (context.clone(), completed.clone(), bar.clone());
                 std::thread::spawn(move || {
-                    std::thread::sleep(plan.start.saturating_sub(begin.elapsed()));
+                    std::thread::sleep(plan.start.saturating_sub(run_start.elapsed()));
                     let traces = run_program(&context, &plan, index);
-                    done.fetch_add(1, Ordering::SeqCst);
+                    completed.fetch_add(1, Ordering::SeqCst);
                     bar.inc(1);
                     traces
                 })
             })
             .collect();
-        Self { threads, done, total, bar }
+        Self { threads, completed, total, bar }
     }
 
-    /// Waits until `share` of the programs are done.
-    fn wait_for_share(&self, share: f64) {
-        let wanted = (self.total as f64 * share) as usize;
-        while self.done.load(Ordering::SeqCst) < wanted {
+    /// Waits until this share of the programs has ended.
+    fn wait_for_completed_share(&self, share: f64) {
+        let target = (self.total as f64 * share) as usize;
+        while self.completed.load(Ordering::SeqCst) < target {
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn is_nearly_done(&self) -> bool {
-        self.done.load(Ordering::SeqCst) * 10 >= self.total * 9
+    fn is_nearly_complete(&self) -> bool {
+        self.completed.load(Ordering::SeqCst) * 10 >= self.total * 9
     }
 
     fn wait(self) -> Vec<ProgramTrace> {
@@ -236,8 +239,8 @@
     let mut runner =
         ProgramRunner { caller, habit: plan.habit, root: plan.id.clone(), traces: &mut traces };
     let completed = runner.run(&plan.steps);
-    let ended = runner.end();
-    // A program that is short of budget is over when the budget is.
+    let ended = runner.end_program();
+    // A program that exhausts its budget is expected to end early.
     let as_planned = completed || plan.habit == Habit::ShortOfBudget;
     traces.push(ProgramTrace {
         id: plan.id.clone(),
@@ -259,60 +262,60 @@
 
 impl ProgramRunner<'_> {
     fn run(&mut self, steps: &[Step]) -> bool {
-        let mut from_agents = Vec::new();
+        let mut agent_answers = Vec::new();
         for (position, step) in steps.iter().enumerate() {
-            let went_well = match step {
+            let succeeded = match step {
                 Step::Pause(pause) => {
                     std::thread::sleep(*pause);
                     true
                 }
-                Step::Ask(messages) => self.ask(position, messages, &mut from_agents),
+                Step::Ask(messages) => self.call_model(position, messages, &mut agent_answers),
                 Step::Service { input, repeatable, twice } => {
-                    let manner = Manner { twice: *twice, hang_up: false };
-                    self.caller.use_service(input.clone(), *repeatable, manner).is_ok()
+                    let options = RequestOptions { duplicate: *twice, disconnect: false };
+                    self.caller.call_service(input.clone(), *repeatable, options).is_ok()
                 }
                 Step::Agents(agents) => {
-                    from_agents = self.run_agents(position, agents);
-                    from_agents.len() == agents.len()
+                    agent_answers = self.run_sub_agents(position, agents);
+                    agent_answers.len() == agents.len()
                 }
             };
-            if !went_well {
+            if !succeeded {
                 return false;
             }
         }
         true
     }
 
-    fn ask(
+    fn call_model(
         &mut self,
         position: usize,
         messages: &[ChatMessage],
-        from_agents: &mut Vec<String>,
+        agent_answers: &mut Vec<String>,
     ) -> bool {
-        let results = std::mem::take(from_agents).into_iter();
-        let mut all: Vec<ChatMessage> =
+        let results = std::mem::take(agent_answers).into_iter();
+        let mut conversation: Vec<ChatMessage> =
             results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
-        all.extend(messages.iter().cloned());
+        conversation.extend(messages.iter().cloned());
         if self.habit == Habit::SendsTooEarly && position == 0 {
-            self.caller.send_too_early(all.clone());
+            self.caller.send_out_of_order(conversation.clone());
         }
-        let manner = Manner {
-            hang_up: self.habit == Habit::HangsUp && position.is_multiple_of(2),
-            twice: false,
+        let options = RequestOptions {
+            disconnect: self.habit == Habit::HangsUp && position.is_multiple_of(2),
+            duplicate: false,
         };
-        self.caller.ask(all, manner).is_ok()
+        self.caller.call_model(conversation, options).is_ok()
     }
 
-    /// Runs sub-agents at the same time; returns the last answer of each.
-    fn run_agents(&mut self, position: usize, agents: &[Vec<Step>]) -> Vec<String> {
+    /// Runs sub-agents concurrently and returns the last answer of each.
+    fn run_sub_agents(&mut self, position: usize, agents: &[Vec<Step>]) -> Vec<String> {
         let mut threads = Vec::new();
         for (index, steps) in agents.iter().enumerate() {
             let key = format!("agent-{}-{position}-{index}", self.caller.program);
-            let Some(agent) = self.caller.start_agent(&key) else {
+            let Some(agent) = self.caller.create_sub_agent(&key) else {
                 continue;
             };
             let (steps, root) = (steps.clone(), self.root.clone());
-            threads.push(std::thread::spawn(move || run_agent(agent, &steps, &root)));
+            threads.push(std::thread::spawn(move || run_sub_agent(agent, &steps, &root)));
         }
         let mut answers = Vec::new();
         for thread in threads {
@@ -324,17 +327,17 @@
         answers
     }
 
-    fn end(&mut self) -> Option<Moment> {
-        self.caller.end().then(|| self.caller.now())
+    fn end_program(&mut self) -> Option<Moment> {
+        self.caller.end_program().then(|| self.caller.now())
     }
 }
 
-fn run_agent(mut caller: Caller, steps: &[Step], root: &str) -> (ProgramTrace, Option<String>) {
+fn run_sub_agent(mut caller: Caller, steps: &[Step], root: &str) -> (ProgramTrace, Option<String>) {
     let started = caller.now();
     let mut answer = None;
     for step in steps {
         if let Step::Ask(messages) = step {
-            match caller.ask(messages.clone(), Manner::default()) {
+            match caller.call_model(messages.clone(), RequestOptions::default()) {
                 Ok(text) => answer = Some(text),
                 Err(_) => {
                     answer = None;
@@ -343,7 +346,7 @@
             }
         }
     }
-    let ended = caller.end().then(|| caller.now());
+    let ended = caller.end_program().then(|| caller.now());
     let trace = ProgramTrace {
         id: caller.program.clone(),
         root: root.to_owned(),
@@ -355,35 +358,40 @@
     (trace, answer)
 }
 
-/// What happens to the fleet while the programs run.
-fn disturb(fleet: &mut impl FleetControl, load: &Load, context: &CallerContext) -> History {
+/// Performs the maintenance operations while the programs run, and returns their records.
+fn run_maintenance(
+    fleet: &mut impl FleetControl,
+    workload: &Workload,
+    context: &CallerContext,
+) -> History {
     let mut history = History::default();
-    let operator = fleet.map().operator();
+    let operator = fleet.addresses().operator();
     for change in 0..CONFIG_CHANGES {
-        load.wait_for_share(0.1 * change as f64);
-        history.probes.extend(change_and_probe(fleet, &operator, change));
+        workload.wait_for_completed_share(0.1 * change as f64);
+        history.probes.extend(change_limit_and_probe(fleet, &operator, change));
     }
-    load.wait_for_share(0.2);
-    history.drains.extend(drain_one(fleet.map(), &operator));
-    load.wait_for_share(0.25);
-    history.drains.push(announce_leaving(fleet.map()));
-    load.wait_for_share(0.35);
-    wait_for_calls(load, context);
+    workload.wait_for_completed_share(0.2);
+    history.drains.extend(drain_last_engine(fleet.addresses(), &operator));
+    workload.wait_for_completed_share(0.25);
+    history.drains.push(announce_removal(fleet.addresses()));
+    workload.wait_for_completed_share(0.35);
+    wait_for_calls(workload, context);
     history.stops.extend(fleet.stop_gateway(STOPPED_GATEWAY));
     history
 }
 
-/// Waits until the gateway that is to be stopped has calls under way, so that
-/// the stop has something to cut.
-fn wait_for_calls(load: &Load, context: &CallerContext) {
-    let under_way = || context.under_way[STOPPED_GATEWAY].load(Ordering::SeqCst);
-    while under_way() < CALLS_AT_STOP && !load.is_nearly_done() {
+/// Waits until the gateway that is to be stopped has calls in flight, so that the stop has
+/// calls to drain.
+fn wait_for_calls(workload: &Workload, context: &CallerContext) {
+    let in_flight = || context.in_flight[STOPPED_GATEWAY].load(Ordering::SeqCst);
+    while in_flight() < MIN_IN_FLIGHT_AT_STOP && !workload.is_nearly_complete() {
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Changes a limit, waits until it is in force, and sees whether each gateway keeps it.
-fn change_and_probe(
+/// Changes a tenant limit, waits until it is in force and probes whether each gateway
+/// enforces it.
+fn change_limit_and_probe(
     fleet: &impl FleetControl,
     operator: &Operator,
     change: u64,
@@ -402,7 +410,7 @@
         return Vec::new();
     }
     let in_force = RealClock.now();
-    let gateways = fleet.map().gateways.iter().enumerate();
+    let gateways = fleet.addresses().gateways.iter().enumerate();
     let running = gateways.filter(|(index, _)| fleet.is_running(*index));
     running
         .map(|(gateway, address)| ConfigProbe {
@@ -410,42 +418,43 @@
             gateway,
             accepted,
             in_force,
-            held: keeps_limit(*address, limit),
+            held: enforces_limit(*address, limit),
         })
         .collect()
 }
 
-/// Whether a gateway takes a budget of `limit` and refuses one beyond it.
-fn keeps_limit(address: std::net::SocketAddr, limit: u64) -> bool {
+/// Whether a gateway accepts a budget of `limit` and rejects a larger one.
+fn enforces_limit(address: std::net::SocketAddr, limit: u64) -> bool {
     let timeout = Duration::from_secs(10);
     let client =
         HttpClient::new(address, timeout, timeout).with_header(HEADER_TENANT, PROBE_TENANT);
     let create =
         |budget: u64| client.post::<_, Value>("/v1/programs", &json!({ "budget_tokens": budget }));
-    let takes = create(limit).is_ok();
-    let refuses = matches!(create(limit + 1), Err(ClientError::Status { status: 400, .. }));
-    takes && refuses
+    let accepts = create(limit).is_ok();
+    let rejects = matches!(create(limit + 1), Err(ClientError::Status { status: 400, .. }));
+    accepts && rejects
 }
 
-fn drain_one(map: &FleetMap, operator: &Operator) -> Option<DrainEvent> {
-    let engine = map.engines.last()?;
+fn drain_last_engine(addresses: &FleetAddresses, operator: &Operator) -> Option<DrainEvent> {
+    let engine = addresses.engines.last()?;
     let mut spec = operator.spec("engine", &engine.name).ok()?;
     spec["drain"] = json!(true);
     operator.put("engine", &engine.name, &spec).ok()?;
     Some(DrainEvent { engine: engine.name.clone(), at: RealClock.now() })
 }
 
-fn announce_leaving(map: &FleetMap) -> DrainEvent {
-    let name = &map.engines[0].name;
-    map.announce_leaving(name);
+fn announce_removal(addresses: &FleetAddresses) -> DrainEvent {
+    let name = &addresses.engines[0].name;
+    addresses.announce_removal(name);
     DrainEvent { engine: name.clone(), at: RealClock.now() }
 }
 
-/// Waits until no engine holds memory of an ended program, or patience runs out.
-fn wait_for_release(map: &FleetMap, programs: &[ProgramTrace]) -> Vec<Holding> {
-    let deadline = Instant::now() + RELEASE_PATIENCE;
+/// Waits until no engine caches tokens of an ended program, and returns what is still cached
+/// then or at the timeout.
+fn wait_for_release(addresses: &FleetAddresses, programs: &[ProgramTrace]) -> Vec<Holding> {
+    let deadline = Instant::now() + RELEASE_TIMEOUT;
     loop {
-        let held = map.holdings();
+        let held = addresses.holdings();
         let is_ended = |holding: &Holding| {
             programs.iter().any(|program| program.id == holding.program && program.ended.is_some())
         };
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -1,15 +1,15 @@
-//! The places and sizes of the two services.
+//! Zones, delays and sizes of the two reference deployments.
 
 use std::str::FromStr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Which service a fleet stands for.
+/// Reference deployment that a fleet emulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Deployment {
-    /// Municipal print on demand: counters, permits, funeral notices, ballots.
+    /// Municipal print on demand: permits, funeral notices, ballots.
     Celje,
     /// Water and press utility: reporters, outages, subscribers.
     Kushiro,
@@ -22,13 +22,13 @@
         match text {
             "celje" => Ok(Self::Celje),
             "kushiro" => Ok(Self::Kushiro),
-            _ => Err(format!("{text:?} is not accepted; accepted are celje and kushiro")),
+            _ => Err(format!("{text:?} is not a deployment; expected celje or kushiro")),
         }
     }
 }
 
 impl Deployment {
-    /// Its name.
+    /// Name on the command line and in reports.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Celje => "celje",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Its zones.
+    /// Names of the zones.
     pub const fn zones(self) -> [&'static str; 4] {
         match self {
             Self::Celje => ["hala-a", "hala-b", "mestna-hisa", "skladisce"],
@@ -44,7 +44,7 @@
         }
     }
 
-    /// One-way delay between zones.
+    /// One-way network delay between zones.
     pub const fn zone_delay(self) -> Duration {
         match self {
             Self::Celje => Duration::from_micros(1_500),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// One-way delay to clients.
+    /// One-way network delay between clients and gateways.
     pub const fn client_delay(self) -> Duration {
         match self {
             Self::Celje => Duration::from_millis(3),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Its model.
+    /// Name of the model.
     pub const fn model(self) -> &'static str {
         match self {
             Self::Celje => "notice-writer",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Its tool service.
+    /// Name of the tool service.
     pub const fn service(self) -> &'static str {
         match self {
             Self::Celje => "print-order",
@@ -76,22 +76,22 @@
         }
     }
 
-    /// Engine replicas.
+    /// Number of engines.
     pub const fn engines(self) -> usize {
         10
     }
 
-    /// Service replicas.
+    /// Number of replicas of the tool service.
     pub const fn replicas(self) -> usize {
         10
     }
 
-    /// Gateways.
+    /// Number of gateways.
     pub const fn gateways(self) -> usize {
         4
     }
 
-    /// Store machines, each in a zone of its own.
+    /// Number of store machines, each in its own zone.
     pub const fn stores(self) -> u32 {
         3
     }
--- a/crates/lab/src/fleet/backends.rs
+++ b/crates/lab/src/fleet/backends.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a fleet: engines, service replicas, platform, weight store.
+//! Emulated back ends of a fleet: engines, service replicas, platform, weight store.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -13,34 +13,34 @@
 use eyre::Result;
 
 use super::control::Endpoint;
-use super::resources::{BackEnd, Declaration};
+use super::resources::{BackendDeclaration, FleetDeclaration};
 use crate::deployment::Deployment;
 
-/// Time by which the platform's list lags.
+/// Delay before the platform's machine list reflects a change.
 pub const PLATFORM_LAG: Duration = Duration::from_secs(1);
 const ENGINE_SLOTS: u32 = 8;
 const REPLICA_SLOTS: u32 = 4;
-const FASTEST_JOB: Duration = Duration::from_millis(60);
-/// Rate of the weight store and size of a model, in bytes.
-const WEIGHT_RATE: u64 = 2_000_000_000;
+const MIN_JOB_DURATION: Duration = Duration::from_millis(60);
+/// Throughput of the weight store.
+const WEIGHT_BYTES_PER_SECOND: u64 = 2_000_000_000;
 const MODEL_BYTES: u64 = 16_000_000_000;
 
-/// How many of each part a fleet has.
+/// Number of nodes and back ends of each kind in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Service replicas.
+    /// Number of service replicas.
     pub replicas: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Store machines.
+    /// Number of store machines.
     pub stores: u32,
 }
 
 impl FleetSize {
-    /// The size of a deployment.
-    pub const fn of(deployment: Deployment) -> Self {
+    /// Size of a reference deployment.
+    pub const fn for_deployment(deployment: Deployment) -> Self {
         Self {
             engines: deployment.engines(),
             replicas: deployment.replicas(),
@@ -49,39 +49,42 @@
         }
     }
 
-    /// The smallest fleet in which every role talks to another of its kind.
+    /// Smallest fleet with several nodes or back ends of each kind.
     pub const SMALL: Self = Self { engines: 2, replicas: 2, gateways: 2, stores: 3 };
 }
 
-/// Running stand-ins.
-pub struct Backends {
+/// Running emulated back ends.
+pub struct EmulatedBackends {
     /// Engines by name.
     pub engines: Vec<(String, EngineServer)>,
     /// Service replicas by name.
     pub replicas: Vec<(String, ServiceServer)>,
-    /// The platform's list.
+    /// Platform, which lists the machines.
     pub platform: PlatformServer,
-    /// The weight store.
+    /// Weight store.
     pub weights: WeightStoreServer,
     deployment: Deployment,
 }
 
-/// Binds a free loopback port.
+/// Binds a free port on the loopback interface.
 ///
 /// # Errors
-/// When none is free.
-pub fn bind() -> std::io::Result<TcpListener> {
+/// When no port is free.
+pub fn bind_loopback() -> std::io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
 }
 
-impl Backends {
-    /// Starts all of them on free ports.
+impl EmulatedBackends {
+    /// Starts all back ends on free loopback ports.
     ///
     /// # Errors
-    /// When a port or thread cannot be had.
+    /// When a port cannot be bound or a thread cannot be started.
     pub fn start(deployment: Deployment, size: FleetSize, seed: u64) -> Result<Self> {
         let sizes = BTreeMap::from([(ModelId::new(deployment.model()), MODEL_BYTES)]);
-        let weights = WeightStoreServer::start(WeightStoreModel::new(WEIGHT_RATE, sizes), bind()?)?;
+        let weights = WeightStoreServer::start(
+            WeightStoreModel::new(WEIGHT_BYTES_PER_SECOND, sizes),
+            bind_loopback()?,
+        )?;
         let mut engines = Vec::new();
         for index in 0..size.engines {
             let settings = EngineServerSettings {
@@ -92,38 +95,39 @@
                 weights: Some(weights.address()),
                 seed: seed ^ (index as u64) << 8,
             };
-            engines.push((settings.name.clone(), EngineServer::start(settings, bind()?)?));
+            engines.push((settings.name.clone(), EngineServer::start(settings, bind_loopback()?)?));
         }
         let mut replicas = Vec::new();
         for index in 0..size.replicas {
             let name = format!("{}-{index}", deployment.service());
-            let model = ServiceModel::new(&name, FASTEST_JOB, seed ^ (index as u64) << 16);
-            let server = ServiceServer::start(model, deployment.zone_delay(), bind()?)?;
+            let model = ServiceModel::new(&name, MIN_JOB_DURATION, seed ^ (index as u64) << 16);
+            let server = ServiceServer::start(model, deployment.zone_delay(), bind_loopback()?)?;
             replicas.push((name, server));
         }
         let engine_names = engines.iter().map(|(name, _)| name.clone());
         let replica_names = replicas.iter().map(|(name, _)| name.clone());
         let machines = engine_names.chain(replica_names).collect();
-        let platform = PlatformServer::start(PlatformModel::new(machines, PLATFORM_LAG), bind()?)?;
+        let platform =
+            PlatformServer::start(PlatformModel::new(machines, PLATFORM_LAG), bind_loopback()?)?;
         Ok(Self { engines, replicas, platform, weights, deployment })
     }
 
-    /// Where the engines are.
+    /// Names and addresses of the engines.
     pub fn engine_endpoints(&self) -> Vec<Endpoint> {
         let engines = self.engines.iter();
         engines.map(|(name, server)| endpoint(name, server.address())).collect()
     }
 
-    /// Where the replicas are.
+    /// Names and addresses of the service replicas.
     pub fn replica_endpoints(&self) -> Vec<Endpoint> {
         let replicas = self.replicas.iter();
         replicas.map(|(name, server)| endpoint(name, server.address())).collect()
     }
 
-    /// What an operator declares of them.
-    pub fn declaration(&self) -> Declaration {
+    /// Resources that an operator declares for these back ends.
+    pub fn declaration(&self) -> FleetDeclaration {
         let zones = self.deployment.zones();
-        let back_end = |(index, endpoint): (usize, Endpoint), slots: u32| BackEnd {
+        let declare = |(index, endpoint): (usize, Endpoint), slots: u32| BackendDeclaration {
             name: endpoint.name,
             address: endpoint.address,
             zone: zones[index % zones.len()].to_owned(),
@@ -131,11 +135,11 @@
         };
         let engines = self.engine_endpoints().into_iter().enumerate();
         let replicas = self.replica_endpoints().into_iter().enumerate();
-        Declaration {
+        FleetDeclaration {
             model: self.deployment.model().to_owned(),
             service: self.deployment.service().to_owned(),
-            engines: engines.map(|numbered| back_end(numbered, ENGINE_SLOTS)).collect(),
-            replicas: replicas.map(|numbered| back_end(numbered, REPLICA_SLOTS)).collect(),
+            engines: engines.map(|indexed| declare(indexed, ENGINE_SLOTS)).collect(),
+            replicas: replicas.map(|indexed| declare(indexed, REPLICA_SLOTS)).collect(),
         }
     }
 }
--- a/crates/lab/src/fleet/control.rs
+++ b/crates/lab/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! What the lab does with any running fleet, embedded or of processes.
+//! Operations on a running fleet, embedded or of separate processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,77 +17,78 @@
 /// Name and address of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the back end.
     pub name: String,
-    /// Its address.
+    /// Address of the back end.
     pub address: SocketAddr,
 }
 
-/// Where the parts of a fleet are.
+/// Addresses of the nodes and back ends of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetMap {
-    /// What it stands for.
+pub struct FleetAddresses {
+    /// Deployment that the fleet emulates.
     pub deployment: Deployment,
-    /// Gateways, for callers and operators.
+    /// Client addresses of the gateways.
     pub gateways: Vec<SocketAddr>,
     /// Engines.
     pub engines: Vec<Endpoint>,
     /// Service replicas.
     pub replicas: Vec<Endpoint>,
-    /// The platform's list.
+    /// Platform, which lists the machines.
     pub platform: SocketAddr,
 }
 
 /// A running fleet.
 pub trait FleetControl {
-    /// Where its parts are.
-    fn map(&self) -> &FleetMap;
+    /// Addresses of the nodes and back ends.
+    fn addresses(&self) -> &FleetAddresses;
 
-    /// Whether that gateway was not stopped.
+    /// Whether the gateway has not been stopped.
     fn is_running(&self, gateway: usize) -> bool;
 
-    /// Stops a gateway as planned, and waits for it.
+    /// Stops a gateway gracefully and waits until it has stopped. Returns `None` if it was not
+    /// running.
     fn stop_gateway(&mut self, gateway: usize) -> Option<StopEvent>;
 }
 
-impl FleetMap {
-    /// An operator at the first gateway.
+impl FleetAddresses {
+    /// Returns an operator client of the first gateway.
     pub fn operator(&self) -> Operator {
         Operator::new(self.gateways[0])
     }
 
-    /// Everything the engines were asked to do.
+    /// Fetches the request records of all engines.
     pub fn engine_records(&self) -> Vec<EngineRecord> {
-        let records = |endpoint: &Endpoint| client(endpoint.address).get("/records");
-        let fetched = self.engines.iter().filter_map(|endpoint| records(endpoint).ok());
+        let fetch = |endpoint: &Endpoint| client(endpoint.address).get("/records");
+        let fetched = self.engines.iter().filter_map(|endpoint| fetch(endpoint).ok());
         fetched.flat_map(|records: Vec<EngineRecord>| records).collect()
     }
 
-    /// Everything the services executed.
+    /// Fetches the execution records of all service replicas.
     pub fn service_records(&self) -> Vec<ServiceRecord> {
-        let records = |endpoint: &Endpoint| client(endpoint.address).get("/records");
-        let fetched = self.replicas.iter().filter_map(|endpoint| records(endpoint).ok());
+        let fetch = |endpoint: &Endpoint| client(endpoint.address).get("/records");
+        let fetched = self.replicas.iter().filter_map(|endpoint| fetch(endpoint).ok());
         fetched.flat_map(|records: Vec<ServiceRecord>| records).collect()
     }
 
-    /// What the engines hold in memory now.
+    /// Fetches the programs that the engines have in their caches.
     pub fn holdings(&self) -> Vec<Holding> {
-        let mut held = Vec::new();
+        let mut holdings = Vec::new();
         for endpoint in &self.engines {
             let listing = client(endpoint.address).get::<CacheListing>("/v1/cache");
             for program in listing.unwrap_or_default().programs {
-                held.push(Holding {
+                holdings.push(Holding {
                     engine: endpoint.name.clone(),
                     program: program.program.to_string(),
                     tokens: program.tokens,
                 });
             }
         }
-        held
+        holdings
     }
 
-    /// Has the platform announce that a machine will go.
-    pub fn announce_leaving(&self, machine: &str) {
+    /// Makes the platform announce the removal of a machine.
+    pub fn announce_removal(&self, machine: &str) {
         let path = format!("/v1/machines/{machine}/leave");
         let _ = client(self.platform).post::<_, serde_json::Value>(&path, &());
     }
--- a/crates/lab/src/fleet/embedded.rs
+++ b/crates/lab/src/fleet/embedded.rs
@@ -1,4 +1,5 @@
-//! All roles and stand-ins as threads of one process, over loopback sockets.
+//! Fleet whose nodes and emulated back ends run as threads of this process and communicate
+//! over loopback sockets.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,47 +14,47 @@
 use calicohoist_types::{NodeId, Zone};
 use eyre::{Result, eyre};
 
-use super::backends::{Backends, FleetSize, bind};
-use super::control::{FleetControl, FleetMap};
+use super::backends::{EmulatedBackends, FleetSize, bind_loopback};
+use super::control::{FleetAddresses, FleetControl};
 use crate::deployment::Deployment;
 use crate::history::StopEvent;
 
-/// Longest wait for a planned stop.
-const STOP_PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for a graceful stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A fleet in this process.
+/// Fleet in this process.
 pub struct EmbeddedFleet {
     /// Store machines.
     pub stores: Vec<StoreServer>,
-    /// Gateways; `None` where one was stopped.
+    /// Gateways; `None` for those that were stopped.
     pub gateways: Vec<Option<GatewayServer>>,
-    /// The stand-ins.
-    pub backends: Backends,
-    map: FleetMap,
+    /// Emulated back ends.
+    pub backends: EmulatedBackends,
+    addresses: FleetAddresses,
 }
 
 impl EmbeddedFleet {
-    /// Starts a fleet of a deployment's size.
+    /// Starts a fleet with the size of `deployment`.
     ///
     /// # Errors
-    /// When a part cannot be started or the fleet does not become ready.
+    /// When a node or back end cannot be started or the fleet does not become ready.
     pub fn start(deployment: Deployment, data: &Path, seed: u64) -> Result<Self> {
-        let tune = |section: &mut GatewaySection| section.workers = 64;
-        Self::start_with(deployment, FleetSize::of(deployment), data, seed, tune)
+        let configure = |section: &mut GatewaySection| section.workers = 64;
+        Self::start_with(deployment, FleetSize::for_deployment(deployment), data, seed, configure)
     }
 
-    /// Starts a fleet of any size; `tune` changes the gateways' settings.
+    /// Starts a fleet of any size; `configure` adjusts the settings of each gateway.
     ///
     /// # Errors
-    /// When a part cannot be started or the fleet does not become ready.
+    /// When a node or back end cannot be started or the fleet does not become ready.
     pub fn start_with(
         deployment: Deployment,
         size: FleetSize,
         data: &Path,
         seed: u64,
-        tune: impl Fn(&mut GatewaySection),
+        configure: impl Fn(&mut GatewaySection),
     ) -> Result<Self> {
-        let backends = Backends::start(deployment, size, seed)?;
+        let backends = EmulatedBackends::start(deployment, size, seed)?;
         let stores = start_stores(deployment, size, data)?;
         let machines: BTreeMap<u32, SocketAddr> =
             (1..).zip(stores.iter().map(StoreServer::address)).collect();
@@ -61,43 +62,47 @@
         let mut gateways = Vec::new();
         for index in 0..size.gateways {
             let name = format!("gateway-{index}");
-            let mut section = gateway_section(backends.platform.address());
-            tune(&mut section);
+            let mut section = default_gateway_section(backends.platform.address());
+            configure(&mut section);
             let settings =
                 settings(&name, zones[index % zones.len()], &machines, None, Some(section.clone()));
             let config = gateway_config(&settings, &section);
-            gateways.push(GatewayServer::start(config, bind()?, bind()?)?);
+            gateways.push(GatewayServer::start(config, bind_loopback()?, bind_loopback()?)?);
         }
-        let map = FleetMap {
+        let addresses = FleetAddresses {
             deployment,
             gateways: gateways.iter().map(GatewayServer::http_address).collect(),
             engines: backends.engine_endpoints(),
             replicas: backends.replica_endpoints(),
             platform: backends.platform.address(),
         };
-        let fleet =
-            Self { stores, gateways: gateways.into_iter().map(Some).collect(), backends, map };
-        fleet.declare()?;
+        let fleet = Self {
+            stores,
+            gateways: gateways.into_iter().map(Some).collect(),
+            backends,
+            addresses,
+        };
+        fleet.declare_resources()?;
         Ok(fleet)
     }
 
-    fn declare(&self) -> Result<()> {
-        let operator = self.map.operator();
+    fn declare_resources(&self) -> Result<()> {
+        let operator = self.addresses.operator();
         if !operator.wait_ready() {
-            return Err(eyre!("the fleet did not become ready"));
+            return Err(eyre!("the first gateway did not report a ready fleet in time"));
         }
         let revision = operator.declare_fleet(&self.backends.declaration())?;
         if operator.wait_in_force(revision) {
             Ok(())
         } else {
-            Err(eyre!("revision {revision} did not come into force"))
+            Err(eyre!("revision {revision} did not come into force on all nodes in time"))
         }
     }
 }
 
 impl FleetControl for EmbeddedFleet {
-    fn map(&self) -> &FleetMap {
-        &self.map
+    fn addresses(&self) -> &FleetAddresses {
+        &self.addresses
     }
 
     fn is_running(&self, gateway: usize) -> bool {
@@ -107,7 +112,7 @@
     fn stop_gateway(&mut self, gateway: usize) -> Option<StopEvent> {
         let server = self.gateways[gateway].take()?;
         let began = RealClock.now();
-        let complete = server.stop_gracefully(STOP_PATIENCE);
+        let complete = server.stop_gracefully(STOP_TIMEOUT);
         Some(StopEvent { gateway, began, ended: RealClock.now(), complete })
     }
 }
@@ -115,7 +120,7 @@
 fn start_stores(deployment: Deployment, size: FleetSize, data: &Path) -> Result<Vec<StoreServer>> {
     let mut listeners = Vec::new();
     for _ in 0..size.stores {
-        listeners.push(bind()?);
+        listeners.push(bind_loopback()?);
     }
     let mut machines = BTreeMap::new();
     for (number, listener) in (1..).zip(&listeners) {
@@ -157,7 +162,7 @@
     }
 }
 
-fn gateway_section(platform: SocketAddr) -> GatewaySection {
+fn default_gateway_section(platform: SocketAddr) -> GatewaySection {
     let unused = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     GatewaySection {
         http: unused,
--- a/crates/lab/src/fleet/files.rs
+++ b/crates/lab/src/fleet/files.rs
@@ -1,7 +1,7 @@
-//! A fleet of real processes: its settings files, and its control by signals.
+//! Fleet of separate processes: writes its settings files and controls it with signals.
 //!
-//! `calicohoist-lab backends` runs the stand-ins and writes the files;
-//! `scripts/fleet.sh` starts one process for each, noting their numbers.
+//! `calicohoist-lab backends` runs the emulated back ends and writes the settings files;
+//! `scripts/fleet.sh` starts one process per file and writes its process ID to a `.pid` file.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,29 +13,29 @@
 use eyre::{Result, WrapErr, eyre};
 use rustix::process::{Pid, Signal, kill_process, test_kill_process};
 
-use super::backends::{Backends, FleetSize, bind};
-use super::control::{FleetControl, FleetMap};
-use super::resources::Declaration;
+use super::backends::{EmulatedBackends, FleetSize, bind_loopback};
+use super::control::{FleetAddresses, FleetControl};
+use super::resources::FleetDeclaration;
 use crate::deployment::Deployment;
 use crate::history::StopEvent;
 
-/// Name of the file with the addresses of all parts.
-pub const MAP_FILE: &str = "fleet.json";
-/// Name of the file that `calicohoist apply` takes.
+/// Name of the file with the addresses of all nodes and back ends.
+pub const ADDRESSES_FILE: &str = "fleet.json";
+/// Name of the resource file for `calicohoist apply`.
 pub const RESOURCES_FILE: &str = "resources.toml";
-const STOP_PATIENCE: Duration = Duration::from_secs(60);
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Writes settings for every process of a fleet into `folder`.
+/// Writes the settings files of all processes of a fleet into `folder`.
 ///
 /// # Errors
 /// When a file cannot be written or no port is free.
-pub fn write(
+pub fn write_settings(
     folder: &Path,
     deployment: Deployment,
     size: FleetSize,
-    backends: &Backends,
-) -> Result<FleetMap> {
+    backends: &EmulatedBackends,
+) -> Result<FleetAddresses> {
     std::fs::create_dir_all(folder)?;
     let zones = deployment.zones();
     let stores = free_addresses(size.stores as usize)?;
@@ -43,7 +43,7 @@
     for machine in machines.keys() {
         let zone = zones[*machine as usize % zones.len()];
         let name = format!("store-{machine}");
-        let mut text = common(&name, zone, &machines)?;
+        let mut text = common_settings(&name, zone, &machines)?;
         let data = folder.join(format!("data-{machine}"));
         write!(
             text,
@@ -56,32 +56,32 @@
     let peers = free_addresses(size.gateways)?;
     for (index, (http, peers)) in http.iter().zip(&peers).enumerate() {
         let name = format!("gateway-{index}");
-        let mut text = common(&name, zones[index % zones.len()], &machines)?;
+        let mut text = common_settings(&name, zones[index % zones.len()], &machines)?;
         write!(text, "\n[gateway]\nhttp = \"{http}\"\npeers = \"{peers}\"\n")?;
         writeln!(text, "platform = \"{}\"", backends.platform.address())?;
         std::fs::write(folder.join(format!("{name}.toml")), text)?;
     }
-    std::fs::write(folder.join(RESOURCES_FILE), resources(&backends.declaration())?)?;
-    let map = FleetMap {
+    std::fs::write(folder.join(RESOURCES_FILE), resources_toml(&backends.declaration())?)?;
+    let addresses = FleetAddresses {
         deployment,
         gateways: http,
         engines: backends.engine_endpoints(),
         replicas: backends.replica_endpoints(),
         platform: backends.platform.address(),
     };
-    std::fs::write(folder.join(MAP_FILE), serde_json::to_vec_pretty(&map)?)?;
-    Ok(map)
+    std::fs::write(folder.join(ADDRESSES_FILE), serde_json::to_vec_pretty(&addresses)?)?;
+    Ok(addresses)
 }
 
-/// Ports that were free a moment ago. All are held until the last is found.
+/// Finds free loopback ports. All are bound at the same time, so that no port occurs twice.
 fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
-    let listeners: std::io::Result<Vec<_>> = (0..count).map(|_| bind()).collect();
+    let listeners: std::io::Result<Vec<_>> = (0..count).map(|_| bind_loopback()).collect();
     let addresses: std::io::Result<Vec<SocketAddr>> =
         listeners?.iter().map(std::net::TcpListener::local_addr).collect();
     Ok(addresses?)
 }
 
-fn common(name: &str, zone: &str, machines: &BTreeMap<u32, SocketAddr>) -> Result<String> {
+fn common_settings(name: &str, zone: &str, machines: &BTreeMap<u32, SocketAddr>) -> Result<String> {
     let mut text = format!("name = \"{name}\"\nzone = \"{zone}\"\nprogram_groups = 4\n");
     for (number, address) in machines {
         write!(text, "\n[[store_machines]]\nnumber = {number}\naddress = \"{address}\"\n")?;
@@ -89,7 +89,7 @@
     Ok(text)
 }
 
-fn resources(declaration: &Declaration) -> Result<String> {
+fn resources_toml(declaration: &FleetDeclaration) -> Result<String> {
     let mut text = String::new();
     write!(
         text,
@@ -113,54 +113,59 @@
     Ok(text)
 }
 
-/// A fleet of processes that a script started.
+/// Running fleet of separate processes.
 pub struct ProcessFleet {
     folder: PathBuf,
-    map: FleetMap,
+    addresses: FleetAddresses,
     stopped: Vec<bool>,
 }
 
 impl ProcessFleet {
-    /// The fleet whose files are in `folder`.
+    /// Opens the fleet whose settings files are in `folder`.
     ///
     /// # Errors
     /// When the files cannot be read.
     pub fn open(folder: &Path) -> Result<Self> {
-        let text = std::fs::read(folder.join(MAP_FILE)).wrap_err("no fleet in this folder")?;
-        let map: FleetMap = serde_json::from_slice(&text)?;
-        Ok(Self { folder: folder.to_owned(), stopped: vec![false; map.gateways.len()], map })
+        let text = std::fs::read(folder.join(ADDRESSES_FILE))
+            .wrap_err("cannot read the address file of the fleet")?;
+        let addresses: FleetAddresses = serde_json::from_slice(&text)?;
+        Ok(Self {
+            folder: folder.to_owned(),
+            stopped: vec![false; addresses.gateways.len()],
+            addresses,
+        })
     }
 
-    /// Sends a signal to the process `name`, whose number the script noted.
+    /// Sends a signal to the process of the node `name`.
     ///
     /// # Errors
-    /// When there is no such process.
+    /// When the process ID cannot be read or the signal cannot be sent.
     pub fn signal(&self, name: &str, signal: Signal) -> Result<()> {
-        Ok(kill_process(self.process(name)?, signal)?)
+        Ok(kill_process(self.process_id(name)?, signal)?)
     }
 
-    fn process(&self, name: &str) -> Result<Pid> {
+    fn process_id(&self, name: &str) -> Result<Pid> {
         let file = self.folder.join(format!("{name}.pid"));
-        let number: i32 = std::fs::read_to_string(file)?.trim().parse()?;
-        Pid::from_raw(number).ok_or_else(|| eyre!("{name}: not a process number"))
+        let id: i32 = std::fs::read_to_string(file)?.trim().parse()?;
+        Pid::from_raw(id).ok_or_else(|| eyre!("{name}: invalid process ID"))
     }
 
-    fn wait_gone(&self, name: &str) -> bool {
-        let deadline = Instant::now() + STOP_PATIENCE;
-        let is_alive = || self.process(name).is_ok_and(|pid| test_kill_process(pid).is_ok());
+    fn wait_for_exit(&self, name: &str) -> bool {
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        let is_alive = || self.process_id(name).is_ok_and(|pid| test_kill_process(pid).is_ok());
         while is_alive() {
             if Instant::now() >= deadline {
                 return false;
             }
-            std::thread::sleep(STOP_POLL);
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         true
     }
 }
 
 impl FleetControl for ProcessFleet {
-    fn map(&self) -> &FleetMap {
-        &self.map
+    fn addresses(&self) -> &FleetAddresses {
+        &self.addresses
     }
 
     fn is_running(&self, gateway: usize) -> bool {
@@ -172,7 +177,7 @@
         let began = RealClock.now();
         self.signal(&name, Signal::TERM).ok()?;
         self.stopped[gateway] = true;
-        let complete = self.wait_gone(&name);
+        let complete = self.wait_for_exit(&name);
         Some(StopEvent { gateway, began, ended: RealClock.now(), complete })
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! Fleets: all roles and stand-ins in one process, or in many.
+//! Test fleets with emulated back ends, in one process or in one process per node.
 //!
-//! - [`control`]: what the lab does with any fleet;
-//! - [`resources`]: declaring its back ends, as an operator does;
-//! - [`backends`]: the stand-ins of a fleet;
-//! - [`embedded`]: everything in one process;
-//! - [`files`]: settings files for a fleet of processes, and its control.
+//! - [`control`]: operations that every kind of fleet supports;
+//! - [`resources`]: declares the resources of a fleet through the operator API;
+//! - [`backends`]: emulated engines, services, platform and weight store;
+//! - [`embedded`]: fleet in one process;
+//! - [`files`]: fleet of separate processes and its settings files.
 
 pub mod backends;
 pub mod control;
@@ -12,5 +12,5 @@
 pub mod files;
 pub mod resources;
 
-pub use control::{Endpoint, FleetControl, FleetMap};
+pub use control::{Endpoint, FleetAddresses, FleetControl};
 pub use embedded::EmbeddedFleet;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,15 +1,15 @@
-//! The means of proof: fleets, load, records and the checker.
+//! Test fleets, load generator, benchmarks, simulator and invariant checker.
 //!
-//! - [`deployment`]: the places and sizes of the two services;
-//! - [`workload`]: programs of the kinds they run;
-//! - [`caller`]: a caller that streams, repeats, resumes and records;
-//! - [`history`]: what callers, engines and services recorded;
-//! - [`check`]: the ten invariants, judged from those records alone;
-//! - [`fleet`]: all roles and stand-ins in one process, or files for many;
-//! - [`sim`]: the product's state machines under virtual time, from one seed;
-//! - [`scale`]: costs at a ladder of sizes, their slopes, and the design size;
-//! - [`demo`], [`bench`]: the commands;
-//! - [`report`]: what a person reads at the end.
+//! - [`deployment`]: zones, delays and sizes of the two reference deployments;
+//! - [`workload`]: generates the programs to run;
+//! - [`caller`]: client that retries, resumes streams and records each request;
+//! - [`history`]: records of clients, engines and services;
+//! - [`check`]: checks the ten invariants against these records;
+//! - [`fleet`]: fleets in one process or in one process per node;
+//! - [`sim`]: deterministic simulation of a fleet in virtual time;
+//! - [`scale`]: measures costs at several fleet sizes and extrapolates them;
+//! - [`demo`], [`bench`]: the subcommands of these names;
+//! - [`report`]: text output of the results.
 
 pub mod bench;
 pub mod caller;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,24 +10,24 @@
 use calicohoist_lab::demo::{self, DemoReport, DemoSettings};
 use calicohoist_lab::deployment::Deployment;
 use calicohoist_lab::fleet::FleetControl;
-use calicohoist_lab::fleet::backends::{Backends, FleetSize};
+use calicohoist_lab::fleet::backends::{EmulatedBackends, FleetSize};
 use calicohoist_lab::fleet::files::{self, ProcessFleet};
 use calicohoist_lab::report;
 use calicohoist_lab::scale;
-use calicohoist_lab::scale::capacity::{self, DESIGN};
+use calicohoist_lab::scale::capacity::{self, DESIGN_SIZE};
 use calicohoist_lab::sim::{Scenario, SeedRange, SimReport, run_many};
 use calicohoist_telemetry::{LogFormat, LogSettings, logging};
 use eyre::Result;
 use log::LevelFilter;
 
-/// The slopes that the repository records, from its root.
+/// Default path of the recorded slopes, relative to the repository root.
 const RECORDED_SLOPES: &str = "docs/capacity/scale.json";
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// Fleets, load and proof for calicohoist.
+/// Test fleets, load generator, benchmarks and simulator for calicohoist.
 struct Arguments {
-    /// Least severe level that is logged
+    /// Log level
     #[bpaf(argument("LEVEL"), fallback(LevelFilter::Error))]
     log_level: LevelFilter,
     #[bpaf(external(command))]
@@ -36,87 +36,87 @@
 
 #[derive(Clone, Debug, Bpaf)]
 enum Command {
-    /// Run programs on a fleet inside this process, and judge what happened
+    /// Run programs on a fleet inside this process and check the invariants
     #[bpaf(command)]
     Demo {
-        /// celje or kushiro
+        /// Deployment to emulate: celje or kushiro
         #[bpaf(argument("NAME"), fallback(Deployment::Celje))]
         deployment: Deployment,
-        /// Programs to run
+        /// Number of programs to run
         #[bpaf(argument("COUNT"), fallback(40))]
         programs: usize,
-        /// Seed of the load
+        /// Random seed of the workload
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// Write the report here, too
+        /// Also write the report to this file as JSON
         #[bpaf(argument("FILE"))]
         json: Option<PathBuf>,
-        /// Write everything that was recorded here
+        /// Write the recorded history to this file as JSON
         #[bpaf(argument("FILE"))]
         history: Option<PathBuf>,
     },
-    /// Measure what the path adds to a call, and the rate one gateway holds
+    /// Measure the latency that the gateway adds and the throughput of one gateway
     #[bpaf(command)]
     Bench {
-        /// Calls of each kind for the added latency
+        /// Number of direct and of proxied calls for the latency measurement
         #[bpaf(argument("COUNT"), fallback(300))]
         calls: usize,
-        /// Seconds of each step of the rate
+        /// Seconds to measure at each concurrency level
         #[bpaf(argument("SECONDS"), fallback(4))]
         seconds: u64,
-        /// Write the report here, too
+        /// Also write the report to this file as JSON
         #[bpaf(argument("FILE"))]
         json: Option<PathBuf>,
     },
-    /// Run whole fleets in virtual time under faults, and judge what happened
+    /// Simulate fleets with faults in virtual time and check the invariants
     #[bpaf(command)]
     Sim(#[bpaf(external(sim_arguments))] SimArguments),
-    /// Measure costs at a ladder of sizes, and their slopes
+    /// Measure costs at several fleet sizes and fit their slopes
     #[bpaf(command)]
     Scale {
-        /// Most hollow gateways
+        /// Largest number of simulated gateways
         #[bpaf(argument("COUNT"), fallback(390))]
         largest: usize,
-        /// Write the report here
+        /// Write the report to this file as JSON
         #[bpaf(argument("FILE"))]
         json: PathBuf,
     },
-    /// Work out the design size from measured slopes, as a table
+    /// Print a table of costs at the design size, extrapolated from measured slopes
     #[bpaf(command)]
     Capacity {
-        /// Report of `scale`
+        /// Report written by `scale`
         #[bpaf(argument("FILE"), fallback(PathBuf::from(RECORDED_SLOPES)))]
         slopes: PathBuf,
     },
-    /// Run the stand-ins of a fleet of processes and write its settings files
+    /// Run the emulated back ends of a multi-process fleet and write its settings files
     #[bpaf(command)]
     Backends {
-        /// celje or kushiro
+        /// Deployment to emulate: celje or kushiro
         #[bpaf(argument("NAME"), fallback(Deployment::Celje))]
         deployment: Deployment,
-        /// Folder for the files
+        /// Folder for the settings files
         #[bpaf(argument("FOLDER"))]
         folder: PathBuf,
-        /// Seed of the stand-ins
+        /// Random seed of the emulated back ends
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// End by itself after this many seconds
+        /// Exit after this many seconds
         #[bpaf(argument("SECONDS"), fallback(600))]
         seconds: u64,
     },
-    /// Run programs on a fleet of processes, and judge what happened
+    /// Run programs on a multi-process fleet and check the invariants
     #[bpaf(command)]
     Fleet {
-        /// Folder with the fleet's files
+        /// Folder with the fleet's settings files
         #[bpaf(argument("FOLDER"))]
         folder: PathBuf,
-        /// Programs to run
+        /// Number of programs to run
         #[bpaf(argument("COUNT"), fallback(40))]
         programs: usize,
-        /// Seed of the load
+        /// Random seed of the workload
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// Write the report here, too
+        /// Also write the report to this file as JSON
         #[bpaf(argument("FILE"))]
         json: Option<PathBuf>,
     },
@@ -124,24 +124,24 @@
 
 #[derive(Clone, Debug, Bpaf)]
 struct SimArguments {
-    /// Print the names of all scenarios
+    /// Print the names of all scenarios and exit
     list: bool,
-    /// Scenario to run; all of them when left out
+    /// Scenario to run; all scenarios by default
     #[bpaf(argument("NAME"))]
     scenario: Option<Scenario>,
-    /// celje or kushiro
+    /// Deployment to emulate: celje or kushiro
     #[bpaf(argument("NAME"), fallback(Deployment::Celje))]
     deployment: Deployment,
-    /// Everything that happens follows from this
+    /// Random seed of the simulation
     #[bpaf(argument("SEED"), fallback(1))]
     seed: u64,
-    /// Run many seeds on all cores, A up to but without B
+    /// Run the seeds from A up to but excluding B
     #[bpaf(argument("A..B"))]
     seeds: Option<SeedRange>,
-    /// Threads of many runs
+    /// Number of threads that run seeds in parallel
     #[bpaf(argument("COUNT"), fallback(default_threads()))]
     threads: usize,
-    /// Write the report here, too
+    /// Also write the report to this file as JSON
     #[bpaf(argument("FILE"))]
     json: Option<PathBuf>,
 }
@@ -154,7 +154,7 @@
     let arguments = arguments().run();
     let settings =
         LogSettings { format: LogFormat::Text, level: arguments.log_level, node: String::new() };
-    match logging::install(settings).and_then(|()| perform(arguments.command)) {
+    match logging::install(settings).and_then(|()| run(arguments.command)) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("error: {error:#}");
@@ -163,7 +163,7 @@
     }
 }
 
-fn perform(command: Command) -> Result<ExitCode> {
+fn run(command: Command) -> Result<ExitCode> {
     match command {
         Command::Demo { deployment, programs, seed, json, history } => {
             let settings = DemoSettings {
@@ -176,10 +176,10 @@
             if let Some(file) = history {
                 std::fs::write(file, serde_json::to_vec(&recorded)?)?;
             }
-            conclude(&outcome, json.as_deref())
+            print_report(&outcome, json.as_deref())
         }
         Command::Bench { calls, seconds, json } => {
-            let settings = BenchSettings { calls, step: Duration::from_secs(seconds) };
+            let settings = BenchSettings { calls, step_duration: Duration::from_secs(seconds) };
             let text = serde_json::to_string_pretty(&bench::run(settings)?)?;
             println!("{text}");
             if let Some(file) = json {
@@ -189,20 +189,20 @@
         }
         Command::Sim(arguments) => simulate(&arguments),
         Command::Scale { largest, json } => {
-            let report = scale::run(largest, |step| eprintln!("measuring {step}"));
+            let report = scale::run(largest, |stage| eprintln!("measuring {stage}"));
             std::fs::write(json, serde_json::to_vec_pretty(&report)?)?;
-            println!("{}", capacity::table(&report, &DESIGN));
+            println!("{}", capacity::table(&report, &DESIGN_SIZE));
             Ok(ExitCode::SUCCESS)
         }
         Command::Capacity { slopes } => {
             let report = serde_json::from_slice(&std::fs::read(slopes)?)?;
-            println!("{}", capacity::table(&report, &DESIGN));
+            println!("{}", capacity::table(&report, &DESIGN_SIZE));
             Ok(ExitCode::SUCCESS)
         }
         Command::Backends { deployment, folder, seed, seconds } => {
-            let size = FleetSize::of(deployment);
-            let backends = Backends::start(deployment, size, seed)?;
-            files::write(&folder, deployment, size, &backends)?;
+            let size = FleetSize::for_deployment(deployment);
+            let backends = EmulatedBackends::start(deployment, size, seed)?;
+            files::write_settings(&folder, deployment, size, &backends)?;
             println!("ready");
             std::thread::sleep(Duration::from_secs(seconds));
             Ok(ExitCode::SUCCESS)
@@ -210,13 +210,13 @@
         Command::Fleet { folder, programs, seed, json } => {
             let mut fleet = ProcessFleet::open(&folder)?;
             let settings = DemoSettings {
-                deployment: fleet.map().deployment,
+                deployment: fleet.addresses().deployment,
                 programs,
                 seed,
                 progress: std::io::stderr().is_terminal(),
             };
-            let (outcome, _) = demo::run_on(&mut fleet, &settings);
-            conclude(&outcome, json.as_deref())
+            let (outcome, _) = demo::run_on_fleet(&mut fleet, &settings);
+            print_report(&outcome, json.as_deref())
         }
     }
 }
@@ -234,30 +234,31 @@
         .seeds
         .as_ref()
         .map_or(arguments.seed..arguments.seed + 1, |range| range.seeds.clone());
-    let mut all = Vec::new();
+    let mut all_reports = Vec::new();
     for scenario in scenarios {
-        let begin = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let reports = run_many(scenario, arguments.deployment, seeds.clone(), arguments.threads);
-        println!("{}", report::sim_line(&reports, begin.elapsed()));
+        println!("{}", report::format_sim_summary(&reports, started.elapsed()));
         for report in reports.iter().filter(|report| !report.is_good()) {
             println!("{}", report.describe());
         }
-        all.extend(reports);
+        all_reports.extend(reports);
     }
     if let Some(file) = &arguments.json {
-        let json = match all.as_slice() {
+        let json = match all_reports.as_slice() {
             [only] => serde_json::to_vec_pretty(only)?,
             many => serde_json::to_vec_pretty(many)?,
         };
         std::fs::write(file, json)?;
     }
-    let is_good = all.iter().all(SimReport::is_good);
+    let is_good = all_reports.iter().all(SimReport::is_good);
     Ok(if is_good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Prints and stores a report; the status says whether everything held.
-fn conclude(outcome: &DemoReport, json: Option<&Path>) -> Result<ExitCode> {
-    println!("{}", report::text(outcome));
+/// Prints the report, writes it to `json` if given, and returns failure if an invariant was
+/// violated or a program did not complete.
+fn print_report(outcome: &DemoReport, json: Option<&Path>) -> Result<ExitCode> {
+    println!("{}", report::format_demo(outcome));
     if let Some(file) = json {
         std::fs::write(file, serde_json::to_vec_pretty(outcome)?)?;
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,12 +1,12 @@
-//! What a person reads at the end of a run.
+//! Text output of the results of a run.
 
 use std::time::Duration;
 
 use crate::demo::DemoReport;
 use crate::sim::SimReport;
 
-/// The report as text.
-pub fn text(report: &DemoReport) -> String {
+/// Formats the report of `demo` and `fleet`.
+pub fn format_demo(report: &DemoReport) -> String {
     let mut lines = vec![
         format!("deployment          {}", report.deployment.name()),
         format!(
@@ -35,21 +35,21 @@
     lines.join("\n")
 }
 
-/// One line about the runs of one scenario.
-pub fn sim_line(reports: &[SimReport], took: Duration) -> String {
-    let sum = |of: fn(&SimReport) -> u64| reports.iter().map(of).sum::<u64>();
-    let bad = reports.iter().filter(|report| !report.is_good()).count();
+/// Formats a one-line summary of the runs of one scenario.
+pub fn format_sim_summary(reports: &[SimReport], elapsed: Duration) -> String {
+    let sum = |value: fn(&SimReport) -> u64| reports.iter().map(value).sum::<u64>();
+    let failed = reports.iter().filter(|report| !report.is_good()).count();
     let name = reports.first().map_or("", |report| report.scenario.as_str());
-    let looks = |report: &SimReport| {
+    let checks = |report: &SimReport| {
         report.invariants.named().iter().map(|(_, verdict)| verdict.checked).sum()
     };
     format!(
-        "{name:<26} {:>5} runs {bad:>4} bad {:>6} faults {:>7} programs {:>9} looks {:>9} events at most {:>6} s",
+        "{name:<26} {:>5} runs {failed:>4} bad {:>6} faults {:>7} programs {:>9} looks {:>9} events at most {:>6} s",
         reports.len(),
         sum(|report| report.faults_injected),
         sum(|report| report.programs as u64),
-        sum(looks),
+        sum(checks),
         reports.iter().map(|report| report.events).max().unwrap_or_default(),
-        took.as_secs()
+        elapsed.as_secs()
     )
 }
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -1,5 +1,5 @@
-//! Control at a ladder of sizes: hollow gateways, which run the real protocol
-//! but no calls, around three store machines, in virtual time.
+//! Control-plane costs by fleet size: simulated gateways run the control protocol without calls
+//! against three store machines, in virtual time.
 
 use std::time::Duration;
 
@@ -12,103 +12,103 @@
 use crate::sim::frame::Actor;
 use crate::sim::world::{World, WorldSize};
 
-/// Gateways of each rung; the last is the design size.
-const RUNGS: [usize; 5] = [25, 50, 100, 200, 390];
-/// Engines for each gateway at the design size, 600 before 390.
+/// Numbers of gateways to measure; the last is the design size.
+const GATEWAY_COUNTS: [usize; 5] = [25, 50, 100, 200, 390];
+/// Engines per gateway at the design size.
 const ENGINES_PER_GATEWAY: f64 = 600.0 / 390.0;
-/// The fleet has this long to come up and be declared.
-const START_UP: Duration = Duration::from_secs(25);
-/// Time that is measured.
-const MEASURED: Duration = Duration::from_secs(10);
-/// Changes whose way to all gateways is timed.
-const CHANGES: u32 = 20;
-/// Time between them.
+/// Virtual time before measuring, for the fleet to start and be declared.
+const STARTUP_DURATION: Duration = Duration::from_secs(25);
+/// Virtual time over which costs are measured.
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(10);
+/// Configuration changes whose propagation is timed.
+const CHANGE_COUNT: u32 = 20;
 const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 const SEED: u64 = 390;
 
-/// Costs at one size.
+/// Control-plane costs at one fleet size.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ControlPoint {
-    /// Hollow gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Control bytes of one gateway, sent and received.
+    /// Mean control traffic of a gateway, sent and received.
     pub gateway_bytes_per_second: f64,
-    /// Control messages of one gateway, sent and received.
+    /// Mean control messages of a gateway, sent and received.
     pub gateway_messages_per_second: f64,
-    /// Control work of one gateway, in percent of a core.
+    /// Mean busy time of a gateway, in percent of a core.
     pub gateway_core_percent: f64,
-    /// Bytes of the busiest store machine.
+    /// Traffic of the busiest store machine.
     pub store_bytes_per_second: f64,
-    /// Messages of the busiest store machine.
+    /// Messages of the busiest store machine, sent and received.
     pub store_messages_per_second: f64,
-    /// Work of the busiest store machine, in percent of a core.
+    /// Busy time of the busiest store machine, in percent of a core.
     pub store_core_percent: f64,
 }
 
-/// Time from acceptance until a change is in force everywhere.
+/// Times from acceptance of a configuration change until it is in force on all gateways.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ChangeTimes {
-    /// Gateways that have to act on it.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Changes.
+    /// Number of changes that were timed.
     pub changes: usize,
-    /// Milliseconds, to the next 20.
+    /// Milliseconds, with a resolution of 20 ms.
     pub in_force_ms: Percentiles,
 }
 
-/// Measures every rung up to `largest` gateways.
+/// Measures costs at each fleet size up to `largest` gateways, and the propagation of changes at
+/// the largest of them.
 pub fn measure(largest: usize) -> (Vec<ControlPoint>, ChangeTimes) {
-    let rungs = RUNGS.into_iter().filter(|gateways| *gateways <= largest);
-    let last = rungs.clone().max();
+    let gateway_counts = GATEWAY_COUNTS.into_iter().filter(|gateways| *gateways <= largest);
+    let largest_count = gateway_counts.clone().max();
     let mut points = Vec::new();
     let mut changes = None;
-    for gateways in rungs {
-        let mut world = start(gateways);
+    for gateways in gateway_counts {
+        let mut world = start_world(gateways);
         points.push(measure_idle(&mut world, gateways));
-        if last == Some(gateways) {
+        if largest_count == Some(gateways) {
             changes = Some(measure_changes(&mut world, gateways));
         }
     }
-    let none = ChangeTimes { gateways: 0, changes: 0, in_force_ms: Percentiles::default() };
-    (points, changes.unwrap_or(none))
+    let no_changes = ChangeTimes { gateways: 0, changes: 0, in_force_ms: Percentiles::default() };
+    (points, changes.unwrap_or(no_changes))
 }
 
-fn engines_of(gateways: usize) -> usize {
+fn engine_count(gateways: usize) -> usize {
     (gateways as f64 * ENGINES_PER_GATEWAY).round() as usize
 }
 
-fn start(gateways: usize) -> World {
+fn start_world(gateways: usize) -> World {
     let size = WorldSize {
         stores: 3,
         gateways,
-        engines: engines_of(gateways),
+        engines: engine_count(gateways),
         replicas: 10,
         entries_per_snapshot: ENTRIES_PER_SNAPSHOT,
     };
     let mut world = World::new(Deployment::Celje, size, SEED);
     world.declare_fleet();
-    world.run_for(START_UP);
+    world.run_for(STARTUP_DURATION);
     world
 }
 
 fn measure_idle(world: &mut World, gateways: usize) -> ControlPoint {
     world.account = Some(Account::default());
-    world.run_for(MEASURED);
+    world.run_for(MEASUREMENT_DURATION);
     let account = world.account.take().unwrap_or_default();
-    let seconds = MEASURED.as_secs_f64();
-    let sum = |value: fn(crate::sim::account::Cost) -> f64| {
+    let seconds = MEASUREMENT_DURATION.as_secs_f64();
+    let gateway_mean = |value: fn(crate::sim::account::Cost) -> f64| {
         let costs = (0..gateways).map(|index| value(account.cost(Actor::Gateway(index))));
         costs.sum::<f64>() / gateways as f64 / seconds
     };
     let busiest = account.busiest_store();
     ControlPoint {
         gateways,
-        engines: engines_of(gateways),
-        gateway_bytes_per_second: sum(|cost| cost.bytes as f64),
-        gateway_messages_per_second: sum(|cost| cost.messages as f64),
-        gateway_core_percent: sum(|cost| cost.busy.as_secs_f64() * 100.0),
+        engines: engine_count(gateways),
+        gateway_bytes_per_second: gateway_mean(|cost| cost.bytes as f64),
+        gateway_messages_per_second: gateway_mean(|cost| cost.messages as f64),
+        gateway_core_percent: gateway_mean(|cost| cost.busy.as_secs_f64() * 100.0),
         store_bytes_per_second: busiest.bytes as f64 / seconds,
         store_messages_per_second: busiest.messages as f64 / seconds,
         store_core_percent: busiest.busy.as_secs_f64() * 100.0 / seconds,
@@ -116,7 +116,7 @@
 }
 
 fn measure_changes(world: &mut World, gateways: usize) -> ChangeTimes {
-    for _ in 0..CHANGES {
+    for _ in 0..CHANGE_COUNT {
         world.time_change();
         world.run_for(CHANGE_INTERVAL);
     }
--- a/crates/lab/src/scale/decisions.rs
+++ b/crates/lab/src/scale/decisions.rs
@@ -1,4 +1,4 @@
-//! The time of one routing decision.
+//! Duration of a routing decision by number of engines.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -8,44 +8,42 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Engines of each rung.
-const RUNGS: [usize; 4] = [10, 100, 300, 600];
-/// Decisions of each rung.
-const DECISIONS: u32 = 2_000;
+const ENGINE_COUNTS: [usize; 4] = [10, 100, 300, 600];
+const DECISIONS_PER_POINT: u32 = 2_000;
 
-/// Time of a decision among some engines.
+/// Duration of a routing decision at one number of engines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct DecisionPoint {
-    /// Engines to choose from.
+    /// Number of engines to choose from.
     pub engines: usize,
-    /// Nanoseconds of one decision.
+    /// Mean duration in nanoseconds.
     pub nanos: f64,
 }
 
-/// Measures every rung.
+/// Measures routing decisions at each number of engines.
 pub fn measure() -> Vec<DecisionPoint> {
-    let mut random = ChaCha8Rng::seed_from_u64(1);
-    RUNGS.iter().map(|engines| measure_one(*engines, &mut random)).collect()
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    ENGINE_COUNTS.iter().map(|engines| measure_point(*engines, &mut rng)).collect()
 }
 
-fn measure_one(engines: usize, random: &mut ChaCha8Rng) -> DecisionPoint {
+fn measure_point(engines: usize, rng: &mut ChaCha8Rng) -> DecisionPoint {
     let inputs: Vec<CostInputs> = (0..engines)
         .map(|_| CostInputs {
             prompt_tokens: 4_000,
-            cached_tokens: random.random_range(0..4_000),
-            running: random.random_range(0..12),
-            waiting: random.random_range(0..4),
+            cached_tokens: rng.random_range(0..4_000),
+            running: rng.random_range(0..12),
+            waiting: rng.random_range(0..4),
             slots: 8,
-            same_zone: random.random_bool(0.2),
+            same_zone: rng.random_bool(0.2),
         })
         .collect();
     let weights = CostWeights::default();
-    let begin = Instant::now();
-    for _ in 0..DECISIONS {
+    let started = Instant::now();
+    for _ in 0..DECISIONS_PER_POINT {
         let candidates = black_box(&inputs).iter().enumerate();
         let candidates = candidates.map(|(index, inputs)| (index, *inputs));
         black_box(choose(candidates, &weights));
     }
-    let nanos = begin.elapsed().as_nanos() as f64 / f64::from(DECISIONS);
+    let nanos = started.elapsed().as_nanos() as f64 / f64::from(DECISIONS_PER_POINT);
     DecisionPoint { engines, nanos }
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,10 +1,10 @@
-//! Costs at a ladder of sizes, their slopes, and the design size.
+//! Measures costs at several fleet sizes and extrapolates them to the design size.
 //!
-//! - [`control`]: hollow gateways and engines around three store machines;
-//! - [`programs`]: what calls cost, and what programs occupy;
-//! - [`decisions`]: the time of one routing decision;
-//! - [`slope`]: lines through the points, with their error;
-//! - [`capacity`]: the table of the design size, worked out from the slopes.
+//! - [`control`]: control-plane costs of simulated gateways and store machines;
+//! - [`programs`]: cost of calls, and memory of programs and tenants;
+//! - [`decisions`]: duration of a routing decision;
+//! - [`slope`]: linear regression with the standard error of the slope;
+//! - [`capacity`]: table of the costs at the design size.
 
 pub mod capacity;
 pub mod control;
@@ -19,74 +19,74 @@
 use programs::{CallPoint, MemoryPoint};
 use slope::Slope;
 
-/// Entries after which a group writes a snapshot, as in the product's settings.
+/// Log entries after which a group writes a snapshot.
 const ENTRIES_PER_SNAPSHOT: u64 = 20_000;
 
-/// Everything that was measured, and the lines through it.
+/// Measured costs and the lines fitted to them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScaleReport {
-    /// Control at each number of hollow gateways.
+    /// Control-plane costs at each number of gateways.
     pub control: Vec<ControlPoint>,
-    /// Times of changes at the largest number.
+    /// Propagation times of configuration changes at the largest number of gateways.
     pub changes: ChangeTimes,
-    /// Encoded bytes of one engine's load.
+    /// Size of an encoded engine load report, in bytes.
     pub load_bytes: f64,
-    /// Calls of programs with histories of growing length.
+    /// Cost of calls by prompt length.
     pub calls: Vec<CallPoint>,
-    /// Memory of a store machine.
+    /// Memory of a program on a store machine, by length of history.
     pub memory: Vec<MemoryPoint>,
-    /// Memory of declared tenants in a gateway.
+    /// Memory of the declared tenants, by number of tenants.
     pub tenants: Vec<MemoryPoint>,
-    /// Routing decisions.
+    /// Duration of routing decisions, by number of engines.
     pub decisions: Vec<DecisionPoint>,
-    /// The lines.
+    /// Fitted lines.
     pub slopes: Slopes,
 }
 
-/// Lines through the measured points.
+/// Lines fitted to the measured points.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Slopes {
-    /// Bytes a second of one gateway's control traffic, by gateways.
+    /// Control traffic of one gateway in bytes per second, by number of gateways.
     pub gateway_bytes: Slope,
-    /// Messages a second of one gateway's control traffic, by gateways.
+    /// Control traffic of one gateway in messages per second, by number of gateways.
     pub gateway_messages: Slope,
-    /// Percent of a core of one gateway's control work, by gateways.
+    /// Busy time of one gateway's control plane in percent of a core, by number of gateways.
     pub gateway_core: Slope,
-    /// Bytes a second of the busiest store machine, by gateways.
+    /// Traffic of the busiest store machine in bytes per second, by number of gateways.
     pub store_bytes: Slope,
-    /// Percent of a core of the busiest store machine, by gateways.
+    /// Busy time of the busiest store machine in percent of a core, by number of gateways.
     pub store_core: Slope,
-    /// Microseconds of the busiest store machine for one call, by prompt tokens.
+    /// Busy time for one call on the busiest store machine in microseconds, by prompt tokens.
     pub call_micros: Slope,
-    /// Bytes sent and received by the busiest store machine for one call, by
-    /// prompt tokens.
+    /// Bytes sent and received by the busiest store machine for one call, by prompt tokens.
     pub call_bytes: Slope,
-    /// Bytes of a store machine for one program, by tokens of history.
+    /// Memory of one program on a store machine in bytes, by tokens of history.
     pub program_bytes: Slope,
-    /// Bytes of a gateway for its declared tenants, by tenants.
+    /// Memory of the declared tenants in bytes, by number of tenants.
     pub tenant_bytes: Slope,
-    /// Nanoseconds of a decision, by engines.
+    /// Duration of a routing decision in nanoseconds, by number of engines.
     pub decision_nanos: Slope,
 }
 
-/// Measures everything, control with up to `largest` gateways.
+/// Runs all measurements, with up to `largest` gateways; calls `progress` with the name of each
+/// stage.
 pub fn run(largest: usize, progress: impl Fn(&str)) -> ScaleReport {
-    // Memory first, while nothing that was freed could be taken for unused.
+    // Memory is measured first: reused allocations would hide the growth of resident memory.
     progress("memory of programs and tenants");
     let tenants = programs::measure_tenants();
     let memory = programs::measure_memory();
-    progress("control of hollow gateways");
+    progress("control plane of simulated gateways");
     let (control, changes) = control::measure(largest);
-    progress("calls by length of history");
+    progress("calls by prompt length");
     let calls = programs::measure_calls();
     progress("routing decisions");
     let decisions = decisions::measure();
-    let slopes = slopes(&control, &calls, &memory, &tenants, &decisions);
+    let slopes = fit_slopes(&control, &calls, &memory, &tenants, &decisions);
     let load_bytes = programs::load_bytes();
     ScaleReport { control, changes, load_bytes, calls, memory, tenants, decisions, slopes }
 }
 
-fn slopes(
+fn fit_slopes(
     control: &[ControlPoint],
     calls: &[CallPoint],
     memory: &[MemoryPoint],
@@ -94,13 +94,13 @@
     decisions: &[DecisionPoint],
 ) -> Slopes {
     let by_gateways = |value: fn(&ControlPoint) -> f64| {
-        Slope::of(control.iter().map(|point| (point.gateways as f64, value(point))))
+        Slope::fit(control.iter().map(|point| (point.gateways as f64, value(point))))
     };
     let by_tokens = |value: fn(&CallPoint) -> f64| {
-        Slope::of(calls.iter().map(|point| (point.prompt_tokens, value(point))))
+        Slope::fit(calls.iter().map(|point| (point.prompt_tokens, value(point))))
     };
-    let bytes_per_item =
-        |points: &[MemoryPoint]| Slope::of(points.iter().map(|point| (point.size, point.bytes)));
+    let by_size =
+        |points: &[MemoryPoint]| Slope::fit(points.iter().map(|point| (point.size, point.bytes)));
     Slopes {
         gateway_bytes: by_gateways(|point| point.gateway_bytes_per_second),
         gateway_messages: by_gateways(|point| point.gateway_messages_per_second),
@@ -109,9 +109,9 @@
         store_core: by_gateways(|point| point.store_core_percent),
         call_micros: by_tokens(|point| point.store_micros),
         call_bytes: by_tokens(|point| point.store_bytes),
-        program_bytes: bytes_per_item(memory),
-        tenant_bytes: bytes_per_item(tenants),
-        decision_nanos: Slope::of(
+        program_bytes: by_size(memory),
+        tenant_bytes: by_size(tenants),
+        decision_nanos: Slope::fit(
             decisions.iter().map(|point| (point.engines as f64, point.nanos)),
         ),
     }
--- a/crates/lab/src/scale/programs.rs
+++ b/crates/lab/src/scale/programs.rs
@@ -1,4 +1,4 @@
-//! What calls cost a store machine, and what programs and tenants occupy.
+//! Cost of calls on a store machine, and memory of programs and tenants.
 
 use std::time::Duration;
 
@@ -23,49 +23,48 @@
 use crate::sim::world::{World, WorldSize};
 use crate::workload::{Habit, ProgramPlan, Step};
 
-/// Tokens that each turn adds, for each rung of call costs.
+/// Tokens that each turn adds to the history, one measurement each.
 const TOKENS_PER_TURN: [usize; 4] = [50, 200, 500, 1_000];
 const TURNS: usize = 12;
-const CALL_PROGRAMS: usize = 12;
-const CALL_RUN: Duration = Duration::from_secs(40);
-const START_UP: Duration = Duration::from_secs(5);
-/// Programs of each rung of memory, and the turns of each.
+const PROGRAM_COUNT: usize = 12;
+const RUN_DURATION: Duration = Duration::from_secs(40);
+const STARTUP_DURATION: Duration = Duration::from_secs(5);
+/// Programs per memory measurement.
 const MEMORY_PROGRAMS: usize = 1_000;
+/// Turns of each program, one memory measurement each.
 const MEMORY_TURNS: [usize; 4] = [2, 10, 25, 50];
-/// Words of a question and of an answer in the rungs of memory.
 const QUESTION_WORDS: usize = 40;
 const ANSWER_WORDS: usize = 40;
-/// Tenants of each rung.
-const TENANTS: [usize; 3] = [5_000, 15_000, 43_000];
+const TENANT_COUNTS: [usize; 3] = [5_000, 15_000, 43_000];
 const BUDGET: u64 = 100_000_000;
 
-/// Costs of one call on the busiest store machine.
+/// Mean cost of a call at one prompt length.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct CallPoint {
-    /// Tokens of the prompt, on average.
+    /// Mean number of prompt tokens.
     pub prompt_tokens: f64,
-    /// Calls that were answered.
+    /// Number of answered calls.
     pub calls: usize,
-    /// Microseconds of processor time.
+    /// Busy time of the busiest store machine, in microseconds.
     pub store_micros: f64,
-    /// Bytes sent and received.
+    /// Bytes sent and received by the busiest store machine.
     pub store_bytes: f64,
-    /// Messages sent and received.
+    /// Messages sent and received by the busiest store machine.
     pub store_messages: f64,
-    /// Microseconds of processor time of the gateway.
+    /// Busy time of the gateways, in microseconds.
     pub gateway_micros: f64,
 }
 
-/// Memory that grew with something.
+/// Memory use at one size.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct MemoryPoint {
-    /// How much there was of it: tokens of history of one program, or tenants.
+    /// Tokens of history per program, or number of tenants.
     pub size: f64,
-    /// Resident bytes: of one program, or of all tenants.
+    /// Resident bytes per program, or of all tenants.
     pub bytes: f64,
 }
 
-/// Runs programs whose histories grow by more and more.
+/// Measures the cost of calls at each prompt length.
 pub fn measure_calls() -> Vec<CallPoint> {
     TOKENS_PER_TURN.iter().map(|tokens| measure_call(*tokens)).collect()
 }
@@ -80,18 +79,18 @@
     };
     let mut world = World::new(Deployment::Celje, size, 1);
     world.declare_fleet();
-    world.run_for(START_UP);
+    world.run_for(STARTUP_DURATION);
     world.account = Some(Account::default());
-    world.run_for(START_UP);
-    let idle = costs(&world).map(|cost| per_second(cost, START_UP));
-    for number in 0..CALL_PROGRAMS {
-        world.add_program(plan(number, tokens_per_turn), TURNS as u64 + 1);
+    world.run_for(STARTUP_DURATION);
+    let idle = costs(&world).map(|cost| per_second(cost, STARTUP_DURATION));
+    for number in 0..PROGRAM_COUNT {
+        world.add_program(program_plan(number, tokens_per_turn), TURNS as u64 + 1);
     }
     world.account = Some(Account::default());
-    world.run_for(CALL_RUN);
-    let total = costs(&world).map(|cost| per_second(cost, CALL_RUN));
+    world.run_for(RUN_DURATION);
+    let total = costs(&world).map(|cost| per_second(cost, RUN_DURATION));
     let (calls, prompt_tokens) = world.answered_model_calls();
-    let seconds = CALL_RUN.as_secs_f64();
+    let seconds = RUN_DURATION.as_secs_f64();
     let per_call = |part: usize, value: fn(&Rate) -> f64| {
         (value(&total[part]) - value(&idle[part])).max(0.0) * seconds / calls.max(1) as f64
     };
@@ -105,7 +104,7 @@
     }
 }
 
-/// Costs in one second.
+/// Costs per second.
 struct Rate {
     messages: f64,
     bytes: f64,
@@ -121,7 +120,7 @@
     }
 }
 
-/// Costs of the busiest store machine, and of all gateways.
+/// Returns the costs of the busiest store machine and of all gateways together.
 fn costs(world: &World) -> [Cost; 2] {
     let account = world.account.clone().unwrap_or_default();
     let busiest = account.busiest_store();
@@ -134,8 +133,8 @@
     [busiest, all]
 }
 
-fn plan(number: usize, tokens_per_turn: usize) -> ProgramPlan {
-    let ask = |turn: usize| {
+fn program_plan(number: usize, tokens_per_turn: usize) -> ProgramPlan {
+    let model_call = |turn: usize| {
         let text = words(tokens_per_turn, number * 1_000 + turn);
         Step::Ask(vec![ChatMessage::new(Role::User, text)])
     };
@@ -144,45 +143,45 @@
         tenant: "scale".to_owned(),
         start: Duration::from_millis(number as u64 * 50),
         budget: BUDGET,
-        steps: (0..TURNS).map(ask).collect(),
+        steps: (0..TURNS).map(model_call).collect(),
         habit: Habit::Plain,
     }
 }
 
-/// A text of `count` words, each one token.
+/// Returns a text of `count` words, each one token.
 fn words(count: usize, seed: usize) -> String {
     let words = (0..count).map(|index| format!("w{}", (seed * 31 + index * 7) % 10_000));
     words.collect::<Vec<String>>().join(" ")
 }
 
-/// Fills groups with programs of growing histories, and sees what they occupy.
+/// Measures the resident memory of programs at each length of history.
 pub fn measure_memory() -> Vec<MemoryPoint> {
-    let mut kept = Vec::new();
+    let mut retained_states = Vec::new();
     let mut points = Vec::new();
     for turns in MEMORY_TURNS {
         let before = resident_bytes();
-        let (state, tokens) = filled(turns);
+        let (state, tokens) = state_with_programs(turns);
         let bytes = resident_bytes() - before;
         points.push(MemoryPoint {
             size: tokens as f64 / MEMORY_PROGRAMS as f64,
             bytes: bytes / MEMORY_PROGRAMS as f64,
         });
-        // Freed memory would be taken for that of the next rung.
-        kept.push(state);
+        // Freed memory would be reused and hide the growth of the next measurement.
+        retained_states.push(state);
     }
     points
 }
 
-/// Declares tenants, and sees what they occupy.
+/// Measures the resident memory of declared tenants at each number of tenants.
 pub fn measure_tenants() -> Vec<MemoryPoint> {
-    let mut kept = Vec::new();
+    let mut retained_states = Vec::new();
     let mut points = Vec::new();
-    for tenants in TENANTS {
+    for tenants in TENANT_COUNTS {
         let before = resident_bytes();
         let mut state = GroupState::new(RESOURCE_GROUP);
         (0..tenants).for_each(|number| declare_tenant(&mut state, number));
         points.push(MemoryPoint { size: tenants as f64, bytes: resident_bytes() - before });
-        kept.push(state);
+        retained_states.push(state);
     }
     points
 }
@@ -209,16 +208,16 @@
     }
 }
 
-fn filled(turns: usize) -> (GroupState, u64) {
+fn state_with_programs(turns: usize) -> (GroupState, u64) {
     let mut state = GroupState::new(GroupId(1));
     let mut tokens = 0;
     for number in 0..MEMORY_PROGRAMS {
-        tokens += fill(&mut state, number, turns);
+        tokens += add_program(&mut state, number, turns);
     }
     (state, tokens)
 }
 
-fn fill(state: &mut GroupState, number: usize, turns: usize) -> u64 {
+fn add_program(state: &mut GroupState, number: usize, turns: usize) -> u64 {
     let program = ProgramId::new(format!("program-{number}"));
     let tenant = TenantId::new("tenant");
     let new = NewProgram {
@@ -236,14 +235,14 @@
         let question = ChatMessage::new(Role::User, words(QUESTION_WORDS, number + turn));
         let answer = words(ANSWER_WORDS, number * 7 + turn);
         tokens += question.tokens() + ChatMessage::new(Role::Assistant, &answer).tokens();
-        for command in turn_commands(&program, &tenant, turn as u64 + 1, question, answer) {
+        for command in commands_of_turn(&program, &tenant, turn as u64 + 1, question, answer) {
             apply(state, Command::Program(command));
         }
     }
     tokens
 }
 
-fn turn_commands(
+fn commands_of_turn(
     program: &ProgramId,
     tenant: &TenantId,
     sequence: u64,
@@ -284,7 +283,7 @@
     ]
 }
 
-/// Encoded bytes of one engine's load, as every gateway gets it when it changed.
+/// Size of an encoded engine load report, in bytes.
 pub fn load_bytes() -> f64 {
     let load = EngineLoad {
         engine: EngineId::new("engine-599"),
@@ -296,7 +295,7 @@
     encode(&load).map_or(0.0, |bytes| bytes.len() as f64)
 }
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process, in bytes.
 fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<f64>().ok());
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input at a real gateway: a typed error that says whether the request ran,
-//! nothing lost, nothing stuck, no panic.
+//! Invalid requests to a gateway of an embedded fleet: each gets a typed error with its outcome,
+//! and the gateway keeps serving.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,15 +15,15 @@
 
 struct Fixture {
     fleet: EmbeddedFleet,
-    _folder: tempfile::TempDir,
+    _data_folder: tempfile::TempDir,
 }
 
 fn start() -> Fixture {
-    let folder = tempfile::tempdir().expect("a folder");
+    let data_folder = tempfile::tempdir().expect("a folder");
     let fleet = EmbeddedFleet::start_with(
         Deployment::Celje,
         FleetSize::SMALL,
-        folder.path(),
+        data_folder.path(),
         1,
         |section| {
             section.max_body_bytes = MAX_BODY;
@@ -32,15 +32,15 @@
             section.workers = 8;
         },
     );
-    Fixture { fleet: fleet.expect("a fleet"), _folder: folder }
+    Fixture { fleet: fleet.expect("a fleet"), _data_folder: data_folder }
 }
 
 impl Fixture {
     fn address(&self) -> SocketAddr {
-        self.fleet.map().gateways[0]
+        self.fleet.addresses().gateways[0]
     }
 
-    /// Sends a request as it is; returns status and body.
+    /// Sends a raw HTTP request; returns status and body.
     fn send(
         &self,
         method: &str,
@@ -61,15 +61,15 @@
         self.send("POST", "/v1/chat/completions", headers, &body.to_string())
     }
 
-    /// The gateway still answers a good call.
+    /// Asserts that the gateway still answers a valid call.
     fn assert_still_serves(&self) {
-        let (status, body) = self.chat(&[], &good_body());
+        let (status, body) = self.chat(&[], &valid_body());
         assert_eq!(status, 200, "{body}");
     }
 
-    /// No engine took a call of this program.
+    /// Asserts that no engine received a call of this program.
     fn assert_never_ran(&self, program: &str) {
-        let records = self.fleet.map().engine_records();
+        let records = self.fleet.addresses().engine_records();
         assert!(records.iter().all(|record| record.program.as_str() != program));
     }
 }
@@ -86,7 +86,7 @@
     (status, body)
 }
 
-fn good_body() -> Value {
+fn valid_body() -> Value {
     json!({ "model": "notice-writer", "messages": [{ "role": "user", "content": "hello" }] })
 }
 
@@ -96,7 +96,7 @@
     serde_json::from_str(&body[start..=end]).expect("an error body")
 }
 
-fn assert_refused(reply: &(u16, String), status: u16, code: &str) {
+fn assert_rejected(reply: &(u16, String), status: u16, code: &str) {
     assert_eq!(reply.0, status, "{}", reply.1);
     let error = error(&reply.1).error;
     assert_eq!(error.code.as_deref(), Some(code));
@@ -104,40 +104,41 @@
 }
 
 #[test]
-fn bad_requests_are_refused_with_type_and_outcome() {
+fn invalid_requests_are_rejected_with_code_and_outcome() {
     let fixture = start();
-    assert_refused(
+    assert_rejected(
         &fixture.send("POST", "/v1/chat/completions", &[], "{ not json"),
         400,
         "unreadable_body",
     );
-    let mut unknown = good_body();
-    unknown["model"] = json!("nobody");
-    assert_refused(&fixture.chat(&[], &unknown), 404, "unknown_model");
-    let far = [("calicohoist-program", "p"), ("calicohoist-sequence", "99999999")];
-    assert_refused(&fixture.chat(&far, &good_body()), 400, "invalid_request");
-    let missing = [("calicohoist-program", "no-such-program")];
-    assert_refused(&fixture.chat(&missing, &good_body()), 404, "unknown_program");
-    let bad_name = [("calicohoist-program", "not a name!")];
-    assert_refused(&fixture.chat(&bad_name, &good_body()), 400, "invalid_request");
-    assert_refused(&fixture.send("GET", "/v1/nothing", &[], ""), 404, "no_such_endpoint");
-    let many = json!({ "model": "not a name", "messages": [{ "role": "user" }], "max_tokens": 0 });
-    let reply = fixture.chat(&[("calicohoist-repeatable", "maybe")], &many);
+    let mut unknown_model = valid_body();
+    unknown_model["model"] = json!("nobody");
+    assert_rejected(&fixture.chat(&[], &unknown_model), 404, "unknown_model");
+    let invalid_sequence = [("calicohoist-program", "p"), ("calicohoist-sequence", "99999999")];
+    assert_rejected(&fixture.chat(&invalid_sequence, &valid_body()), 400, "invalid_request");
+    let unknown_program = [("calicohoist-program", "no-such-program")];
+    assert_rejected(&fixture.chat(&unknown_program, &valid_body()), 404, "unknown_program");
+    let invalid_name = [("calicohoist-program", "not a name!")];
+    assert_rejected(&fixture.chat(&invalid_name, &valid_body()), 400, "invalid_request");
+    assert_rejected(&fixture.send("GET", "/v1/nothing", &[], ""), 404, "no_such_endpoint");
+    let invalid_fields =
+        json!({ "model": "not a name", "messages": [{ "role": "user" }], "max_tokens": 0 });
+    let reply = fixture.chat(&[("calicohoist-repeatable", "maybe")], &invalid_fields);
     assert_eq!(error(&reply.1).error.findings.len(), 4, "all findings at once: {}", reply.1);
     fixture.assert_never_ran("p");
     fixture.assert_still_serves();
 }
 
 #[test]
-fn oversized_and_slow_bodies_hold_no_worker() {
+fn oversized_and_slow_bodies_do_not_block_workers() {
     let fixture = start();
     let large = "x".repeat(MAX_BODY + 1);
-    assert_refused(
+    assert_rejected(
         &fixture.send("POST", "/v1/chat/completions", &[], &large),
         413,
         "unreadable_body",
     );
-    // More slow bodies than workers: each is closed when its time is over.
+    // More slow bodies than workers; each connection is closed when the body timeout expires.
     let mut slow = Vec::new();
     for _ in 0..20 {
         let mut stream = TcpStream::connect(fixture.address()).expect("a connection");
@@ -148,17 +149,17 @@
     for mut stream in slow {
         stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
         let mut reply = Vec::new();
-        // The end of the connection arrives; a worker is not waiting any more.
+        // Returns when the gateway has closed the connection.
         let _ = stream.read_to_end(&mut reply);
     }
     fixture.assert_still_serves();
 }
 
 #[test]
-fn unreachable_back_ends_end_in_a_refusal_that_is_true() {
+fn calls_without_reachable_engines_are_rejected_as_not_run() {
     let mut fixture = start();
     fixture.fleet.backends.engines.clear();
-    let reply = fixture.chat(&[("idempotency-key", "k1")], &good_body());
+    let reply = fixture.chat(&[("idempotency-key", "k1")], &valid_body());
     assert_eq!(reply.0, 503, "{}", reply.1);
     let error = error(&reply.1).error;
     assert_eq!(error.outcome.as_deref(), Some("not_run"));
@@ -166,21 +167,21 @@
         matches!(error.code.as_deref(), Some("no_backend" | "refused_by_backend" | "overloaded")),
         "{error:?}"
     );
-    // The refusal is durable: the same key gets the same answer.
-    let again = fixture.chat(&[("idempotency-key", "k1")], &good_body());
+    // The refusal is stored under the key, so a repeated request gets the same response.
+    let again = fixture.chat(&[("idempotency-key", "k1")], &valid_body());
     assert_eq!(again.0, 503);
 }
 
 #[test]
-fn the_stock_shape_of_requests_and_answers_is_kept() {
+fn requests_and_responses_follow_the_openai_format() {
     let fixture = start();
-    let (status, body) = fixture.chat(&[], &good_body());
+    let (status, body) = fixture.chat(&[], &valid_body());
     assert_eq!(status, 200, "{body}");
     let answer: Value = serde_json::from_str(&body).expect("JSON");
     assert_eq!(answer["object"], "chat.completion");
     assert_eq!(answer["choices"][0]["message"]["role"], "assistant");
     assert!(answer["usage"]["total_tokens"].as_u64().is_some_and(|tokens| tokens > 0));
-    let mut streamed = good_body();
+    let mut streamed = valid_body();
     streamed["stream"] = json!(true);
     streamed["messages"][0]["content"] = json!([{ "type": "text", "text": "hello" }]);
     let (status, events) = fixture.chat(&[], &streamed);
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,9 +1,9 @@
-//! The page of the design size holds what its figures give.
+//! `docs/CAPACITY.md` matches the recorded slopes.
 
 use std::path::PathBuf;
 
 use calicohoist_lab::scale::ScaleReport;
-use calicohoist_lab::scale::capacity::{DESIGN, table};
+use calicohoist_lab::scale::capacity::{DESIGN_SIZE, table};
 
 fn read(file: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(file);
@@ -11,20 +11,20 @@
 }
 
 #[test]
-fn the_page_holds_the_table_that_the_measured_slopes_give() {
+fn capacity_page_matches_recorded_slopes() {
     let report: ScaleReport =
         serde_json::from_str(&read("capacity/scale.json")).expect("a report of scale");
     let page = read("CAPACITY.md");
-    assert!(page.contains(&table(&report, &DESIGN)), "run: calicohoist-lab capacity");
+    assert!(page.contains(&table(&report, &DESIGN_SIZE)), "run: calicohoist-lab capacity");
 }
 
 #[test]
-fn other_slopes_give_another_table() {
+fn table_changes_with_the_slopes() {
     let mut report: ScaleReport =
         serde_json::from_str(&read("capacity/scale.json")).expect("a report of scale");
-    let before = table(&report, &DESIGN);
+    let before = table(&report, &DESIGN_SIZE);
     report.slopes.gateway_bytes.per_unit += 1_000.0;
-    let after = table(&report, &DESIGN);
+    let after = table(&report, &DESIGN_SIZE);
     assert_ne!(before, after);
     assert!(after.contains("27 KiB/s: **missed**"));
 }
--- a/crates/lab/tests/ledger_members/cluster.rs
+++ b/crates/lab/tests/ledger_members/cluster.rs
@@ -1,4 +1,4 @@
-//! Ledger machines in virtual time, what happens to them, and what is judged.
+//! Simulated ledger machines in virtual time, fault injection and assertions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use rand_chacha::ChaCha8Rng;
 
 pub const GROUP: GroupId = GroupId(0);
-pub const FOUNDERS: [u32; 3] = [1, 2, 3];
+pub const INITIAL_VOTERS: [u32; 3] = [1, 2, 3];
 pub const SPARE: u32 = 4;
 pub const VOTERS: usize = 3;
 pub const STEP: Duration = Duration::from_millis(5);
-pub const TROUBLED_STEPS: u64 = 6_000;
-pub const CALM_STEPS: u64 = 3_000;
-/// Longer than a whole run by the state's own clock.
-pub const KEPT_MS: u64 = 600_000;
-pub const BRIEFLY_KEPT_MS: u64 = 200;
+pub const FAULT_STEPS: u64 = 6_000;
+pub const RECOVERY_STEPS: u64 = 3_000;
+/// Retention that outlasts a run.
+pub const RETENTION_MS: u64 = 600_000;
+pub const SHORT_RETENTION_MS: u64 = 200;
 pub const REPLACE_AFTER: Duration = Duration::from_millis(2_000);
 
 pub struct Machine {
@@ -33,36 +33,37 @@
     pub node: Option<Node<LedgerState>>,
     pub log: Option<DiskLog<SimDisk>>,
     pub disk: SimDisk,
-    pub frozen_until: Moment,
+    pub paused_until: Moment,
     pub starts_at: Option<Moment>,
 }
 
 pub struct Cluster {
     pub now: Moment,
-    pub random: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     pub machines: Vec<Machine>,
     pub frames: Vec<(Moment, ReplicaId, ReplicaId, Vec<GroupMessage>)>,
-    /// Frames from the first to the second are lost; a missing second means all.
-    pub cuts: Vec<(u32, Option<u32>, Moment)>,
+    /// Partitions: machine, peer and end. Frames from the machine to the peer are dropped;
+    /// without a peer, all frames from and to the machine.
+    pub partitions: Vec<(u32, Option<u32>, Moment)>,
     pub next_machine: u32,
     pub next_identity: u32,
     pub next_ticket: u64,
     pub next_version: u64,
-    pub waiting: BTreeMap<u64, Asked>,
+    pub pending_requests: BTreeMap<u64, Request>,
     pub acknowledged_version: u64,
-    /// Acknowledged turns, each with the one that it continued from.
+    /// Acknowledged turns, each with its previous turn.
     pub acknowledged_turns: BTreeMap<String, Option<String>>,
-    /// Parts of segments that replicas fetched from each other.
-    pub chunks: usize,
+    /// Number of segment chunks that replicas fetched from each other.
+    pub segment_chunks: usize,
     pub disks_lost: usize,
-    pub is_calm: bool,
-    /// Learners that the group is to have.
+    pub faults_stopped: bool,
+    /// Number of spare replicas (learners) that the group maintains.
     pub spares: usize,
-    /// Machines that a start is told to ask first; none are the oldest three.
-    pub seeds: Vec<u32>,
+    /// Contacts that machines are started with; the first three machines if empty.
+    pub contacts: Vec<u32>,
 }
 
-pub enum Asked {
+pub enum Request {
     Configuration(u64),
     Turn { turn: String, previous: Option<String> },
     Housekeeping,
@@ -73,31 +74,31 @@
     pub fn new(seed: u64) -> Self {
         let mut cluster = Self {
             now: Moment::from_micros(10_000_000),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             machines: Vec::new(),
             frames: Vec::new(),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             next_machine: SPARE + 1,
             next_identity: 1_000,
             next_ticket: 0,
             next_version: 0,
-            waiting: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             acknowledged_version: 0,
             acknowledged_turns: BTreeMap::new(),
-            chunks: 0,
+            segment_chunks: 0,
             disks_lost: 0,
-            is_calm: false,
+            faults_stopped: false,
             spares: usize::MAX,
-            seeds: Vec::new(),
+            contacts: Vec::new(),
         };
-        for number in FOUNDERS {
+        for number in INITIAL_VOTERS {
             cluster.add_machine(number, 0);
         }
         cluster.add_machine(SPARE, 900);
         cluster
     }
 
-    /// More machines than the group needs: one spare learns, the others stand by.
+    /// Creates a cluster with one spare and `count` standby machines.
     pub fn with_standbys(seed: u64, count: u32) -> Self {
         let mut cluster = Self::new(seed);
         cluster.spares = 1;
@@ -117,20 +118,20 @@
             node: None,
             log: None,
             disk: SimDisk::default(),
-            frozen_until: Moment::ZERO,
+            paused_until: Moment::ZERO,
             starts_at,
         });
     }
 
     pub fn start(&mut self, index: usize) {
-        let seed = self.random.random();
+        let seed = self.rng.random();
         let oldest = || self.machines.iter().take(3).map(|known| known.number).collect();
-        let contacts = if self.seeds.is_empty() { oldest() } else { self.seeds.clone() };
+        let contacts = if self.contacts.is_empty() { oldest() } else { self.contacts.clone() };
         let spares = self.spares;
         let machine = &mut self.machines[index];
         machine.starts_at = None;
         let disk = std::mem::take(&mut machine.disk);
-        let (mut log, recovered) = DiskLog::open(disk).expect("a crash leaves a readable log");
+        let (mut log, recovered) = DiskLog::open(disk).expect("the log opens after a crash");
         let identity = recovered.disk.unwrap_or(machine.disk_identity);
         log.write_identity(identity, &[]).expect("the disk has room");
         let id = ReplicaId { machine: machine.number, disk: identity };
@@ -143,27 +144,27 @@
         let entries_per_snapshot = 60;
         let settings =
             NodeSettings { raft, entries_per_snapshot, seed, contacts, ..Default::default() };
-        // Only the disk of a founder names the founders.
-        let founders: &[u32] = if identity == 0 { &FOUNDERS } else { &[] };
-        let node = Node::new(id, settings, founders, &[GROUP], recovered, self.now);
+        // Only the original disks know the initial voters.
+        let initial_voters: &[u32] = if identity == 0 { &INITIAL_VOTERS } else { &[] };
+        let node = Node::new(id, settings, initial_voters, &[GROUP], recovered, self.now);
         machine.node = Some(node);
         machine.log = Some(log);
     }
 
     pub fn crash(&mut self, index: usize) {
-        let kept = self.random.random_range(0..300);
-        let down = Duration::from_millis(self.random.random_range(50..4_000));
+        let retained_bytes = self.rng.random_range(0..300);
+        let down = Duration::from_millis(self.rng.random_range(50..4_000));
         let restart = self.now + down;
         let machine = &mut self.machines[index];
         machine.node = None;
         if let Some(log) = machine.log.take() {
             machine.disk = log.into_disk();
-            machine.disk.crash(kept);
+            machine.disk.crash(retained_bytes);
         }
         machine.starts_at = Some(restart);
     }
 
-    pub fn wipe(&mut self, index: usize) {
+    pub fn replace_disk(&mut self, index: usize) {
         self.crash(index);
         self.next_identity += 1;
         self.machines[index].disk = SimDisk::default();
@@ -171,9 +172,9 @@
         self.disks_lost += 1;
     }
 
-    /// A machine is gone for good; an empty one comes at another address.
-    pub fn replace(&mut self, index: usize) {
-        self.wipe(index);
+    /// Replaces a machine by an empty one with a new number.
+    pub fn replace_machine(&mut self, index: usize) {
+        self.replace_disk(index);
         self.machines[index].number = self.next_machine;
         self.next_machine += 1;
     }
@@ -190,7 +191,8 @@
         self.machines[self.leader()?].node.as_ref()?.raft(GROUP)
     }
 
-    /// Whether one more disk may be lost: no other loss is being repaired.
+    /// Whether all machines run and all voters are present and fully replicated, so that another
+    /// disk may be lost.
     pub fn is_repaired(&self) -> bool {
         let all_run = self.machines.iter().all(|machine| machine.node.is_some());
         let leader = self.leader().and_then(|index| self.machines[index].node.as_ref());
@@ -198,87 +200,91 @@
         all_run
             && raft.is_some_and(|raft| {
                 let voters = &raft.membership().voters;
-                let is_there = |voter: &ReplicaId| {
+                let is_present = |voter: &ReplicaId| {
                     self.machines.iter().any(|machine| {
                         machine.node.as_ref().is_some_and(|node| node.id() == *voter)
                     })
                 };
                 raft.is_fully_replicated(self.now)
                     && voters.len() == VOTERS
-                    && voters.iter().all(is_there)
+                    && voters.iter().all(is_present)
             })
     }
 
-    pub fn disturb(&mut self) {
-        let index = self.random.random_range(0..self.machines.len());
-        if self.random.random_bool(0.003) {
+    pub fn inject_faults(&mut self) {
+        let index = self.rng.random_range(0..self.machines.len());
+        if self.rng.random_bool(0.003) {
             self.crash(index);
         }
-        if self.random.random_bool(0.0005) {
+        if self.rng.random_bool(0.0005) {
             (0..self.machines.len()).for_each(|index| self.crash(index));
         }
-        if self.random.random_bool(0.02) && self.is_repaired() {
-            if self.random.random_bool(0.5) { self.wipe(index) } else { self.replace(index) }
+        if self.rng.random_bool(0.02) && self.is_repaired() {
+            if self.rng.random_bool(0.5) {
+                self.replace_disk(index)
+            } else {
+                self.replace_machine(index)
+            }
         }
-        let span = Duration::from_millis(self.random.random_range(100..3_000));
-        if self.random.random_bool(0.003) {
+        let duration = Duration::from_millis(self.rng.random_range(100..3_000));
+        if self.rng.random_bool(0.003) {
             let number = self.machines[index].number;
-            let other = self.random.random_range(0..self.machines.len());
-            let other = self.random.random_bool(0.5).then(|| self.machines[other].number);
-            self.cuts.push((number, other, self.now + span));
+            let other = self.rng.random_range(0..self.machines.len());
+            let other = self.rng.random_bool(0.5).then(|| self.machines[other].number);
+            self.partitions.push((number, other, self.now + duration));
         }
-        if self.random.random_bool(0.003) {
-            self.machines[index].frozen_until = self.now + span;
+        if self.rng.random_bool(0.003) {
+            self.machines[index].paused_until = self.now + duration;
         }
     }
 
-    pub fn ask(&mut self) {
-        let index = self.random.random_range(0..self.machines.len());
+    pub fn send_request(&mut self) {
+        let index = self.rng.random_range(0..self.machines.len());
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        if self.machines[index].frozen_until > self.now {
+        if self.machines[index].paused_until > self.now {
             return;
         }
-        let choice = self.random.random_range(0..8);
-        let (command, asked) = match choice {
+        let choice = self.rng.random_range(0..8);
+        let (command, request) = match choice {
             0 => {
                 self.next_version += 1;
                 let version = self.next_version;
                 let command = Command::PutConfiguration { version, document: vec![7; 50] };
-                (Some(command), Asked::Configuration(version))
+                (Some(command), Request::Configuration(version))
             }
             1 | 2 => {
                 let turn = format!("t{ticket}");
-                let previous = self.some_acknowledged_turn();
-                let command = retained(&turn, previous.clone(), KEPT_MS);
-                (Some(command), Asked::Turn { turn, previous })
+                let previous = self.random_acknowledged_turn();
+                let command = settle_command(&turn, previous.clone(), RETENTION_MS);
+                (Some(command), Request::Turn { turn, previous })
             }
             3 => {
-                let command = retained(&format!("brief{ticket}"), None, BRIEFLY_KEPT_MS);
-                (Some(command), Asked::Housekeeping)
+                let command = settle_command(&format!("brief{ticket}"), None, SHORT_RETENTION_MS);
+                (Some(command), Request::Housekeeping)
             }
-            4 => (Some(Command::Advance { elapsed_ms: 40 }), Asked::Housekeeping),
-            5 => (Some(Command::Seal), Asked::Housekeeping),
-            _ => (None, Asked::Read { not_before: self.acknowledged_version }),
+            4 => (Some(Command::Advance { elapsed_ms: 40 }), Request::Housekeeping),
+            5 => (Some(Command::Seal), Request::Housekeeping),
+            _ => (None, Request::Read { not_before: self.acknowledged_version }),
         };
         let Some(node) = &mut self.machines[index].node else {
             return;
         };
-        let taken = match command {
+        let accepted = match command {
             Some(command) => node.propose(GROUP, encode(&command).expect("encodes"), ticket),
             None => node.read(GROUP, ticket),
         };
-        if taken.is_ok() {
-            self.waiting.insert(ticket, asked);
+        if accepted.is_ok() {
+            self.pending_requests.insert(ticket, request);
         }
     }
 
-    pub fn some_acknowledged_turn(&mut self) -> Option<String> {
+    pub fn random_acknowledged_turn(&mut self) -> Option<String> {
         let count = self.acknowledged_turns.len();
-        if count == 0 || self.random.random_bool(0.3) {
+        if count == 0 || self.rng.random_bool(0.3) {
             return None;
         }
-        let position = self.random.random_range(0..count);
+        let position = self.rng.random_range(0..count);
         self.acknowledged_turns.keys().nth(position).cloned()
     }
 
@@ -289,8 +295,8 @@
             let Some(machine) = target else {
                 continue;
             };
-            if machine.frozen_until > self.now {
-                self.frames.push((machine.frozen_until, from, to, messages));
+            if machine.paused_until > self.now {
+                self.frames.push((machine.paused_until, from, to, messages));
                 continue;
             }
             let Some(node) = &mut machine.node else {
@@ -304,35 +310,35 @@
             let is_chunk = |wanted: &&GroupMessage| {
                 matches!(wanted.message, Message::SegmentChunk { total: Some(_), .. })
             };
-            self.chunks += messages.iter().filter(is_chunk).count();
+            self.segment_chunks += messages.iter().filter(is_chunk).count();
             node.receive(self.now, from, messages);
         }
     }
 
-    pub fn run(&mut self, index: usize) {
+    pub fn step_machine(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
-        if machine.frozen_until > now {
+        if machine.paused_until > now {
             return;
         }
         let (Some(node), Some(log)) = (&mut machine.node, &mut machine.log) else {
             return;
         };
         node.tick(now);
-        let mut early = Vec::new();
-        let send_early = |to, messages| early.push((to, messages));
-        let events = node.flush_with(now, log, send_early).expect("the disk has room");
+        let mut early_messages = Vec::new();
+        let collect_early_message = |to, messages| early_messages.push((to, messages));
+        let events = node.flush_with(now, log, collect_early_message).expect("the disk has room");
         let from = node.id();
-        // Power may fail after the early messages have left and before the sync ends.
-        let fails = !self.is_calm && self.random.random_bool(0.0005);
-        if !fails {
+        // Simulates a power failure after the early messages are sent and before the sync completes.
+        let loses_power = !self.faults_stopped && self.rng.random_bool(0.0005);
+        if !loses_power {
             log.disk_mut().settle();
         }
         let version = node.machine(GROUP).map_or(0, |state| state.configuration().version);
-        for (to, messages) in early {
+        for (to, messages) in early_messages {
             self.send(from, to, messages);
         }
-        if fails {
+        if loses_power {
             return self.crash(index);
         }
         for event in events {
@@ -340,12 +346,14 @@
                 NodeEvent::Send { to, messages } => self.send(from, to, messages),
                 NodeEvent::Applied { ticket, output } => self.on_applied(ticket, &output),
                 NodeEvent::ReadReady { ticket, .. } => {
-                    if let Some(Asked::Read { not_before }) = self.waiting.remove(&ticket) {
+                    if let Some(Request::Read { not_before }) =
+                        self.pending_requests.remove(&ticket)
+                    {
                         assert!(version >= not_before, "read {version} after {not_before}");
                     }
                 }
                 NodeEvent::Lost { ticket } => {
-                    self.waiting.remove(&ticket);
+                    self.pending_requests.remove(&ticket);
                 }
                 NodeEvent::Leadership { .. } => {}
             }
@@ -353,14 +361,14 @@
     }
 
     pub fn on_applied(&mut self, ticket: u64, output: &Output) {
-        match self.waiting.remove(&ticket) {
-            Some(Asked::Configuration(version)) => {
+        match self.pending_requests.remove(&ticket) {
+            Some(Request::Configuration(version)) => {
                 assert!(
                     matches!(output, Output::Configuration { version: held } if *held >= version)
                 );
                 self.acknowledged_version = self.acknowledged_version.max(version);
             }
-            Some(Asked::Turn { turn, previous }) => {
+            Some(Request::Turn { turn, previous }) => {
                 self.acknowledged_turns.insert(turn, previous);
             }
             _ => {}
@@ -368,17 +376,17 @@
     }
 
     pub fn send(&mut self, from: ReplicaId, to: ReplicaId, messages: Vec<GroupMessage>) {
-        let is_cut = |(cut, only, until): &(u32, Option<u32>, Moment)| {
-            let matches_pair = match only {
-                Some(only) => *cut == from.machine && *only == to.machine,
-                None => *cut == from.machine || *cut == to.machine,
+        let is_partitioned = |(machine, peer, until): &(u32, Option<u32>, Moment)| {
+            let matches_pair = match peer {
+                Some(peer) => *machine == from.machine && *peer == to.machine,
+                None => *machine == from.machine || *machine == to.machine,
             };
             matches_pair && *until > self.now
         };
-        if self.cuts.iter().any(is_cut) || self.random.random_bool(0.01) {
+        if self.partitions.iter().any(is_partitioned) || self.rng.random_bool(0.01) {
             return;
         }
-        let delay = Duration::from_millis(self.random.random_range(1..15));
+        let delay = Duration::from_millis(self.rng.random_range(1..15));
         self.frames.push((self.now + delay, from, to, messages));
     }
 
@@ -391,21 +399,21 @@
         }
         self.deliver();
         for index in 0..self.machines.len() {
-            self.run(index);
+            self.step_machine(index);
         }
     }
 
-    pub fn calm_down(&mut self) {
-        self.cuts.clear();
-        self.is_calm = true;
+    pub fn stop_faults(&mut self) {
+        self.partitions.clear();
+        self.faults_stopped = true;
         for machine in &mut self.machines {
-            machine.frozen_until = Moment::ZERO;
+            machine.paused_until = Moment::ZERO;
         }
     }
 
-    pub fn judge(&self, seed: u64) {
+    pub fn assert_recovered(&self, seed: u64) {
         let leader = self.leader();
-        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: nobody leads\n{self:?}"));
+        let leader = leader.unwrap_or_else(|| panic!("seed {seed}: no leader\n{self:?}"));
         let node = self.machines[leader].node.as_ref().expect("the leader runs");
         let state = node.machine(GROUP).expect("a state");
         let held = state.configuration().version;
@@ -415,15 +423,15 @@
             assert!(state.turns().contains(turn), "seed {seed}: {turn} is lost");
         }
         for machine in &self.machines {
-            self.judge_histories(seed, machine);
+            self.assert_histories_complete(seed, machine);
         }
         assert!(self.is_repaired(), "seed {seed} is not repaired:\n{self:?}");
     }
 }
 
 impl Cluster {
-    /// Every replica can read, from its own disk, all of each history that it knows.
-    pub fn judge_histories(&self, seed: u64, machine: &Machine) {
+    /// Asserts that a replica can read every history that it knows completely from its own disk.
+    pub fn assert_histories_complete(&self, seed: u64, machine: &Machine) {
         let (Some(node), Some(log)) = (&machine.node, &machine.log) else {
             return;
         };
@@ -454,13 +462,13 @@
     }
 
     pub fn expected_history(&self, turn: &str) -> String {
-        let mut line = vec![turn.to_owned()];
+        let mut turns = vec![turn.to_owned()];
         let mut next = self.acknowledged_turns.get(turn).cloned().flatten();
         while let Some(turn) = next {
             next = self.acknowledged_turns.get(&turn).cloned().flatten();
-            line.push(turn);
+            turns.push(turn);
         }
-        line.iter().rev().map(|turn| said_in(turn)).collect()
+        turns.iter().rev().map(|turn| turn_text(turn)).collect()
     }
 }
 
@@ -488,14 +496,14 @@
     }
 }
 
-/// All that was said in a turn; each turn says something else.
-pub fn said_in(turn: &str) -> String {
+/// Returns the text of a turn, which is unique to it.
+pub fn turn_text(turn: &str) -> String {
     format!("<{}>", turn.repeat(12))
 }
 
-pub fn retained(turn: &str, previous: Option<String>, retention_ms: u64) -> Command {
-    let said = said_in(turn).into_bytes();
-    let (input, output) = said.split_at(said.len() / 2);
+pub fn settle_command(turn: &str, previous: Option<String>, retention_ms: u64) -> Command {
+    let text = turn_text(turn).into_bytes();
+    let (input, output) = text.split_at(text.len() / 2);
     Command::Settle(SettleTurn {
         program: None,
         turn: turn.to_owned(),
--- a/crates/lab/tests/ledger_members/main.rs
+++ b/crates/lab/tests/ledger_members/main.rs
@@ -1,6 +1,6 @@
-//! Ledger machines that crash, freeze, are cut off, lose their disks and are replaced,
-//! in virtual time: nothing acknowledged is lost, configurations never go back, and
-//! the group always gets its voters back.
+//! Ledger machines in virtual time that crash, pause, are partitioned, lose their disks and are
+//! replaced: acknowledged data is kept, configuration versions never decrease, and the group
+//! returns to its full number of voters.
 
 mod cluster;
 mod seeds;
@@ -8,30 +8,30 @@
 
 use rand::RngExt;
 
-use cluster::{CALM_STEPS, Cluster, TROUBLED_STEPS};
+use cluster::{Cluster, FAULT_STEPS, RECOVERY_STEPS};
 
 #[test]
-fn nothing_acknowledged_is_lost_whatever_machines_do() {
+fn acknowledged_data_survives_crashes_partitions_and_disk_losses() {
     let mut disks_lost = 0;
-    let mut chunks = 0;
+    let mut segment_chunks = 0;
     let mut acknowledged = 0;
     for seed in 0..80 {
         let mut cluster = Cluster::new(seed);
-        for _ in 0..TROUBLED_STEPS {
-            cluster.disturb();
-            if cluster.random.random_bool(0.5) {
-                cluster.ask();
+        for _ in 0..FAULT_STEPS {
+            cluster.inject_faults();
+            if cluster.rng.random_bool(0.5) {
+                cluster.send_request();
             }
             cluster.step();
         }
-        cluster.calm_down();
-        (0..CALM_STEPS).for_each(|_| cluster.step());
-        cluster.judge(seed);
+        cluster.stop_faults();
+        (0..RECOVERY_STEPS).for_each(|_| cluster.step());
+        cluster.assert_recovered(seed);
         disks_lost += cluster.disks_lost;
-        chunks += cluster.chunks;
+        segment_chunks += cluster.segment_chunks;
         acknowledged += cluster.acknowledged_turns.len();
     }
     assert!(disks_lost > 80, "only {disks_lost} disks were lost");
-    assert!(chunks > 400, "only {chunks} parts of segments were fetched");
+    assert!(segment_chunks > 400, "only {segment_chunks} segment chunks were fetched");
     assert!(acknowledged > 2_000, "only {acknowledged} turns were acknowledged");
 }
--- a/crates/lab/tests/ledger_members/seeds.rs
+++ b/crates/lab/tests/ledger_members/seeds.rs
@@ -1,18 +1,7 @@
-//! Machines that are to be asked first, when none of them belongs to the group.
+//! Discovery of the leader through contacts that are all standbys.
 //!
-//! Symptom: after a loss of all power nothing was served any more, though a leader was elected
-//! 0.4 s after the machines were back and read its state with a quorum from then on.
-//!
-//! Sequence: a group of five with two spares, among 41 machines. The settings of all machines
-//! name three others to ask first, which stand by: no part of the group. All machines lose power.
-//! Members find each other by their logs. All other machines, and all gateways, know only the
-//! three, and these know only each other.
-//!
-//! Cause: who is no member has to ask for the group. Nobody of the group told the machines that
-//! everybody asks, so that they could not pass it on.
-//!
-//! What settled it: the new leader logged `configuration 91` for each read until the end; the three
-//! machines to ask first, and all that had found an empty log, logged `NotLeader(None)`.
+//! Guards against a regression in which members did not announce the group to the contacts: after
+//! a power loss, a leader was elected, but machines outside the group could not find it.
 
 use std::time::Duration;
 
@@ -22,128 +11,133 @@
 
 use crate::cluster::{Cluster, GROUP};
 
-const SEEDS: u64 = 150;
+const SEED_COUNT: u64 = 150;
 const STANDBYS: u32 = 7;
-/// Long enough for a group to form, and for all others to be told to stand by.
-const QUIET: Duration = Duration::from_secs(5);
-/// From when a quorum of whole disks and the machines to ask first are back.
-const FOUND_AGAIN: Duration = Duration::from_secs(2);
+/// Time for the group to form and for all other machines to become standbys.
+const STABILIZATION_TIME: Duration = Duration::from_secs(5);
+/// Time to find the leader after all machines have started.
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 impl Cluster {
-    fn run_for(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.step();
         }
     }
 
-    /// Names three machines outside the group as those to ask first.
-    fn turn_seeds_over(&mut self) {
-        let members = self.leading_raft().expect("somebody leads").member_machines();
+    /// Uses three machines outside the group as contacts.
+    fn use_standbys_as_contacts(&mut self) {
+        let members = self.leading_raft().expect("a leader is elected").member_machines();
         let numbers = self.machines.iter().map(|machine| machine.number);
         let others: Vec<u32> = numbers.filter(|number| !members.contains(number)).collect();
-        self.seeds = others.sample(&mut self.random, 3).copied().collect();
+        self.contacts = others.sample(&mut self.rng, 3).copied().collect();
     }
 
-    fn lose_all_power(&mut self) {
+    fn crash_all(&mut self) {
         (0..self.machines.len()).for_each(|index| self.crash(index));
     }
 
-    fn crash_seeds(&mut self) {
+    fn crash_contacts(&mut self) {
         for index in 0..self.machines.len() {
-            if self.seeds.contains(&self.machines[index].number) {
+            if self.contacts.contains(&self.machines[index].number) {
                 self.crash(index);
             }
         }
     }
 
-    /// Power comes back at half of the machines 3 s later than at the others.
-    fn keep_half_down(&mut self) {
+    /// Delays the restart of half of the machines by another 3 s.
+    fn delay_half_of_restarts(&mut self) {
         for machine in self.machines.iter_mut().skip(1).step_by(2) {
             machine.starts_at = machine.starts_at.map(|at| at + Duration::from_secs(3));
         }
     }
 
-    fn wait_until_all_run(&mut self) {
+    fn run_until_all_started(&mut self) {
         while self.machines.iter().any(|machine| machine.node.is_none()) {
             self.step();
         }
     }
 
-    fn judge_found(&self, seed: u64) {
+    fn assert_all_follow_leader(&self, seed: u64) {
         let leader = self.leading_raft().map(|raft| raft.id());
-        assert!(leader.is_some(), "seed {seed}: nobody leads\n{self:?}");
+        assert!(leader.is_some(), "seed {seed}: no leader\n{self:?}");
         for machine in &self.machines {
             let raft = machine.node.as_ref().and_then(|node| node.raft(GROUP)).expect("runs");
             let number = machine.number;
-            assert_eq!(raft.leader(), leader, "seed {seed}: {number}, seeds {:?}", self.seeds);
+            assert_eq!(
+                raft.leader(),
+                leader,
+                "seed {seed}: {number}, contacts {:?}",
+                self.contacts
+            );
         }
     }
 }
 
-fn settled(seed: u64) -> Cluster {
+fn stable_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::with_standbys(seed, STANDBYS);
-    cluster.calm_down();
-    cluster.run_for(QUIET);
-    cluster.turn_seeds_over();
+    cluster.stop_faults();
+    cluster.run_for(STABILIZATION_TIME);
+    cluster.use_standbys_as_contacts();
     cluster
 }
 
 #[test]
-fn all_machines_find_the_leader_after_a_loss_of_all_power() {
-    for seed in 0..SEEDS {
-        let mut cluster = settled(seed);
-        cluster.lose_all_power();
-        if cluster.random.random_bool(0.5) {
-            cluster.keep_half_down();
+fn all_machines_find_the_leader_after_a_power_loss() {
+    for seed in 0..SEED_COUNT {
+        let mut cluster = stable_cluster(seed);
+        cluster.crash_all();
+        if cluster.rng.random_bool(0.5) {
+            cluster.delay_half_of_restarts();
         }
-        cluster.wait_until_all_run();
-        cluster.run_for(FOUND_AGAIN);
-        cluster.judge_found(seed);
+        cluster.run_until_all_started();
+        cluster.run_for(DISCOVERY_TIME);
+        cluster.assert_all_follow_leader(seed);
     }
 }
 
-/// A disk is lost besides, of a member or of another machine.
+/// One machine, a member or not, restarts with an empty disk.
 #[test]
-fn they_find_it_when_one_of_them_comes_back_empty() {
-    for seed in 0..SEEDS {
-        let mut cluster = settled(seed);
-        cluster.lose_all_power();
-        let lost = cluster.random.random_range(0..cluster.machines.len());
-        cluster.wipe(lost);
-        cluster.wait_until_all_run();
-        cluster.run_for(FOUND_AGAIN);
-        cluster.judge_found(seed);
+fn all_machines_find_the_leader_after_a_power_loss_with_an_empty_disk() {
+    for seed in 0..SEED_COUNT {
+        let mut cluster = stable_cluster(seed);
+        cluster.crash_all();
+        let lost = cluster.rng.random_range(0..cluster.machines.len());
+        cluster.replace_disk(lost);
+        cluster.run_until_all_started();
+        cluster.run_for(DISCOVERY_TIME);
+        cluster.assert_all_follow_leader(seed);
     }
 }
 
-/// The leader has run since before the change, and was told of other machines.
+/// The leader keeps running and was started with other contacts.
 #[test]
-fn machines_to_ask_first_find_the_leader_when_only_they_start_again() {
-    for seed in 0..SEEDS {
-        let mut cluster = settled(seed);
-        cluster.crash_seeds();
-        cluster.wait_until_all_run();
-        cluster.run_for(FOUND_AGAIN);
-        cluster.judge_found(seed);
+fn contacts_find_the_leader_when_only_they_restart() {
+    for seed in 0..SEED_COUNT {
+        let mut cluster = stable_cluster(seed);
+        cluster.crash_contacts();
+        cluster.run_until_all_started();
+        cluster.run_for(DISCOVERY_TIME);
+        cluster.assert_all_follow_leader(seed);
     }
 }
 
-/// The disks of two machines stall while power is lost: they are back last.
+/// The disks of two machines stall after the power loss and recover last.
 #[test]
-fn two_machines_whose_disks_stall_are_waited_for_by_nobody() {
-    for seed in 0..SEEDS {
-        let mut cluster = settled(seed);
-        cluster.lose_all_power();
-        cluster.wait_until_all_run();
-        let stalled = cluster.now + FOUND_AGAIN * 2;
+fn all_machines_find_the_leader_after_two_stalled_disks_recover() {
+    for seed in 0..SEED_COUNT {
+        let mut cluster = stable_cluster(seed);
+        cluster.crash_all();
+        cluster.run_until_all_started();
+        let stalled = cluster.now + DISCOVERY_TIME * 2;
         for _ in 0..2 {
-            let index = cluster.random.random_range(0..cluster.machines.len());
-            cluster.machines[index].frozen_until = stalled;
+            let index = cluster.rng.random_range(0..cluster.machines.len());
+            cluster.machines[index].paused_until = stalled;
         }
-        cluster.run_for(FOUND_AGAIN);
-        cluster.machines.iter_mut().for_each(|machine| machine.frozen_until = Moment::ZERO);
-        cluster.run_for(FOUND_AGAIN);
-        cluster.judge_found(seed);
+        cluster.run_for(DISCOVERY_TIME);
+        cluster.machines.iter_mut().for_each(|machine| machine.paused_until = Moment::ZERO);
+        cluster.run_for(DISCOVERY_TIME);
+        cluster.assert_all_follow_leader(seed);
     }
 }
--- a/crates/lab/tests/ledger_members/standby.rs
+++ b/crates/lab/tests/ledger_members/standby.rs
@@ -1,38 +1,38 @@
-//! More machines than a group needs.
+//! Groups with standby machines.
 
 use std::collections::BTreeSet;
 
 use rand::RngExt;
 
-use crate::cluster::{CALM_STEPS, Cluster, GROUP, TROUBLED_STEPS, VOTERS};
+use crate::cluster::{Cluster, FAULT_STEPS, GROUP, RECOVERY_STEPS, VOTERS};
 
-/// A group of three with a spare, among seven machines.
+/// A group of three voters and one spare, with three standby machines.
 #[test]
-fn machines_that_stand_by_hold_nothing_and_step_in_when_others_are_lost() {
+fn standbys_replace_lost_members_and_stay_outside_a_full_group() {
     const STANDBYS: u32 = 3;
     let mut disks_lost = 0;
     for seed in 0..30 {
         let mut cluster = Cluster::with_standbys(seed, STANDBYS);
-        for _ in 0..TROUBLED_STEPS {
-            cluster.disturb();
-            if cluster.random.random_bool(0.5) {
-                cluster.ask();
+        for _ in 0..FAULT_STEPS {
+            cluster.inject_faults();
+            if cluster.rng.random_bool(0.5) {
+                cluster.send_request();
             }
             cluster.step();
-            cluster.judge_size(seed);
+            cluster.assert_membership_limit(seed);
         }
-        cluster.calm_down();
-        (0..CALM_STEPS).for_each(|_| cluster.step());
-        cluster.judge(seed);
-        cluster.judge_standbys(seed);
+        cluster.stop_faults();
+        (0..RECOVERY_STEPS).for_each(|_| cluster.step());
+        cluster.assert_recovered(seed);
+        cluster.assert_all_know_members(seed);
         disks_lost += cluster.disks_lost;
     }
     assert!(disks_lost > 20, "only {disks_lost} disks were lost");
 }
 
 impl Cluster {
-    /// No leader lets in more machines than voters and spares.
-    fn judge_size(&self, seed: u64) {
+    /// Asserts that the group has no more members than voters and spares.
+    fn assert_membership_limit(&self, seed: u64) {
         let Some(raft) = self.leading_raft() else {
             return;
         };
@@ -41,20 +41,20 @@
         assert!(machines.len() <= VOTERS + self.spares, "seed {seed}:\n{self:?}");
     }
 
-    /// In the end the group is whole, and every other machine knows where it is.
-    fn judge_standbys(&self, seed: u64) {
-        let leader = self.leading_raft().expect("somebody leads");
+    /// Asserts that the group is complete and that every machine knows its leader and members.
+    fn assert_all_know_members(&self, seed: u64) {
+        let leader = self.leading_raft().expect("a leader is elected");
         let mut members = leader.member_machines();
         members.sort_unstable();
         assert_eq!(members.len(), VOTERS + self.spares, "seed {seed}:\n{self:?}");
         for machine in &self.machines {
             let raft = machine.node.as_ref().and_then(|node| node.raft(GROUP)).expect("runs");
             assert_eq!(raft.leader(), Some(leader.id()), "seed {seed}: {}", machine.number);
-            let mut known = raft.member_machines();
-            known.sort_unstable();
-            assert_eq!(known, members, "seed {seed}: {}", machine.number);
+            let mut known_members = raft.member_machines();
+            known_members.sort_unstable();
+            assert_eq!(known_members, members, "seed {seed}: {}", machine.number);
         }
-        let others = self.machines.len() - members.len();
-        assert_eq!(leader.standby_machines(self.now).len(), others, "seed {seed}");
+        let standbys = self.machines.len() - members.len();
+        assert_eq!(leader.standby_machines(self.now).len(), standbys, "seed {seed}");
     }
 }
