--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -148,7 +148,7 @@
                     return Ok(text);
                 }
                 TryEnd::Refused { outcome, code } => {
-                    if !is_worth_another_try(&code) {
+                    if !is_retryable(&code) {
                         return Err(CallError { code });
                     }
                     // The refusal is stored under the key, so the next attempt needs a new key.
@@ -390,7 +390,7 @@
 }
 
 /// Whether a call that was refused with this code may succeed later.
-pub(crate) fn is_worth_another_try(code: &str) -> bool {
+pub(crate) fn is_retryable(code: &str) -> bool {
     !matches!(
         code,
         "budget_exhausted"
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -21,7 +21,7 @@
 use crate::fleet::resources::Operator;
 use crate::fleet::{EmbeddedFleet, FleetAddresses, FleetControl};
 use crate::history::{Asked, ConfigProbe, DrainEvent, History, Holding, ProgramTrace, TryEnd};
-use crate::workload::{Habit, ProgramPlan, Step, draw};
+use crate::workload::{ClientBehavior, ProgramPlan, Step, generate_programs};
 
 const START_WINDOW: Duration = Duration::from_secs(15);
 /// Longest wait for engines to release the cache of ended programs.
@@ -120,7 +120,8 @@
         service: settings.deployment.service().to_owned(),
         attempts: Mutex::new(Vec::new()),
     });
-    let plans = draw(settings.deployment, settings.programs, START_WINDOW, settings.seed);
+    let plans =
+        generate_programs(settings.deployment, settings.programs, START_WINDOW, settings.seed);
     let workload = Workload::start(plans, &context, settings.progress);
     let mut history = run_maintenance(fleet, &workload, &context);
     history.programs = workload.wait();
@@ -236,12 +237,16 @@
         return Vec::new();
     }
     let mut traces = Vec::new();
-    let mut runner =
-        ProgramRunner { caller, habit: plan.habit, root: plan.id.clone(), traces: &mut traces };
+    let mut runner = ProgramRunner {
+        caller,
+        behavior: plan.behavior,
+        root: plan.id.clone(),
+        traces: &mut traces,
+    };
     let completed = runner.run(&plan.steps);
     let ended = runner.end_program();
     // A program that exhausts its budget is expected to end early.
-    let as_planned = completed || plan.habit == Habit::ShortOfBudget;
+    let as_planned = completed || plan.behavior == ClientBehavior::ExhaustsBudget;
     traces.push(ProgramTrace {
         id: plan.id.clone(),
         root: plan.id.clone(),
@@ -255,7 +260,7 @@
 
 struct ProgramRunner<'a> {
     caller: Caller,
-    habit: Habit,
+    behavior: ClientBehavior,
     root: String,
     traces: &'a mut Vec<ProgramTrace>,
 }
@@ -269,12 +274,14 @@
                     std::thread::sleep(*pause);
                     true
                 }
-                Step::Ask(messages) => self.call_model(position, messages, &mut agent_answers),
-                Step::Service { input, repeatable, twice } => {
-                    let options = RequestOptions { duplicate: *twice, disconnect: false };
+                Step::ModelCall(messages) => {
+                    self.call_model(position, messages, &mut agent_answers)
+                }
+                Step::ServiceCall { input, repeatable, send_duplicate } => {
+                    let options = RequestOptions { duplicate: *send_duplicate, disconnect: false };
                     self.caller.call_service(input.clone(), *repeatable, options).is_ok()
                 }
-                Step::Agents(agents) => {
+                Step::SubAgents(agents) => {
                     agent_answers = self.run_sub_agents(position, agents);
                     agent_answers.len() == agents.len()
                 }
@@ -296,11 +303,11 @@
         let mut conversation: Vec<ChatMessage> =
             results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
         conversation.extend(messages.iter().cloned());
-        if self.habit == Habit::SendsTooEarly && position == 0 {
+        if self.behavior == ClientBehavior::SendsOutOfOrder && position == 0 {
             self.caller.send_out_of_order(conversation.clone());
         }
         let options = RequestOptions {
-            disconnect: self.habit == Habit::HangsUp && position.is_multiple_of(2),
+            disconnect: self.behavior == ClientBehavior::Disconnects && position.is_multiple_of(2),
             duplicate: false,
         };
         self.caller.call_model(conversation, options).is_ok()
@@ -336,7 +343,7 @@
     let started = caller.now();
     let mut answer = None;
     for step in steps {
-        if let Step::Ask(messages) = step {
+        if let Step::ModelCall(messages) = step {
             match caller.call_model(messages.clone(), RequestOptions::default()) {
                 Ok(text) => answer = Some(text),
                 Err(_) => {
--- a/crates/lab/src/scale/programs.rs
+++ b/crates/lab/src/scale/programs.rs
@@ -21,7 +21,7 @@
 use crate::sim::account::{Account, Cost};
 use crate::sim::frame::Actor;
 use crate::sim::world::{World, WorldSize};
-use crate::workload::{Habit, ProgramPlan, Step};
+use crate::workload::{ClientBehavior, ProgramPlan, Step};
 
 /// Tokens that each turn adds to the history, one measurement each.
 const TOKENS_PER_TURN: [usize; 4] = [50, 200, 500, 1_000];
@@ -136,7 +136,7 @@
 fn program_plan(number: usize, tokens_per_turn: usize) -> ProgramPlan {
     let model_call = |turn: usize| {
         let text = words(tokens_per_turn, number * 1_000 + turn);
-        Step::Ask(vec![ChatMessage::new(Role::User, text)])
+        Step::ModelCall(vec![ChatMessage::new(Role::User, text)])
     };
     ProgramPlan {
         id: format!("scale-{number}"),
@@ -144,7 +144,7 @@
         start: Duration::from_millis(number as u64 * 50),
         budget: BUDGET,
         steps: (0..TURNS).map(model_call).collect(),
-        habit: Habit::Plain,
+        behavior: ClientBehavior::Normal,
     }
 }
 
--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -23,9 +23,9 @@
 use super::frame::{ClientNews, ClientRequest};
 use super::operator::{OperatorTask, ProbeChange};
 use super::world::{Happening, PROGRAM_GROUPS, World};
-use crate::caller::is_worth_another_try;
+use crate::caller::is_retryable;
 use crate::history::{Asked, CallTry, ProgramTrace, TryEnd};
-use crate::workload::{Habit, ProgramPlan, Step};
+use crate::workload::{ClientBehavior, ProgramPlan, Step};
 
 /// Pause before something is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
@@ -106,7 +106,7 @@
     budget: u64,
     max_calls: u64,
     steps: Vec<Step>,
-    habit: Habit,
+    habit: ClientBehavior,
     gateway: usize,
     position: usize,
     sequence: u64,
@@ -134,7 +134,7 @@
             budget: 0,
             max_calls: AGENT_CALLS,
             steps,
-            habit: Habit::Plain,
+            habit: ClientBehavior::Normal,
             gateway,
             position: 0,
             sequence: 1,
@@ -223,7 +223,7 @@
         self.clients.programs.push(ProgramRun {
             budget: plan.budget,
             max_calls,
-            habit: plan.habit,
+            habit: plan.behavior,
             ..ProgramRun::new(plan.id, plan.tenant, plan.steps, index, started)
         });
         self.create_program(index, start);
@@ -383,13 +383,13 @@
                 program.position += 1;
                 self.plan_in(pause, Happening::ClientWake(Wake::Step(index)));
             }
-            Step::Ask(_) | Step::Service { .. } => {
-                if program.habit == Habit::SendsTooEarly && program.position == 0 {
+            Step::ModelCall(_) | Step::ServiceCall { .. } => {
+                if program.habit == ClientBehavior::SendsOutOfOrder && program.position == 0 {
                     self.send_too_early(index);
                 }
                 self.try_call(index);
             }
-            Step::Agents(agents) => {
+            Step::SubAgents(agents) => {
                 program.agents_left = agents.len();
                 for number in 0..agents.len() {
                     self.create_agent(index, number);
@@ -417,7 +417,7 @@
 
     fn start_agent(&mut self, parent: usize, number: usize, id: &ProgramId) {
         let owner = &self.clients.programs[parent];
-        let Some(Step::Agents(agents)) = owner.steps.get(owner.position) else {
+        let Some(Step::SubAgents(agents)) = owner.steps.get(owner.position) else {
             return;
         };
         let steps = agents[number].clone();
@@ -457,7 +457,7 @@
     fn asked(&self, index: usize) -> Option<(Asked, bool, bool)> {
         let program = &self.clients.programs[index];
         match program.steps.get(program.position)? {
-            Step::Ask(messages) => {
+            Step::ModelCall(messages) => {
                 let results = program.agent_answers.values();
                 let mut all: Vec<ChatMessage> =
                     results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
@@ -465,9 +465,13 @@
                 let model = self.deployment.model().to_owned();
                 Some((Asked::Model { model, messages: all }, true, false))
             }
-            Step::Service { input, repeatable, twice } => {
+            Step::ServiceCall { input, repeatable, send_duplicate } => {
                 let service = self.deployment.service().to_owned();
-                Some((Asked::Service { service, input: input.clone() }, *repeatable, *twice))
+                Some((
+                    Asked::Service { service, input: input.clone() },
+                    *repeatable,
+                    *send_duplicate,
+                ))
             }
             _ => None,
         }
@@ -487,7 +491,8 @@
             program.went_well = false;
             return self.end_program(index);
         }
-        let wants_hang_up = program.habit == Habit::HangsUp && program.position.is_multiple_of(2);
+        let wants_hang_up =
+            program.habit == ClientBehavior::Disconnects && program.position.is_multiple_of(2);
         let hang_up = wants_hang_up && !program.hung_up && matches!(asked, Asked::Model { .. });
         let open = OpenTry {
             program: index,
@@ -514,7 +519,7 @@
         let program = &self.clients.programs[index];
         let later = program.steps.iter().skip(program.position + 1);
         let mut later = later.skip_while(|step| matches!(step, Step::Pause(_)));
-        let Some(Step::Ask(messages)) = later.next() else {
+        let Some(Step::ModelCall(messages)) = later.next() else {
             return;
         };
         let model = self.deployment.model().to_owned();
@@ -712,5 +717,5 @@
 }
 
 fn is_final(code: &str) -> bool {
-    !is_worth_another_try(code) || matches!(code, "unknown_program" | "key_mismatch")
+    !is_retryable(code) || matches!(code, "unknown_program" | "key_mismatch")
 }
--- a/crates/lab/src/sim/disturb.rs
+++ b/crates/lab/src/sim/disturb.rs
@@ -12,7 +12,7 @@
 use super::frame::Actor;
 use super::world::{Happening, World};
 use crate::history::{DrainEvent, StopEvent};
-use crate::workload::{Habit, ProgramPlan, Step, draw};
+use crate::workload::{ClientBehavior, ProgramPlan, Step, generate_programs};
 
 /// Share of frames that a bad network loses, and repeats.
 const LOSS: f64 = 0.03;
@@ -301,20 +301,20 @@
 
     fn burst(&mut self, count: usize) {
         let seed = self.random.random();
-        for mut plan in draw(self.deployment, count, BURST_WINDOW, seed) {
+        for mut plan in generate_programs(self.deployment, count, BURST_WINDOW, seed) {
             plan.id = format!("burst-{}", plan.id);
             self.add_program(plan, MAX_CALLS);
         }
     }
 
     fn add_runaway(&mut self) {
-        let drawn = draw(self.deployment, 1, BURST_WINDOW, self.random.random());
+        let drawn = generate_programs(self.deployment, 1, BURST_WINDOW, self.random.random());
         for plan in drawn {
-            let asks = plan.steps.iter().filter(|step| matches!(step, Step::Ask(_))).cloned();
+            let asks = plan.steps.iter().filter(|step| matches!(step, Step::ModelCall(_))).cloned();
             let asks: Vec<Step> = asks.collect();
             let steps = asks.into_iter().cycle().take(RUNAWAY_TURNS).collect();
             let id = format!("runaway-{}", plan.id);
-            let runaway = ProgramPlan { id, steps, habit: Habit::Plain, ..plan };
+            let runaway = ProgramPlan { id, steps, behavior: ClientBehavior::Normal, ..plan };
             self.add_program(runaway, RUNAWAY_CALLS);
         }
     }
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -21,7 +21,7 @@
 use crate::demo::Percentiles;
 use crate::deployment::Deployment;
 use crate::history::{History, Holding};
-use crate::workload::draw;
+use crate::workload::generate_programs;
 
 /// Sizes of a simulated fleet.
 const SIZE: WorldSize =
@@ -155,7 +155,7 @@
     let mut held = HeldSamples::default();
     world.declare_fleet();
     advance_until(&mut world, &mut held, START + START_UP);
-    for plan in draw(settings.deployment, PROGRAMS, START_WINDOW, settings.seed) {
+    for plan in generate_programs(settings.deployment, PROGRAMS, START_WINDOW, settings.seed) {
         world.add_program(plan, MAX_CALLS);
     }
     for (at, fault) in planned {
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -13,33 +13,33 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Model call that adds these messages to the conversation.
-    Ask(Vec<ChatMessage>),
+    ModelCall(Vec<ChatMessage>),
     /// Pause between calls, for a local tool or the user.
     Pause(Duration),
     /// Call of the tool service.
-    Service {
+    ServiceCall {
         /// Input of the call.
         input: String,
         /// Whether the call may be executed more than once.
         repeatable: bool,
         /// Whether a duplicate of the request is sent concurrently.
-        twice: bool,
+        send_duplicate: bool,
     },
     /// Sub-agents that run concurrently; the next model call receives their answers.
-    Agents(Vec<Vec<Step>>),
+    SubAgents(Vec<Vec<Step>>),
 }
 
 /// Client behavior that exercises a particular invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum ClientBehavior {
     /// Follows the protocol without faults.
-    Plain,
+    Normal,
     /// Disconnects while an answer is streamed and resumes it at another gateway.
-    HangsUp,
+    Disconnects,
     /// Sends one call before the call that precedes it.
-    SendsTooEarly,
+    SendsOutOfOrder,
     /// Runs out of its token budget.
-    ShortOfBudget,
+    ExhaustsBudget,
 }
 
 /// Program to run.
@@ -56,7 +56,7 @@
     /// Steps, in order.
     pub steps: Vec<Step>,
     /// Behavior of its client.
-    pub habit: Habit,
+    pub behavior: ClientBehavior,
 }
 
 const DEFAULT_BUDGET: u64 = 400_000;
@@ -73,7 +73,12 @@
 ];
 
 /// Generates `count` programs that start within `window`.
-pub fn draw(deployment: Deployment, count: usize, window: Duration, seed: u64) -> Vec<ProgramPlan> {
+pub fn generate_programs(
+    deployment: Deployment,
+    count: usize,
+    window: Duration,
+    seed: u64,
+) -> Vec<ProgramPlan> {
     let mut generator = ProgramGenerator { rng: ChaCha8Rng::seed_from_u64(seed), deployment };
     (0..count).map(|index| generator.program(index, window, seed)).collect()
 }
@@ -85,11 +90,11 @@
 
 impl ProgramGenerator {
     fn program(&mut self, index: usize, window: Duration, seed: u64) -> ProgramPlan {
-        let habit = match index % 8 {
-            3 => Habit::HangsUp,
-            5 => Habit::SendsTooEarly,
-            7 => Habit::ShortOfBudget,
-            _ => Habit::Plain,
+        let behavior = match index % 8 {
+            3 => ClientBehavior::Disconnects,
+            5 => ClientBehavior::SendsOutOfOrder,
+            7 => ClientBehavior::ExhaustsBudget,
+            _ => ClientBehavior::Normal,
         };
         let steps = match self.deployment {
             Deployment::Celje => self.print_order_program(),
@@ -100,13 +105,13 @@
             id: format!("{name}-{seed}-{index}"),
             tenant: format!("{name}-{}", index % 3),
             start: window.mul_f64(self.rng.random_range(0.0..1.0)),
-            budget: if habit == Habit::ShortOfBudget {
+            budget: if behavior == ClientBehavior::ExhaustsBudget {
                 INSUFFICIENT_BUDGET
             } else {
                 DEFAULT_BUDGET
             },
             steps,
-            habit,
+            behavior,
         }
     }
 
@@ -178,34 +183,37 @@
     fn initial_call(&mut self, task: &str) -> Step {
         let system = format!("You work for {}. Keep to the house rules.", self.deployment.name());
         let text = format!("{task} {}. {}", self.subject(), self.words(60));
-        Step::Ask(vec![ChatMessage::new(Role::System, system), ChatMessage::new(Role::User, text)])
+        Step::ModelCall(vec![
+            ChatMessage::new(Role::System, system),
+            ChatMessage::new(Role::User, text),
+        ])
     }
 
     fn follow_up_call(&mut self, task: &str) -> Step {
         let text = format!("{task} {}", self.words(20));
-        Step::Ask(vec![ChatMessage::new(Role::User, text)])
+        Step::ModelCall(vec![ChatMessage::new(Role::User, text)])
     }
 
     fn sub_agents(&mut self, task: &str) -> Step {
         let count = self.rng.random_range(2..=3);
         let agents =
             (0..count).map(|_| vec![self.initial_call(task), self.follow_up_call("Sum up.")]);
-        Step::Agents(agents.collect())
+        Step::SubAgents(agents.collect())
     }
 
     fn lookup_call(&mut self) -> Step {
-        Step::Service {
+        Step::ServiceCall {
             input: format!("look up {}", self.words(4)),
             repeatable: true,
-            twice: false,
+            send_duplicate: false,
         }
     }
 
     fn print_call(&mut self) -> Step {
-        Step::Service {
+        Step::ServiceCall {
             input: format!("print {}", self.words(6)),
             repeatable: false,
-            twice: self.rng.random_bool(0.3),
+            send_duplicate: self.rng.random_bool(0.3),
         }
     }
 }
