--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -4,12 +4,12 @@
 //! - [`resources`]: declares the resources of a fleet through the operator API;
 //! - [`backends`]: emulated engines, services, platform and weight store;
 //! - [`embedded`]: fleet in one process;
-//! - [`files`]: fleet of separate processes and its settings files.
+//! - [`processes`]: fleet of separate processes and its settings files.
 
 pub mod backends;
 pub mod control;
 pub mod embedded;
-pub mod files;
+pub mod processes;
 pub mod resources;
 
 pub use control::{Endpoint, FleetAddresses, FleetControl};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -11,7 +11,7 @@
 use calicohoist_lab::deployment::Deployment;
 use calicohoist_lab::fleet::FleetControl;
 use calicohoist_lab::fleet::backends::{EmulatedBackends, FleetSize};
-use calicohoist_lab::fleet::files::{self, ProcessFleet};
+use calicohoist_lab::fleet::processes::{self, ProcessFleet};
 use calicohoist_lab::report;
 use calicohoist_lab::scale;
 use calicohoist_lab::scale::capacity::{self, DESIGN_SIZE};
@@ -202,7 +202,7 @@
         Command::Backends { deployment, folder, seed, seconds } => {
             let size = FleetSize::for_deployment(deployment);
             let backends = EmulatedBackends::start(deployment, size, seed)?;
-            files::write_settings(&folder, deployment, size, &backends)?;
+            processes::write_settings(&folder, deployment, size, &backends)?;
             println!("ready");
             std::thread::sleep(Duration::from_secs(seconds));
             Ok(ExitCode::SUCCESS)
--- a/crates/lab/tests/ledger_members/main.rs
+++ b/crates/lab/tests/ledger_members/main.rs
@@ -3,7 +3,7 @@
 //! returns to its full number of voters.
 
 mod cluster;
-mod seeds;
+mod contacts;
 mod standby;
 
 use rand::RngExt;
