--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -70,7 +70,7 @@
 }
 
 impl Caller {
-    /// Creates a caller for `program`, which starts at the gateway with index `gateway`.
+    /// Creates a caller for `program` that uses the gateway with index `gateway` first.
     pub fn new(context: Arc<CallerContext>, program: &str, tenant: &str, gateway: usize) -> Self {
         Self {
             context,
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -300,17 +300,17 @@
         agent_answers: &mut Vec<String>,
     ) -> bool {
         let results = std::mem::take(agent_answers).into_iter();
-        let mut conversation: Vec<ChatMessage> =
+        let mut new_messages: Vec<ChatMessage> =
             results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
-        conversation.extend(messages.iter().cloned());
+        new_messages.extend(messages.iter().cloned());
         if self.behavior == ClientBehavior::SendsOutOfOrder && position == 0 {
-            self.caller.send_out_of_order(conversation.clone());
+            self.caller.send_out_of_order(new_messages.clone());
         }
         let options = RequestOptions {
             disconnect: self.behavior == ClientBehavior::Disconnects && position.is_multiple_of(2),
             duplicate: false,
         };
-        self.caller.call_model(conversation, options).is_ok()
+        self.caller.call_model(new_messages, options).is_ok()
     }
 
     /// Runs sub-agents concurrently and returns the last answer of each.
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -36,7 +36,7 @@
     Normal,
     /// Disconnects while an answer is streamed and resumes it at another gateway.
     Disconnects,
-    /// Sends one call before the call that precedes it.
+    /// Sends one call before the call that it depends on.
     SendsOutOfOrder,
     /// Runs out of its token budget.
     ExhaustsBudget,
--- a/crates/lab/tests/ledger_members/cluster.rs
+++ b/crates/lab/tests/ledger_members/cluster.rs
@@ -41,6 +41,7 @@
     pub now: Moment,
     pub rng: ChaCha8Rng,
     pub machines: Vec<Machine>,
+    /// Frames in flight: delivery time, sender, recipient and messages.
     pub frames: Vec<(Moment, ReplicaId, ReplicaId, Vec<GroupMessage>)>,
     /// Partitions: machine, peer and end. Frames from the machine to the peer are dropped;
     /// without a peer, all frames from and to the machine.
@@ -123,10 +124,10 @@
         });
     }
 
-    pub fn start(&mut self, index: usize) {
+    pub fn start_machine(&mut self, index: usize) {
         let seed = self.rng.random();
-        let oldest = || self.machines.iter().take(3).map(|known| known.number).collect();
-        let contacts = if self.contacts.is_empty() { oldest() } else { self.contacts.clone() };
+        let first_three = || self.machines.iter().take(3).map(|machine| machine.number).collect();
+        let contacts = if self.contacts.is_empty() { first_three() } else { self.contacts.clone() };
         let spares = self.spares;
         let machine = &mut self.machines[index];
         machine.starts_at = None;
@@ -153,8 +154,8 @@
 
     pub fn crash(&mut self, index: usize) {
         let retained_bytes = self.rng.random_range(0..300);
-        let down = Duration::from_millis(self.rng.random_range(50..4_000));
-        let restart = self.now + down;
+        let downtime = Duration::from_millis(self.rng.random_range(50..4_000));
+        let restart = self.now + downtime;
         let machine = &mut self.machines[index];
         machine.node = None;
         if let Some(log) = machine.log.take() {
@@ -229,9 +230,9 @@
         let duration = Duration::from_millis(self.rng.random_range(100..3_000));
         if self.rng.random_bool(0.003) {
             let number = self.machines[index].number;
-            let other = self.rng.random_range(0..self.machines.len());
-            let other = self.rng.random_bool(0.5).then(|| self.machines[other].number);
-            self.partitions.push((number, other, self.now + duration));
+            let peer = self.rng.random_range(0..self.machines.len());
+            let peer = self.rng.random_bool(0.5).then(|| self.machines[peer].number);
+            self.partitions.push((number, peer, self.now + duration));
         }
         if self.rng.random_bool(0.003) {
             self.machines[index].paused_until = self.now + duration;
@@ -289,8 +290,8 @@
     }
 
     pub fn deliver(&mut self) {
-        let due: Vec<_> = self.frames.extract_if(.., |frame| frame.0 <= self.now).collect();
-        for (_, from, to, messages) in due {
+        let due_frames: Vec<_> = self.frames.extract_if(.., |frame| frame.0 <= self.now).collect();
+        for (_, from, to, messages) in due_frames {
             let target = self.machines.iter_mut().find(|machine| machine.number == to.machine);
             let Some(machine) = target else {
                 continue;
@@ -303,12 +304,12 @@
                 continue;
             };
             let is_for_this_disk = node.id() == to;
-            let is_wanted = |message: &GroupMessage| {
+            let is_accepted = |message: &GroupMessage| {
                 is_for_this_disk || calicohoist_replication::node::is_addressed_to_machine(message)
             };
-            let messages: Vec<GroupMessage> = messages.into_iter().filter(is_wanted).collect();
-            let is_chunk = |wanted: &&GroupMessage| {
-                matches!(wanted.message, Message::SegmentChunk { total: Some(_), .. })
+            let messages: Vec<GroupMessage> = messages.into_iter().filter(is_accepted).collect();
+            let is_chunk = |message: &&GroupMessage| {
+                matches!(message.message, Message::SegmentChunk { total: Some(_), .. })
             };
             self.segment_chunks += messages.iter().filter(is_chunk).count();
             node.receive(self.now, from, messages);
@@ -329,7 +330,7 @@
         let collect_early_message = |to, messages| early_messages.push((to, messages));
         let events = node.flush_with(now, log, collect_early_message).expect("the disk has room");
         let from = node.id();
-        // Simulates a power failure after the early messages are sent and before the sync completes.
+        // Simulates a power failure between sending the early messages and the end of the sync.
         let loses_power = !self.faults_stopped && self.rng.random_bool(0.0005);
         if !loses_power {
             log.disk_mut().settle();
@@ -394,7 +395,7 @@
         self.now = self.now + STEP;
         for index in 0..self.machines.len() {
             if self.machines[index].starts_at.is_some_and(|at| at <= self.now) {
-                self.start(index);
+                self.start_machine(index);
             }
         }
         self.deliver();
