--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -27,7 +27,7 @@
 #[bpaf(options, version)]
 /// Test fleets, load generator, benchmarks and simulator for calicohoist.
 struct Arguments {
-    /// Log level
+    /// Lowest severity of messages to log
     #[bpaf(argument("LEVEL"), fallback(LevelFilter::Error))]
     log_level: LevelFilter,
     #[bpaf(external(command))]
