--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -21,9 +21,9 @@
 use super::frame::{ClientEvent, ClientRequest};
 use super::operator::{OperatorTask, ProbeChange};
 use super::world::{PROGRAM_GROUPS, SimEvent, World};
-use crate::caller::is_worth_another_try;
+use crate::caller::is_retryable;
 use crate::history::{CallInput, CallResult, CallTry, ProgramTrace};
-use crate::workload::{Habit, ProgramPlan, Step};
+use crate::workload::{ClientBehavior, ProgramPlan, Step};
 
 /// Delay before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -104,7 +104,7 @@
     budget: u64,
     max_calls: u64,
     steps: Vec<Step>,
-    habit: Habit,
+    habit: ClientBehavior,
     gateway: usize,
     step_index: usize,
     sequence: u64,
@@ -132,7 +132,7 @@
             budget: 0,
             max_calls: AGENT_MAX_CALLS,
             steps,
-            habit: Habit::Plain,
+            habit: ClientBehavior::Normal,
             gateway,
             step_index: 0,
             sequence: 1,
@@ -221,7 +221,7 @@
         self.clients.programs.push(ProgramRun {
             budget: plan.budget,
             max_calls,
-            habit: plan.habit,
+            habit: plan.behavior,
             ..ProgramRun::new(plan.id, plan.tenant, plan.steps, index, started)
         });
         self.create_program(index, start);
@@ -391,13 +391,13 @@
                 program.step_index += 1;
                 self.schedule_in(pause, SimEvent::ClientTimer(ClientTimer::Step(index)));
             }
-            Step::Ask(_) | Step::Service { .. } => {
-                if program.habit == Habit::SendsTooEarly && program.step_index == 0 {
+            Step::ModelCall(_) | Step::ServiceCall { .. } => {
+                if program.habit == ClientBehavior::SendsOutOfOrder && program.step_index == 0 {
                     self.send_early_call(index);
                 }
                 self.send_current_call(index);
             }
-            Step::Agents(agents) => {
+            Step::SubAgents(agents) => {
                 program.running_agents = agents.len();
                 for number in 0..agents.len() {
                     self.create_agent(index, number);
@@ -433,7 +433,7 @@
 
     fn start_agent(&mut self, parent: usize, number: usize, id: &ProgramId) {
         let owner = &self.clients.programs[parent];
-        let Some(Step::Agents(agents)) = owner.steps.get(owner.step_index) else {
+        let Some(Step::SubAgents(agents)) = owner.steps.get(owner.step_index) else {
             return;
         };
         let steps = agents[number].clone();
@@ -474,7 +474,7 @@
     fn current_input(&self, index: usize) -> Option<(CallInput, bool, bool)> {
         let program = &self.clients.programs[index];
         match program.steps.get(program.step_index)? {
-            Step::Ask(messages) => {
+            Step::ModelCall(messages) => {
                 let results = program.agent_answers.values();
                 let mut all: Vec<ChatMessage> =
                     results.map(|text| ChatMessage::new(Role::Tool, text)).collect();
@@ -482,9 +482,13 @@
                 let model = self.deployment.model().to_owned();
                 Some((CallInput::Model { model, messages: all }, true, false))
             }
-            Step::Service { input, repeatable, twice } => {
+            Step::ServiceCall { input, repeatable, send_duplicate } => {
                 let service = self.deployment.service().to_owned();
-                Some((CallInput::Service { service, input: input.clone() }, *repeatable, *twice))
+                Some((
+                    CallInput::Service { service, input: input.clone() },
+                    *repeatable,
+                    *send_duplicate,
+                ))
             }
             _ => None,
         }
@@ -505,7 +509,7 @@
             return self.end_program(index);
         }
         let wants_disconnect =
-            program.habit == Habit::HangsUp && program.step_index.is_multiple_of(2);
+            program.habit == ClientBehavior::Disconnects && program.step_index.is_multiple_of(2);
         let disconnect = wants_disconnect
             && !program.has_disconnected
             && matches!(input, CallInput::Model { .. });
@@ -535,7 +539,7 @@
         let program = &self.clients.programs[index];
         let later = program.steps.iter().skip(program.step_index + 1);
         let mut later = later.skip_while(|step| matches!(step, Step::Pause(_)));
-        let Some(Step::Ask(messages)) = later.next() else {
+        let Some(Step::ModelCall(messages)) = later.next() else {
             return;
         };
         let model = self.deployment.model().to_owned();
@@ -743,5 +747,5 @@
 }
 
 fn is_permanent_refusal(code: &str) -> bool {
-    !is_worth_another_try(code) || matches!(code, "unknown_program" | "key_mismatch")
+    !is_retryable(code) || matches!(code, "unknown_program" | "key_mismatch")
 }
--- a/crates/lab/src/sim/fault_injection.rs
+++ b/crates/lab/src/sim/fault_injection.rs
@@ -12,7 +12,7 @@
 use super::frame::Actor;
 use super::world::{SimEvent, World};
 use crate::history::{DrainEvent, StopEvent};
-use crate::workload::{Habit, ProgramPlan, Step, draw};
+use crate::workload::{ClientBehavior, ProgramPlan, Step, generate_programs};
 
 /// Probabilities that a lossy network loses or duplicates a frame.
 const LOSS_RATE: f64 = 0.03;
@@ -305,21 +305,21 @@
 
     fn start_burst(&mut self, count: usize) {
         let seed = self.random.random();
-        for mut plan in draw(self.deployment, count, BURST_WINDOW, seed) {
+        for mut plan in generate_programs(self.deployment, count, BURST_WINDOW, seed) {
             plan.id = format!("burst-{}", plan.id);
             self.add_program(plan, MAX_CALLS);
         }
     }
 
     fn add_runaway_program(&mut self) {
-        let plans = draw(self.deployment, 1, BURST_WINDOW, self.random.random());
+        let plans = generate_programs(self.deployment, 1, BURST_WINDOW, self.random.random());
         for plan in plans {
             let model_steps =
-                plan.steps.iter().filter(|step| matches!(step, Step::Ask(_))).cloned();
+                plan.steps.iter().filter(|step| matches!(step, Step::ModelCall(_))).cloned();
             let model_steps: Vec<Step> = model_steps.collect();
             let steps = model_steps.into_iter().cycle().take(RUNAWAY_TURNS).collect();
             let id = format!("runaway-{}", plan.id);
-            let runaway = ProgramPlan { id, steps, habit: Habit::Plain, ..plan };
+            let runaway = ProgramPlan { id, steps, behavior: ClientBehavior::Normal, ..plan };
             self.add_program(runaway, RUNAWAY_MAX_CALLS);
         }
     }
--- a/crates/lab/src/sim/run.rs
+++ b/crates/lab/src/sim/run.rs
@@ -21,7 +21,7 @@
 use crate::demo::Percentiles;
 use crate::deployment::Deployment;
 use crate::history::{History, Holding};
-use crate::workload::draw;
+use crate::workload::generate_programs;
 
 /// Size of the simulated fleet.
 const SIZE: WorldSize =
@@ -157,7 +157,7 @@
     let mut samples = CacheSamples::default();
     world.declare_fleet();
     advance_until(&mut world, &mut samples, START + STARTUP);
-    for plan in draw(settings.deployment, PROGRAM_COUNT, START_WINDOW, settings.seed) {
+    for plan in generate_programs(settings.deployment, PROGRAM_COUNT, START_WINDOW, settings.seed) {
         world.add_program(plan, MAX_CALLS);
     }
     for (at, fault) in faults {
