--- a/crates/gateway/src/core/call.rs
+++ b/crates/gateway/src/core/call.rs
@@ -1,4 +1,8 @@
 //! State of one active call.
+//!
+//! A call is a request to a model or to a tool service. It belongs to a program: the sequence of
+//! dependent calls of one agent. The store admits the calls of a program in the order of their
+//! sequence numbers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,7 +18,7 @@
 /// A caller that receives the answer, and its progress.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// The caller.
+    /// Identifies the caller's request.
     pub ticket: Ticket,
     /// Bytes of the answer that were sent.
     pub sent_bytes: usize,
@@ -25,9 +29,9 @@
 /// Processing state of a call, by what it waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// Waits for the store to admit the call.
+    /// Waits for the store's response to the admission request.
     Admitting,
-    /// Waits until the call can be admitted.
+    /// Waits to send the admission request again, because the call cannot be admitted yet.
     WaitingForTurn {
         /// Time of the next admission request.
         retry_at: Moment,
@@ -45,19 +49,19 @@
     Queued {
         /// The engine.
         engine: EngineId,
-        /// The owner that received the slot request.
+        /// The gateway that owns the engine's queue and received the slot request.
         owner: NodeId,
         /// Time at which the slot request is repeated.
         retry_at: Moment,
     },
-    /// Waits for the dispatch record to become durable.
+    /// Waits until the store has recorded durably that the attempt may be sent to the back end.
     Dispatching,
     /// Runs on the back end.
     Running {
         /// Time of the last progress.
         last_progress: Moment,
     },
-    /// Waits for a replica's result of an earlier attempt.
+    /// Waits for a replica to report the result of an attempt that was sent to it earlier.
     LookingUp {
         /// Time at which the lookup was sent.
         sent_at: Moment,
@@ -77,9 +81,9 @@
 /// Reason for [`Phase::WaitingForTurn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// An earlier call has not arrived.
+    /// A call with a lower sequence number in the program has not arrived.
     EarlierCall,
-    /// An earlier call is running.
+    /// A call with a lower sequence number in the program is running.
     RunningCall,
     /// Another gateway runs the same request.
     SameCall,
@@ -90,9 +94,9 @@
 /// Back end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The back end.
+    /// The back end: an engine for a model call, or a replica of a tool service.
     pub backend: Backend,
-    /// The back end's address.
+    /// Address of the back end.
     pub address: SocketAddr,
 }
 
@@ -127,7 +131,7 @@
     pub resumes: Option<AttemptId>,
     /// The answer so far.
     pub text: String,
-    /// Bytes of the answer that earlier attempts produced.
+    /// Length in bytes of the prefix of `text` that earlier attempts produced.
     pub continuation_len: usize,
     /// Back ends to avoid because an attempt on them failed.
     pub excluded: BTreeSet<String>,
--- a/crates/gateway/src/core/view.rs
+++ b/crates/gateway/src/core/view.rs
@@ -72,7 +72,7 @@
         self.applied
     }
 
-    /// Returns the revision in force: every node applies it or a later one.
+    /// Returns the revision in force: every gateway with a lease applies it or a later one.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -20,7 +20,8 @@
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Read timeout of connections; idle connections are closed after it.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which the listener is woken, which must be shorter than [`READ_TIMEOUT`].
+/// Interval at which the server connects to its own listener, so that accept does not time out
+/// after [`READ_TIMEOUT`]; see [`set_read_timeout`].
 const LISTENER_WAKE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Limits of a server.
@@ -201,7 +202,7 @@
             Err(TrySendError::Full(exchange) | TrySendError::Disconnected(exchange)) => {
                 emit!(
                     Event::WorkersBusy,
-                    "rejected request for {}: no worker available",
+                    "rejected request for {}: request queue is full or closed",
                     exchange.path()
                 );
                 self.handler.handle_overload(exchange);
--- a/crates/ledger/tests/compatibility.rs
+++ b/crates/ledger/tests/compatibility.rs
@@ -159,7 +159,7 @@
     let leader_found = async {
         loop {
             let response = gateway.request(&sample("ask.find_leader")).await.expect("no response");
-            // The response variant follows three bytes of request number.
+            // The response variant follows the request id, which is encoded as three bytes.
             if response[3] == sample("reply.leads")[1] {
                 return;
             }
--- a/crates/ledger/tests/support/v1.rs
+++ b/crates/ledger/tests/support/v1.rs
@@ -1,5 +1,7 @@
-//! Emulated processes that use protocol version 1. Their messages are stored samples; on messages
-//! that they cannot decode, they close the connection.
+//! Emulated processes that use protocol version 1.
+//!
+//! The gateway and the leader use stored samples of messages; the follower encodes its replies
+//! itself. Leader and follower close the connection on a message that they cannot decode.
 
 use std::net::SocketAddr;
 
@@ -13,8 +15,9 @@
 
 const SAMPLES: &str = include_str!("../data/protocol-1.txt");
 const HEADER_BYTES: usize = 8;
-/// Length of the request number in the sample `ask.find_leader`; it is 1 in the other samples.
-const FIND_LEADER_NUMBER_BYTES: usize = 3;
+/// Encoded length of the request id in the sample `ask.find_leader`, in bytes. It is 1 in the
+/// other samples.
+const FIND_LEADER_ID_BYTES: usize = 3;
 
 /// Returns the encoding of the message sample `name`.
 pub fn sample(name: &str) -> Vec<u8> {
@@ -57,7 +60,7 @@
 }
 
 /// A leader that uses protocol version 1. It responds to the registered requests, whatever their
-/// number, and closes the connection on any other.
+/// request id, and closes the connection on any other.
 pub struct V1Leader {
     listener: TcpListener,
     responses: Vec<(Vec<u8>, Vec<u8>)>,
@@ -66,7 +69,7 @@
 impl V1Leader {
     pub async fn bind() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("bind listener");
-        let find_leader = sample("ask.find_leader")[FIND_LEADER_NUMBER_BYTES..].to_vec();
+        let find_leader = sample("ask.find_leader")[FIND_LEADER_ID_BYTES..].to_vec();
         let responses = vec![(find_leader, sample("reply.leads")[1..].to_vec())];
         Self { listener, responses }
     }
@@ -75,7 +78,7 @@
         self.listener.local_addr().expect("local address")
     }
 
-    /// Registers sample `response` as the response to sample `request`. The numbers of both
+    /// Registers sample `response` as the response to sample `request`. The request ids of both
     /// samples must be encoded as one byte.
     pub fn respond_to(&mut self, request: &str, response: &str) {
         self.responses.push((sample(request)[1..].to_vec(), sample(response)[1..].to_vec()));
@@ -87,10 +90,10 @@
             let responses = self.responses.clone();
             tokio::spawn(async move {
                 while let Some(message) = read_payload(&mut stream).await {
-                    let [number, request @ ..] = message.as_slice() else { return };
+                    let [request_id, request @ ..] = message.as_slice() else { return };
                     let registered = responses.iter().find(|(known, _)| known == request);
                     let Some((_, response)) = registered else { return };
-                    let reply = [&[*number], response.as_slice()].concat();
+                    let reply = [&[*request_id], response.as_slice()].concat();
                     if stream.write_all(&frame_payload(&reply)).await.is_err() {
                         return;
                     }
@@ -100,28 +103,31 @@
     }
 }
 
-/// A follower that uses protocol version 1.
+/// A follower that uses protocol version 1. Its leader is the machine under test.
 pub struct V1Follower {
     messages: mpsc::Receiver<Vec<GroupMessage>>,
-    leader: TcpStream,
-    leader_id: ReplicaId,
+    connection: TcpStream,
+    recipient: ReplicaId,
 }
 
 impl V1Follower {
-    /// Accepts connections on `listener` and connects to the machine under test.
-    pub async fn start(listener: TcpListener, peer: SocketAddr, peer_id: ReplicaId) -> Self {
+    /// Accepts connections on `listener` and connects to the leader.
+    pub async fn start(listener: TcpListener, leader: SocketAddr, leader_id: ReplicaId) -> Self {
         let (sender, messages) = mpsc::channel(1_024);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(read_messages(stream, sender.clone()));
             }
         });
-        let mut leader = TcpStream::connect(peer).await.expect("connect");
-        leader.write_all(&frame_payload(&sample("peer.greeting"))).await.expect("send greeting");
-        Self { messages, leader, leader_id: peer_id }
+        let mut connection = TcpStream::connect(leader).await.expect("connect");
+        connection
+            .write_all(&frame_payload(&sample("peer.greeting")))
+            .await
+            .expect("send greeting");
+        Self { messages, connection, recipient: leader_id }
     }
 
-    /// Votes for the machine under test and acknowledges its entries until disconnected.
+    /// Votes for the leader and acknowledges its entries until disconnected.
     pub async fn run(mut self) {
         while let Some(messages) = self.messages.recv().await {
             for GroupMessage { group, message } in messages {
@@ -132,9 +138,9 @@
                     other => reply_to(other),
                 };
                 let Some(message) = reply else { continue };
-                let frame = (self.leader_id, vec![GroupMessage { group, message }]);
+                let frame = (self.recipient, vec![GroupMessage { group, message }]);
                 let frame = encode_frame(&frame).expect("encode reply");
-                if self.leader.write_all(&frame).await.is_err() {
+                if self.connection.write_all(&frame).await.is_err() {
                     return;
                 }
             }
--- a/crates/limiter/src/lib.rs
+++ b/crates/limiter/src/lib.rs
@@ -1,10 +1,10 @@
 //! Distributed rate limiting of tenants.
 //!
-//! The leader issues permits for requests, and gateways use them before they expire. A gateway
-//! requests permits together with the reservation of a turn, including spare permits for the
-//! tool calls that follow the turn. A gateway without a permit requests a single one. A gateway
-//! that is partitioned from the leader receives no permits, and the ones it caches expire. Issued
-//! permits are recorded in the replicated log, so that a new leader can restore the counts.
+//! The leader of the ledger issues permits for requests, and gateways use them before they expire.
+//! A gateway requests permits together with the reservation of a turn, including spare permits for
+//! the tool calls that follow the turn. A gateway without a permit requests a single one. A
+//! gateway that is partitioned from the leader receives no permits, and the ones it caches expire.
+//! Issued permits are recorded in the replicated log, so that a new leader can restore the counts.
 //!
 //! - [`tolerance`]: by how much a limit may be exceeded, and the bounds derived from that;
 //! - [`window`]: sliding-window counter of issued permits;
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,4 +1,8 @@
-//! Known replicas with their load and health.
+//! Known replicas of the back-end services, with their load and health.
+//!
+//! The replica list, the drained zones and reports about cold and failing replicas come from the
+//! elected leader of the ledger, which is called the leader here. If the leader provides no recent
+//! list, the gateway reads the list from discovery itself.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -35,7 +39,7 @@
     active_penalty: Mutex<Option<ActivePenalty>>,
 }
 
-/// Load that all other gateways place on a replica, as reported by the leader.
+/// Total load that all other gateways place on a replica, as reported by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct OtherLoad {
     mean: MeanLoad,
@@ -77,8 +81,8 @@
         current.filter(|current| current.until > now).map_or(Duration::ZERO, |known| known.penalty)
     }
 
-    /// Returns the number of active requests of this gateway, and the average of all other
-    /// gateways.
+    /// Returns the number of active requests of this gateway, and the moving average of the
+    /// total of all other gateways.
     pub fn loads(&self) -> (u32, MeanLoad) {
         (self.own_load.load(Ordering::Relaxed), self.other_load.lock().mean)
     }
@@ -109,7 +113,7 @@
     pub service: &'a str,
     /// Zone of this gateway.
     pub zone: &'a str,
-    /// Regions in which the request may be served.
+    /// Home regions of the request: the regions in which it may be served.
     pub homes: &'a HomeRegions,
     /// Ids of replicas that must not be selected.
     pub excluded: &'a [String],
@@ -117,23 +121,24 @@
     pub request: &'a str,
     /// Preferred replica by prompt affinity.
     pub affinity: Affinity,
-    /// Whether to exclude cold replicas. Set for services with a limit for cold replicas: the
-    /// limit is global, so only the leader can enforce it.
+    /// Whether to exclude cold replicas. Set for services that limit the requests per second at
+    /// cold replicas: the limit counts all gateways, so only the leader can enforce it.
     pub exclude_cold: bool,
 }
 
 type ByService = HashMap<String, Vec<Arc<Member>>>;
 
-/// All known replicas, by service.
+/// All known replicas of the back-end services, by service.
 #[derive(Debug)]
 pub struct Fleet {
     /// Name of this gateway.
     gateway: String,
     topology: Arc<Topology>,
-    /// Drained zones. `None` until the ledger has reported them; until then no replica is
+    /// Drained zones. `None` until the leader has reported them; until then no replica is
     /// selected, since each may be in a drained zone.
     drained: RwLock<Option<Arc<DrainedZones>>>,
-    /// Cold replicas, as reported by the leader or seen in this gateway's own list readings.
+    /// Cold replicas, as reported by the leader, or found in lists that this gateway read from
+    /// discovery itself.
     cold: RwLock<ColdReplicas>,
     /// Recently undrained zones, whose replicas may have become cold.
     undrained: RwLock<UndrainedZones>,
@@ -141,9 +146,11 @@
     /// Newest known incarnation of each replica. Lists from different leaders may arrive out of
     /// order.
     incarnations: Mutex<IncarnationTracker>,
-    /// The same members in the order of the replica list.
+    /// All entries of the last replica list, in its order. Includes entries that `services` leaves
+    /// out because they are superseded or ambiguous.
     listed: RwLock<Vec<Arc<Member>>>,
-    /// Time at which the newest known list was read from discovery by any machine.
+    /// Time at which a leader last read the list from discovery, as far as known. Lists that this
+    /// gateway read itself do not count.
     list_read_at: Mutex<Option<Instant>>,
     /// Ids of replicas with a pending failure report.
     pending_reports: Mutex<HashSet<String>>,
@@ -193,7 +200,8 @@
                     Arc::new(Member::new(replica, rank))
                 }
             };
-            // Load reports refer to list positions, so entries that are not used are included.
+            // Load reports refer to list positions, so superseded and ambiguous entries are
+            // included.
             listed.push(Arc::clone(&member));
             if status != EntryStatus::Newest {
                 continue;
@@ -228,18 +236,18 @@
         self.pending_reports.lock().remove(id);
     }
 
-    /// Records the time at which the list was read, unless a later one is known.
+    /// Records the time at which a leader read the list, unless a later one is known.
     pub fn record_list_read(&self, read_at: Option<Instant>) {
         let mut known = self.list_read_at.lock();
         *known = (*known).max(read_at);
     }
 
-    /// Returns the age of the newest list, or [`Duration::MAX`] before the first.
+    /// Returns the time since a leader last read the list, or [`Duration::MAX`] before the first.
     pub fn list_age(&self) -> Duration {
         self.list_read_at.lock().map_or(Duration::MAX, |read| read.elapsed())
     }
 
-    /// Records the loads of all other gateways, in the order of the last list.
+    /// Records the total load of all other gateways per replica, in the order of the last list.
     pub fn record_other_loads(&self, loads: &[u32], now: Instant) {
         for (member, load) in self.listed.read().iter().zip(loads) {
             member.record_other_load(*load, now);
@@ -269,15 +277,16 @@
         })
     }
 
-    /// Returns whether this incarnation of a replica is listed and eligible for requests with
-    /// these homes.
+    /// Returns whether a replica is listed with the same id, i.e. has not restarted, and is
+    /// eligible for requests with these home regions.
     pub fn is_eligible(&self, replica: &Replica, homes: &HomeRegions) -> bool {
         let members = self.members_of(&replica.service);
         let mut listed = members.iter().map(|member| &member.replica);
         listed.any(|listed| listed.id == replica.id && self.meets_rules(listed, homes))
     }
 
-    /// Returns a replica if it is eligible for requests with these homes and has no penalty.
+    /// Returns a replica if it is eligible for requests with these home regions and has no
+    /// penalty.
     pub fn find_healthy(
         &self,
         service: &str,
@@ -291,7 +300,7 @@
         (is_eligible && is_healthy).then(|| Arc::clone(member))
     }
 
-    /// Returns whether a replica is eligible for requests with these homes.
+    /// Returns whether a replica is eligible for requests with these home regions.
     fn meets_rules(&self, replica: &Replica, homes: &HomeRegions) -> bool {
         let drained = self.drained.read();
         drained.as_ref().is_some_and(|drained| self.rules(homes, drained).admits(replica))
@@ -314,8 +323,8 @@
         }
     }
 
-    /// Marks the replicas of a list that are not yet known as cold until the leader reports which
-    /// replicas are cold. Replicas of the first list are not marked.
+    /// Marks as cold the replicas that are new in this list, for a short time until the leader
+    /// reports which replicas are cold. Replicas of the first list are not marked.
     pub fn mark_new_as_cold(&self, replicas: &[Replica], now: Instant) {
         let ids = self.ids();
         if ids.is_empty() {
@@ -334,8 +343,8 @@
             || self.undrained.read().contains(&replica.zone, now)
     }
 
-    /// Returns whether the service has replicas that are eligible for requests with these homes,
-    /// and all of them are cold.
+    /// Returns whether the service has replicas that are eligible for requests with these home
+    /// regions, and all of them are cold.
     pub fn has_only_cold(&self, service: &str, homes: &HomeRegions) -> bool {
         let now = Instant::now();
         let members = self.members_of(service);
@@ -344,7 +353,7 @@
         eligible.peek().is_some() && eligible.all(|member| self.is_cold(&member.replica, now))
     }
 
-    /// Returns whether the service has a replica in these regions, ready or not.
+    /// Returns whether the service has a replica in these home regions, ready or not.
     pub fn has_replica_in(&self, service: &str, homes: &HomeRegions) -> bool {
         let members = self.members_of(service);
         let region = |member: &Member| self.topology.region_of(&member.replica.zone);
@@ -373,7 +382,7 @@
         members.map(|member| member.loads().0).sum()
     }
 
-    /// Selects the eligible replica with the least cost.
+    /// Selects an eligible replica by prompt affinity, load and distance.
     pub fn choose(
         &self,
         criteria: &ReplicaCriteria<'_>,
@@ -411,6 +420,8 @@
                 }
             })
             .collect();
+        // `choose` prefers the replica that has probably cached the prompt prefix; `spread`
+        // balances requests without a shared prefix.
         let chosen = match affinity.key {
             Some(_) => choose(&candidates, affinity, weights),
             None => spread(&candidates, uniform_hash(request), weights),
--- a/crates/proxy/src/flow/failure.rs
+++ b/crates/proxy/src/flow/failure.rs
@@ -1,4 +1,4 @@
-//! Reports unresponsive replicas to the leader.
+//! Reports unresponsive replicas to the leader of the ledger.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/replication/src/storage/frame.rs
+++ b/crates/replication/src/storage/frame.rs
@@ -54,13 +54,13 @@
         offset,
         problem: problem.to_owned(),
     };
-    let is_torn = rest.ends_with(&[0; MIN_TORN_ZEROS]);
+    let ends_in_zeros = rest.ends_with(&[0; MIN_TORN_ZEROS]);
     let (header, after) = rest.split_at(HEADER_BYTES);
-    if is_torn && after.iter().all(|byte| *byte == 0) {
+    if ends_in_zeros && after.iter().all(|byte| *byte == 0) {
         return Ok(FrameRead::Torn);
     }
     if crc32c::crc32c(&header[..12]) != read_u32(header, 12) || read_u32(header, 0) != MAGIC {
-        return Err(corrupt("the frame header does not match its checksum"));
+        return Err(corrupt("the frame header has a wrong magic number or checksum"));
     }
     let length = read_u32(header, 4) as usize;
     let Some(payload) = after.get(..length) else {
@@ -68,7 +68,7 @@
     };
     if crc32c::crc32c(payload) != read_u32(header, 8) {
         let is_last = after.len() == length;
-        if is_last && is_torn {
+        if is_last && ends_in_zeros {
             return Ok(FrameRead::Torn);
         }
         return Err(corrupt("the payload does not match its checksum"));
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -1,7 +1,7 @@
 //! Eligibility of replicas for a request, checked before selection.
 //!
-//! The leader, when it places turns, and gateways, when they select replicas, apply the same
-//! rules.
+//! The leader of the ledger, when it places turns, and gateways, when they select replicas, apply
+//! the same rules.
 
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -1,9 +1,10 @@
 //! Queue of calls for one engine, kept by the gateway that owns the engine.
 //!
-//! Calls are ordered by least attained service: the program with the fewest computed tokens goes
-//! first, since program lengths are unknown and short programs should not wait behind long ones.
-//! Waiting time reduces the rank so that no program starves (Nuyens and Wierman, *The
-//! Foreground-Background Queue*, 2008).
+//! A program is the sequence of dependent calls of one agent. Calls are ordered by least attained
+//! service (Nuyens and Wierman, *The Foreground-Background Queue*, 2008): the program with the
+//! fewest computed tokens goes first, since program lengths are unknown and short programs should
+//! not wait behind long ones. Computed tokens are prompt tokens that were not cached, and output
+//! tokens. The priority of a call rises while it waits, so that no program starves.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,8 @@
 
 use calicohoist_types::ids::NodeId;
 
-/// Tokens by which a millisecond of waiting reduces the attained service.
+/// Number of tokens that are subtracted from the attained service of a call per millisecond of
+/// waiting.
 const CREDIT_PER_MS: u64 = 2;
 
 /// Call that waits for a slot.
@@ -19,7 +21,7 @@
 pub struct QueueEntry {
     /// Attempt that the slot is for.
     pub attempt: AttemptId,
-    /// Gateway that runs the call.
+    /// Gateway that requested the slot and sends the call to the engine.
     pub holder: NodeId,
     /// Tokens computed for the call's program so far.
     pub attained_tokens: u64,
@@ -65,7 +67,7 @@
         self.waiting.iter().any(|entry| entry.attempt == *attempt)
     }
 
-    /// Assigns free slots to waiting calls in order of rank.
+    /// Assigns free slots to waiting calls, lowest rank first.
     pub fn grant(&mut self, now: Moment, slots: u32) -> Vec<QueueEntry> {
         let mut granted = Vec::new();
         while self.running.len() < slots as usize {
@@ -99,10 +101,12 @@
         self.running.entry(attempt).or_insert((holder, now));
     }
 
-    /// Frees slots of `holder` that were assigned before `before` and are not in `listed`.
-    pub fn reconcile(&mut self, holder: &NodeId, listed: &[AttemptId], before: Moment) {
+    /// Frees the slots of `holder` that it no longer uses: those that are not in `reported`, the
+    /// slots that it reports to hold. Slots assigned at `before` or later are kept, since the
+    /// report may be older.
+    pub fn reconcile(&mut self, holder: &NodeId, reported: &[AttemptId], before: Moment) {
         self.running.retain(|attempt, (held_by, since)| {
-            held_by != holder || listed.contains(attempt) || *since >= before
+            held_by != holder || reported.contains(attempt) || *since >= before
         });
     }
 
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -31,7 +31,7 @@
 const MAX_BATCH: usize = 1_024;
 /// Interval between ticks of the service.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval at which a machine without stored state asks the others whether the fleet has
+/// Interval at which a machine without stored state asks the others whether the store has
 /// started.
 const START_QUERY_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum time that a graceful shutdown waits for leadership transfers.
@@ -301,7 +301,7 @@
     /// Determines the identity of the data directory; `None` if stopped meanwhile.
     ///
     /// An empty directory gets the initial identity 0 only if *every* other machine confirms
-    /// that the fleet has not started. Otherwise this machine has lost its disk and must rejoin
+    /// that the store has not started. Otherwise this machine has lost its disk and must rejoin
     /// under a new identity, since the old one may have voted and acknowledged entries.
     fn resolve_identity(
         &self,
@@ -311,7 +311,7 @@
         if recovered_identity.is_some() {
             return Ok(recovered_identity);
         }
-        let Some(has_started) = self.query_fleet_started() else {
+        let Some(has_started) = self.query_store_started() else {
             return Ok(None);
         };
         let disk = if has_started { rand::rng().random_range(1..=u32::MAX) } else { 0 };
@@ -319,9 +319,9 @@
         Ok(Some(disk))
     }
 
-    /// Asks the other machines until one reports that the fleet has started or all report that
+    /// Asks the other machines until one reports that the store has started or all report that
     /// it has not; `None` if stopped meanwhile.
-    fn query_fleet_started(&self) -> Option<bool> {
+    fn query_store_started(&self) -> Option<bool> {
         let mut not_started = std::collections::BTreeSet::new();
         let machine = self.settings.machine;
         while not_started.len() < self.links.len() {
--- a/crates/store/src/nodes.rs
+++ b/crates/store/src/nodes.rs
@@ -50,7 +50,7 @@
         now >= self.complete_at
     }
 
-    /// Returns the version of the node list.
+    /// Returns the version of the list of gateways.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Returns all nodes that hold a lease.
+    /// Returns all gateways that hold a lease.
     pub fn nodes(&self) -> Vec<NodeInfo> {
         self.nodes.values().map(|entry| entry.info.clone()).collect()
     }
 
-    /// Returns all nodes that hold a lease, with the revision each has applied.
+    /// Returns all gateways that hold a lease, with the revision each has applied.
     pub fn revisions(&self) -> Vec<(NodeRef, Revision)> {
         let node_and_revision = |entry: &NodeEntry| (entry.info.node.clone(), entry.applied);
         self.nodes.values().map(node_and_revision).collect()
@@ -110,8 +110,8 @@
         self.loads.changes_since(since)
     }
 
-    /// Returns the highest revision that every node with a lease has applied; `newest` if there
-    /// are no nodes. Never decreases.
+    /// Returns the highest revision that every gateway with a lease has applied; `newest` if there
+    /// are no gateways. Never decreases.
     pub fn in_force(&mut self, now: Moment, newest: Revision) -> Revision {
         if self.is_complete(now) {
             let lowest = self.nodes.values().map(|entry| entry.applied).min();
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -1,4 +1,7 @@
 //! Messages exchanged between gateways, tools and store machines.
+//!
+//! Nodes are gateways. The leader of group 0, which stores the resources, also grants the gateways
+//! their leases and collects their loads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +17,7 @@
 /// Identifies one run of a gateway process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeRef {
-    /// The gateway.
+    /// Id of the gateway.
     pub node: NodeId,
     /// Distinguishes restarts of the same gateway.
     pub incarnation: Incarnation,
@@ -42,7 +45,7 @@
     pub accepts: bool,
 }
 
-/// Periodic message from a gateway to the leader of group 0 that renews its lease.
+/// Periodic message from a gateway to the leader of group 0 that renews the gateway's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sending gateway.
@@ -53,7 +56,7 @@
     pub zone: Zone,
     /// Configuration revision that the sender has applied.
     pub applied: Revision,
-    /// Version of the node list that the sender has.
+    /// Version of the list of gateways that the sender has.
     pub nodes_version: u64,
     /// Loads of the engines that the sender owns.
     pub loads: Vec<EngineLoad>,
@@ -66,7 +69,7 @@
 /// Public information about a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// The gateway.
+    /// The gateway, with its incarnation.
     pub node: NodeRef,
     /// Address at which other gateways reach it.
     pub peer_address: SocketAddr,
@@ -96,15 +99,16 @@
     pub lease: Duration,
     /// Version of `nodes`.
     pub nodes_version: u64,
-    /// All gateways that hold a lease; `None` if the receiver already has this version.
+    /// Known gateways that hold a lease; `None` if the receiver already has this version.
     pub nodes: Option<Vec<NodeInfo>>,
-    /// Whether gateways missing from `nodes` are known to hold no lease.
+    /// Whether the list of gateways is complete. It can be incomplete after a change of the
+    /// leader: leases are not replicated, so a new leader learns them from the next heartbeats.
     pub nodes_complete: bool,
     /// Engine loads that changed since the receiver's version.
     pub loads: LoadsUpdate,
     /// Configuration changes since the receiver's revision.
     pub update: ResourceUpdate,
-    /// Highest revision that every node has applied.
+    /// Highest revision that every gateway with a lease has applied.
     pub in_force: Revision,
 }
 
@@ -129,14 +133,14 @@
     pub fully_replicated: bool,
 }
 
-/// Status of the fleet as known to the leader of group 0.
+/// Status of the gateways as known to the leader of group 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
     /// Latest accepted revision.
     pub revision: Revision,
-    /// Highest revision that every node has applied.
+    /// Highest revision that every gateway with a lease has applied.
     pub in_force: Revision,
-    /// Nodes that hold a lease, with the revision each has applied.
+    /// Gateways that hold a lease, with the revision each has applied.
     pub nodes: Vec<(NodeRef, Revision)>,
 }
 
@@ -149,7 +153,7 @@
     Query(GroupId, Query),
     /// Renews a gateway's lease.
     Heartbeat(Box<Heartbeat>),
-    /// Requests nodes and revisions from the leader of group 0.
+    /// Requests the gateways and their revisions from the leader of group 0.
     FleetStatus,
     /// Requests the status of all groups on the receiving machine.
     GroupStatus,
@@ -176,7 +180,7 @@
     Answer(Answer),
     /// Response to a heartbeat.
     Heartbeat(Box<HeartbeatReply>),
-    /// Status of the fleet.
+    /// Status of the gateways.
     FleetStatus(FleetStatus),
     /// Status of all groups on the machine.
     GroupStatus(Vec<GroupStatus>),
@@ -205,7 +209,7 @@
         /// The request.
         request: StoreRequest,
     },
-    /// Asks whether the fleet has started before. Sent by a machine without stored state.
+    /// Asks whether the store has started before. Sent by a machine without stored state.
     AskStarted {
         /// The asking machine.
         machine: u32,
@@ -226,7 +230,7 @@
     Started {
         /// The responding machine.
         machine: u32,
-        /// Whether its log holds entries, which means that the fleet has started before.
+        /// Whether its log holds entries, which means that the store has started before.
         started: bool,
     },
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -103,7 +103,7 @@
         &self.node
     }
 
-    /// Returns whether any log holds entries, which means that the fleet has started before.
+    /// Returns whether any log holds entries, which means that the store has started before.
     pub fn has_started(&self) -> bool {
         let last =
             |group| self.node.raft(group).map_or(0, calicohoist_replication::Raft::last_index);
--- a/crates/store/src/state/programs.rs
+++ b/crates/store/src/state/programs.rs
@@ -1,4 +1,7 @@
 //! State of programs: calls, conversation histories, token budgets and engine memory.
+//!
+//! A program is the sequence of dependent model and tool calls of one agent. Its sub-agents are
+//! programs of their own.
 
 use std::collections::{BTreeMap, BTreeSet};
 
