--- a/crates/gateway/src/core/call.rs
+++ b/crates/gateway/src/core/call.rs
@@ -132,7 +132,7 @@
     /// The answer so far.
     pub text: String,
     /// Length in bytes of the prefix of `text` that earlier attempts produced.
-    pub continuation_len: usize,
+    pub prefix_len: usize,
     /// Back ends to avoid because an attempt on them failed.
     pub excluded: BTreeSet<String>,
     /// The complete answer, while it is being stored.
@@ -168,7 +168,7 @@
             target: None,
             resumes: None,
             text: String::new(),
-            continuation_len: 0,
+            prefix_len: 0,
             excluded: BTreeSet::new(),
             answer: None,
             failure_cause: None,
--- a/crates/gateway/src/core/flow/route.rs
+++ b/crates/gateway/src/core/flow/route.rs
@@ -274,7 +274,7 @@
         let kind = if call.resumes.is_some() { "resumed" } else { "new" };
         ATTEMPTS_SENT.inc(kind);
         call.phase = Phase::Running { last_progress: now };
-        call.continuation_len = call.text.len();
+        call.prefix_len = call.text.len();
         if let Some(task) = engine_task(call) {
             self.actions.push(Action::RunOnEngine(Box::new(task)));
         } else if let Some(task) = service_task(call, false) {
