--- a/crates/lab/src/sim/caller.rs
+++ b/crates/lab/src/sim/caller.rs
@@ -104,7 +104,7 @@
     budget: u64,
     max_calls: u64,
     steps: Vec<Step>,
-    habit: ClientBehavior,
+    behavior: ClientBehavior,
     gateway: usize,
     step_index: usize,
     sequence: u64,
@@ -132,7 +132,7 @@
             budget: 0,
             max_calls: AGENT_MAX_CALLS,
             steps,
-            habit: ClientBehavior::Normal,
+            behavior: ClientBehavior::Normal,
             gateway,
             step_index: 0,
             sequence: 1,
@@ -221,7 +221,7 @@
         self.clients.programs.push(ProgramRun {
             budget: plan.budget,
             max_calls,
-            habit: plan.behavior,
+            behavior: plan.behavior,
             ..ProgramRun::new(plan.id, plan.tenant, plan.steps, index, started)
         });
         self.create_program(index, start);
@@ -392,7 +392,7 @@
                 self.schedule_in(pause, SimEvent::ClientTimer(ClientTimer::Step(index)));
             }
             Step::ModelCall(_) | Step::ServiceCall { .. } => {
-                if program.habit == ClientBehavior::SendsOutOfOrder && program.step_index == 0 {
+                if program.behavior == ClientBehavior::SendsOutOfOrder && program.step_index == 0 {
                     self.send_early_call(index);
                 }
                 self.send_current_call(index);
@@ -509,7 +509,7 @@
             return self.end_program(index);
         }
         let wants_disconnect =
-            program.habit == ClientBehavior::Disconnects && program.step_index.is_multiple_of(2);
+            program.behavior == ClientBehavior::Disconnects && program.step_index.is_multiple_of(2);
         let disconnect = wants_disconnect
             && !program.has_disconnected
             && matches!(input, CallInput::Model { .. });
